--- /dev/null
+++ b/src/main/java/rockshift/distribution/Refusal.java
@@ -0,0 +1,23 @@
+package rockshift.distribution;
+
+/** Thrown where a message or a change can't be taken; nothing has been changed. */
+public final class Refusal extends Exception {
+    private static final long serialVersionUID = 1;
+    private final RejectionReason reason;
+    private final String place;
+
+    public Refusal(RejectionReason reason, String place) {
+        super(reason.code() + ": " + place, null, false, false);
+        this.reason = reason;
+        this.place = place;
+    }
+
+    public RejectionReason reason() {
+        return reason;
+    }
+
+    /** The field, and what is wrong there. */
+    public String place() {
+        return place;
+    }
+}
