--- a/src/main/java/rockshift/Listed.java
+++ b/src/main/java/rockshift/Listed.java
@@ -7,5 +7,7 @@
  */
 public record Listed(long replica, String zone, String kind, Health health, long started) {
     /** What the list says of a replica: fit for new work, finishing what it has, or removed. */
-    public enum Health { READY, DRAINING, GONE }
+    public enum Health {
+        READY, DRAINING, GONE
+    }
 }
--- a/src/main/java/rockshift/Logic.java
+++ b/src/main/java/rockshift/Logic.java
@@ -173,7 +173,7 @@
     private long warnedAt;
 
     /** Work that falls due: the next batch, or the end of a shunned replica's rest in one view. */
-    private record Due(long at, boolean batch, long replica, boolean far) { }
+    private record Due(long at, boolean batch, long replica, boolean far) {}
 
     public Logic(long now, long seed, Map<String, String> terms) {
         super(now, terms);
@@ -408,8 +408,8 @@
         }
         for (Place place : places) {
             for (Request request : place.requests) {
-                place.members.forEach((id, member) ->
-                        request.paths.computeIfAbsent(id, key -> new Path(request, member)));
+                place.members.forEach(
+                        (id, member) -> request.paths.computeIfAbsent(id, key -> new Path(request, member)));
             }
         }
     }
@@ -761,7 +761,7 @@
     }
 
     /** A line of a request's table, or its level where no path is named, and how much it matters. */
-    private record Change(Request request, Path path, double to, double size) { }
+    private record Change(Request request, Path path, double to, double size) {}
 
     private void publish(Orders orders, boolean gathered) {
         double most = Math.floor(cap * MESSAGE_PART);
--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -7,8 +7,7 @@
 
 /** Looks at its first word: a governor and the drill start without anything that commands need. */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] arguments) throws IOException, InterruptedException {
         String command = arguments.length == 1 ? arguments[0] : "";
--- a/src/main/java/rockshift/Simplex.java
+++ b/src/main/java/rockshift/Simplex.java
@@ -4,7 +4,7 @@
 
 /** The nearest point whose sum stays within a limit: one and the same amount less of each, and nothing below zero. */
 final class Simplex {
-    private Simplex() { }
+    private Simplex() {}
 
     /** That amount; 0 where the sum fits already. Sorts the values that it is given. */
     static double cut(double[] values, double limit) {
--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -24,17 +24,22 @@
 import rockshift.operator.Unusable;
 
 /** What staff ask of the agreement. */
-@Command(name = "cluster", mixinStandardHelpOptions = true, description = "Asks the governors that agree among themselves.",
-        synopsisSubcommandLabel = "COMMAND", subcommands = {ClusterCommands.Status.class, ClusterCommands.Propose.class,
-            ClusterCommands.Drain.class, ClusterCommands.Hold.class, ClusterCommands.Back.class, ClusterCommands.Members.class,
+@Command(name = "cluster", mixinStandardHelpOptions = true,
+        description = "Asks the governors that agree among themselves.",
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {ClusterCommands.Status.class, ClusterCommands.Propose.class,
+            ClusterCommands.Drain.class, ClusterCommands.Hold.class, ClusterCommands.Back.class,
+            ClusterCommands.Members.class,
             ClusterCommands.Transfer.class, ClusterCommands.Snapshot.class, ClusterCommands.ListChanges.class,
             ExploreCommand.class, MeasureCommands.TrialCommand.class, MeasureCommands.BenchCommand.class})
 final class ClusterCommands extends CommandGroup {
     /** Whom to ask, and for how long. */
     static final class Whom {
-        @Option(names = "--at", split = ",", paramLabel = "ADDRESS", description = "members to ask, by HOST:PORT")
+        @Option(names = "--at", split = ",", paramLabel = "ADDRESS",
+                description = "members to ask, by HOST:PORT")
         private List<String> at = List.of();
-        @Option(names = "--operator", paramLabel = "FILE", description = "an operator's file that names the founders")
+        @Option(names = "--operator", paramLabel = "FILE",
+                description = "an operator's file that names the founders")
         private String operator;
         @Option(names = "--timeout", paramLabel = "SECONDS", defaultValue = "10",
                 description = "how long to go on asking (${DEFAULT-VALUE})")
@@ -50,10 +55,12 @@
                 Section file = OperatorFile.read(operator);
                 ClusterCharter charter = ClusterCharter.read(file);
                 all.add(charter.address());
-                charter.founders().values().stream().filter(address -> !all.contains(address)).forEach(all::add);
+                charter.founders().values().stream().filter(address -> !all.contains(address))
+                        .forEach(all::add);
             }
             if (all.isEmpty()) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "name members by --at or --operator");
+                throw new CommandLine.ParameterException(spec.commandLine(),
+                        "name members by --at or --operator");
             }
             return all;
         }
@@ -96,7 +103,8 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Tells where each member stands.")
+    @Command(name = "status", mixinStandardHelpOptions = true,
+            description = "Tells where each member stands.")
     static final class Status implements Callable<Integer> {
         @Mixin
         private Whom whom;
@@ -107,7 +115,8 @@
                 Map<String, JsonNode> all = client.statuses();
                 boolean reached = false;
                 if (!whom.json) {
-                    whom.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s  %s%n", "address", "name", "role", "term",
+                    whom.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s  %s%n", "address", "name",
+                            "role", "term",
                             "leader", "orders", "agreed", "applied", "version", "disk");
                 }
                 for (Map.Entry<String, JsonNode> each : all.entrySet()) {
@@ -116,12 +125,15 @@
                     if (whom.json) {
                         whom.out().println(s);
                     } else if (s.has("unreached")) {
-                        whom.out().printf("%-22s not reached: %s%n", each.getKey(), s.path("unreached").asText());
+                        whom.out().printf("%-22s not reached: %s%n", each.getKey(),
+                                s.path("unreached").asText());
                     } else {
                         whom.out().printf("%-22s %-12s %-10s %6d %-12s %-9s %9d %9d %8d  %s%n", each.getKey(),
                                 s.path("name").asText(), s.path("role").asText(), s.path("term").asLong(),
-                                s.path("leader").asText(), s.path("orders").asText(), s.path("agreed").asLong(),
-                                s.path("applied").asLong(), s.path("version").asLong(), s.path("disk").asText());
+                                s.path("leader").asText(), s.path("orders").asText(),
+                                s.path("agreed").asLong(),
+                                s.path("applied").asLong(), s.path("version").asLong(),
+                                s.path("disk").asText());
                     }
                 }
                 return reached ? Commands.HELD : Commands.BROKEN;
@@ -190,17 +202,18 @@
         }
     }
 
-    @Command(name = "back", mixinStandardHelpOptions = true, description = "Lets a drained or held replica back.")
+    @Command(name = "back", mixinStandardHelpOptions = true,
+            description = "Lets a drained or held replica back.")
     static final class Back extends ReplicaCommand {
         Back() {
             super(Change.Kind.BACK);
         }
     }
 
-    @Command(name = "member", mixinStandardHelpOptions = true, description = "Changes who takes part, one at a time.",
+    @Command(name = "member", mixinStandardHelpOptions = true,
+            description = "Changes who takes part, one at a time.",
             synopsisSubcommandLabel = "COMMAND", subcommands = {Add.class, Remove.class})
-    static final class Members extends CommandGroup {
-    }
+    static final class Members extends CommandGroup {}
 
     @Command(name = "add", mixinStandardHelpOptions = true,
             description = "Adds a member that runs already: it is brought up to date first and votes then.")
@@ -219,11 +232,16 @@
             try (Client client = whom.client()) {
                 JsonNode self = client.ask(address, Client.call("status"));
                 if (!self.path("name").asText().equals(name)) {
-                    whom.out().println("refused: at " + address + " is " + self.path("name").asText() + ", not " + name);
+                    whom.out().println(
+                            "refused: at " + address + " is " + self.path("name").asText() + ", not " + name);
                     return Commands.BROKEN;
                 }
-                return whom.tell(client.askLeader(Client.call("add").put("id", self.path("number").asLong()).put("name", name)
-                        .put("address", address).put("learner", learner), whom.deadline()), name + " added");
+                return whom.tell(
+                        client.askLeader(
+                                Client.call("add").put("id", self.path("number").asLong()).put("name", name)
+                                        .put("address", address).put("learner", learner),
+                                whom.deadline()),
+                        name + " added");
             }
         }
     }
@@ -241,7 +259,8 @@
         }
     }
 
-    @Command(name = "transfer", mixinStandardHelpOptions = true, description = "Hands leadership to a member.")
+    @Command(name = "transfer", mixinStandardHelpOptions = true,
+            description = "Hands leadership to a member.")
     static final class Transfer implements Callable<Integer> {
         @Mixin
         private Whom whom;
@@ -266,7 +285,8 @@
         }
     }
 
-    @Command(name = "log", mixinStandardHelpOptions = true, description = "Lists changes as they were applied, in order.")
+    @Command(name = "log", mixinStandardHelpOptions = true,
+            description = "Lists changes as they were applied, in order.")
     static final class ListChanges implements Callable<Integer> {
         @Mixin
         private Whom whom;
@@ -278,8 +298,10 @@
                 if (whom.json) {
                     whom.out().println(answer);
                 } else {
-                    answer.path("changes").forEach(change -> whom.out().printf("%9d  %s  %s%n", change.path("index").asLong(),
-                            change.path("change"), change.path("outcome")));
+                    answer.path("changes")
+                            .forEach(change -> whom.out().printf("%9d  %s  %s%n",
+                                    change.path("index").asLong(),
+                                    change.path("change"), change.path("outcome")));
                 }
                 return Commands.HELD;
             }
--- a/src/main/java/rockshift/cli/ClusterCompanion.java
+++ b/src/main/java/rockshift/cli/ClusterCompanion.java
@@ -41,8 +41,9 @@
     public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {
         Map<String, Long> until = new HashMap<>();
         // A drain means the process that ran when it was asked for; a hold means whatever runs under the name.
-        out.forEach((name, change) -> until.put(name, change.kind() == Change.Kind.DRAIN && change.started() > 0
-                ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1 : Long.MAX_VALUE));
+        out.forEach(
+                (name, change) -> until.put(name, change.kind() == Change.Kind.DRAIN && change.started() > 0
+                        ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1 : Long.MAX_VALUE));
         Map<String, String> values = new HashMap<>();
         terms.forEach((name, value) -> values.put(name, value.toString()));
         inlet.agreed(version, until, values);
@@ -60,7 +61,8 @@
         }
         Map<String, Listed> listed = inlet.listed();
         if (!listed.containsKey(change.subject())) {
-            return "unknown-replica: " + change.subject() + " is not listed here (--force asks for it all the same)";
+            return "unknown-replica: " + change.subject()
+                    + " is not listed here (--force asks for it all the same)";
         }
         boolean left = listed.entrySet().stream().anyMatch(entry -> !entry.getKey().equals(change.subject())
                 && !out.containsKey(entry.getKey()) && entry.getValue().health() == Listed.Health.READY);
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -19,7 +19,8 @@
 /** All commands. Exit statuses: 0 all held, 1 something that was checked did not hold, 2 the call or a file can't be used. */
 @Command(name = "rockshift", mixinStandardHelpOptions = true, version = "rockshift 0.1.0",
         description = "A central planner behind plain proxies.", synopsisSubcommandLabel = "COMMAND",
-        subcommands = {Commands.Serve.class, Commands.Play.class, Commands.Check.class, ClusterCommands.class})
+        subcommands = {Commands.Serve.class, Commands.Play.class, Commands.Check.class,
+            ClusterCommands.class})
 public final class Commands extends CommandGroup {
     static final int HELD = 0;
     static final int BROKEN = 1;
@@ -39,14 +40,16 @@
     @Command(name = "serve", mixinStandardHelpOptions = true,
             description = "Serves as a governor, as the file that RELAY_CONFIG names tells.")
     static final class Serve implements Callable<Integer> {
-        @Option(names = "--operator", paramLabel = "FILE", description = "the operator's file: what is switched on beside")
+        @Option(names = "--operator", paramLabel = "FILE",
+                description = "the operator's file: what is switched on beside")
         private String operator;
 
         @Override
         public Integer call() throws Exception {
             ProcessSignals signals = ProcessSignals.install();
             try {
-                return rockshift.net.Serve.run(System.getenv(), signals, operator == null ? null : companion());
+                return rockshift.net.Serve.run(System.getenv(), signals,
+                        operator == null ? null : companion());
             } finally {
                 signals.release();
             }
@@ -85,8 +88,10 @@
             ClusterCharter cluster = ClusterCharter.read(file);
             file.end();
             PrintWriter out = spec.commandLine().getOut();
-            out.println(name + ": member " + cluster.name() + " of " + (cluster.founders().isEmpty() ? "a cluster that it is"
-                    + " added to" : cluster.founders().keySet()) + ", listens on " + cluster.listen().getHostString() + ":"
+            out.println(name + ": member " + cluster.name() + " of "
+                    + (cluster.founders().isEmpty() ? "a cluster that it is"
+                            + " added to" : cluster.founders().keySet())
+                    + ", listens on " + cluster.listen().getHostString() + ":"
                     + cluster.listen().getPort() + ", folder " + cluster.folder());
             return HELD;
         }
--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -34,12 +34,14 @@
         if (seed != null) {
             World.Result result = new World(seed, members, new Plant(), true).run();
             result.account().forEach(out::println);
-            out.println("seed " + seed + ": " + (result.violation() == null ? "no violation" : result.violation()));
+            out.println("seed " + seed + ": "
+                    + (result.violation() == null ? "no violation" : result.violation()));
             return result.violation() == null ? Commands.HELD : Commands.BROKEN;
         }
         Explorer.Findings all = Explorer.Findings.NONE;
         for (long done = 0; done < seeds; done += STEP) {
-            Explorer.Findings part = Explorer.explore(first + done, Math.min(STEP, seeds - done), members, Plant::new);
+            Explorer.Findings part =
+                    Explorer.explore(first + done, Math.min(STEP, seeds - done), members, Plant::new);
             all = all.and(part);
             part.broken().forEach(result -> out.println("seed " + result.seed() + ": " + result.violation()));
             if (System.console() != null) {
--- a/src/main/java/rockshift/cli/MeasureCommands.java
+++ b/src/main/java/rockshift/cli/MeasureCommands.java
@@ -18,8 +18,7 @@
 
 /** Commands that start members of their own to try or measure them, on loopback. */
 final class MeasureCommands {
-    private MeasureCommands() {
-    }
+    private MeasureCommands() {}
 
     @Command(name = "trial", mixinStandardHelpOptions = true,
             description = "Starts governors, kills, stops and cuts them at random while clients propose, and compares them.")
@@ -30,7 +29,8 @@
         private int members;
         @Option(names = "--minutes", defaultValue = "1", description = "how long (${DEFAULT-VALUE})")
         private double minutes;
-        @Option(names = "--seed", defaultValue = "1", description = "of the faults and proposals (${DEFAULT-VALUE})")
+        @Option(names = "--seed", defaultValue = "1",
+                description = "of the faults and proposals (${DEFAULT-VALUE})")
         private long seed;
         @Option(names = "--out", paramLabel = "FOLDER", description = "where to keep the table and the chart")
         private Path kept;
@@ -38,7 +38,8 @@
         @Override
         public Integer call() throws Exception {
             Path folder = Files.createTempDirectory("rockshift-trial");
-            Trial.Outcome outcome = new Trial(folder, members, (long) (minutes * 60), seed, System.err::println).run();
+            Trial.Outcome outcome =
+                    new Trial(folder, members, (long) (minutes * 60), seed, System.err::println).run();
             PrintWriter out = spec.commandLine().getOut();
             outcome.troubles().stream().limit(50).forEach(out::println);
             if (kept != null) {
@@ -57,7 +58,8 @@
                     figures.put("agreed in ms p" + p, outcome.agreeing().getValueAtPercentile(p) / 1_000.0);
                 }
                 table(kept.resolve("trial.csv"), figures);
-                Charts.tail(kept.resolve("trial.png"), "Time until a change was agreed, under faults", outcome.agreeing());
+                Charts.tail(kept.resolve("trial.png"), "Time until a change was agreed, under faults",
+                        outcome.agreeing());
             }
             out.println(outcome.line());
             return outcome.held() ? Commands.HELD : Commands.BROKEN;
@@ -69,11 +71,13 @@
     static final class BenchCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
-        @Option(names = "--changes", defaultValue = "2000", description = "changes one at a time (${DEFAULT-VALUE})")
+        @Option(names = "--changes", defaultValue = "2000",
+                description = "changes one at a time (${DEFAULT-VALUE})")
         private int changes;
         @Option(names = "--kills", defaultValue = "50", description = "leaders ended (${DEFAULT-VALUE})")
         private int kills;
-        @Option(names = "--memory", paramLabel = "CHANGES", description = "measures only what three processes hold of memory")
+        @Option(names = "--memory", paramLabel = "CHANGES",
+                description = "measures only what three processes hold of memory")
         private long memory;
         @Option(names = "--out", paramLabel = "FOLDER", description = "where to keep the table and the chart")
         private Path kept;
@@ -86,13 +90,16 @@
                         .forEach((changes, mb) -> held.put(changes + " changes, MB", mb));
                 return tell(held, "memory", "Memory of a governor that agrees, heap of 64 MB", "MB");
             }
-            Map<String, Double> figures = new ClusterBench(Files.createTempDirectory("rockshift-bench")).run(changes, kills);
+            Map<String, Double> figures =
+                    new ClusterBench(Files.createTempDirectory("rockshift-bench")).run(changes, kills);
             return tell(figures, "bench", "Agreement beside what bounds it", "ratio");
         }
 
         /** Prints and keeps figures; the chart shows those that can stand beside each other. */
-        private int tell(Map<String, Double> figures, String name, String title, String unit) throws IOException {
-            figures.forEach((what, value) -> spec.commandLine().getOut().printf(Locale.ROOT, "%-36s %12.2f%n", what, value));
+        private int tell(Map<String, Double> figures, String name, String title, String unit)
+                throws IOException {
+            figures.forEach((what, value) -> spec.commandLine().getOut().printf(Locale.ROOT, "%-36s %12.2f%n",
+                    what, value));
             if (kept != null) {
                 Files.createDirectories(kept);
                 table(kept.resolve(name + ".csv"), figures);
@@ -106,7 +113,8 @@
 
     private static void table(Path file, Map<String, Double> figures) throws IOException {
         StringBuilder text = new StringBuilder("figure,value\n");
-        figures.forEach((name, value) -> text.append(String.format(Locale.ROOT, "\"%s\",%.3f%n", name, value)));
+        figures.forEach(
+                (name, value) -> text.append(String.format(Locale.ROOT, "\"%s\",%.3f%n", name, value)));
         Files.writeString(file, text);
     }
 }
--- a/src/main/java/rockshift/cluster/Agreed.java
+++ b/src/main/java/rockshift/cluster/Agreed.java
@@ -61,7 +61,8 @@
             }
         } else if (change.kind() == Change.Kind.BACK && !out.containsKey(change.subject())) {
             return "not-out: " + change.subject() + " is neither drained nor held";
-        } else if (change.kind() != Change.Kind.BACK && out.size() >= MOST_OUT && !out.containsKey(change.subject())) {
+        } else if (change.kind() != Change.Kind.BACK && out.size() >= MOST_OUT
+                && !out.containsKey(change.subject())) {
             return "too-many: " + MOST_OUT + " replicas are kept out";
         }
         return null;
@@ -114,7 +115,8 @@
         return bytes.toByteArray();
     }
 
-    private static void values(JsonGenerator json, String field, Map<String, Double> values) throws IOException {
+    private static void values(JsonGenerator json, String field, Map<String, Double> values)
+            throws IOException {
         json.writeObjectFieldStart(field);
         for (Map.Entry<String, Double> each : values.entrySet()) {
             json.writeNumberField(each.getKey(), each.getValue());
@@ -155,7 +157,8 @@
                 }
             }
         } catch (IOException damaged) {
-            throw new IllegalStateException("what was agreed can't be read: " + damaged.getMessage(), damaged);
+            throw new IllegalStateException("what was agreed can't be read: " + damaged.getMessage(),
+                    damaged);
         }
     }
 
--- a/src/main/java/rockshift/cluster/Change.java
+++ b/src/main/java/rockshift/cluster/Change.java
@@ -19,7 +19,9 @@
  */
 public record Change(Kind kind, String subject, long started, double value, String reason) {
     /** Drain until the replica starts anew, hold out until let back, let back; set a budget or a term. */
-    public enum Kind { DRAIN, HOLD, BACK, BUDGET, TERM }
+    public enum Kind {
+        DRAIN, HOLD, BACK, BUDGET, TERM
+    }
 
     private static final JsonFactory JSON = new JsonFactory();
     /** Characters of the longest name and reason. */
--- a/src/main/java/rockshift/cluster/Client.java
+++ b/src/main/java/rockshift/cluster/Client.java
@@ -126,14 +126,16 @@
     }
 
     /** Has a change agreed, once, however often it must be asked for. */
-    public JsonNode change(Change change, boolean force, long deadlineMs) throws IOException, InterruptedException {
+    public JsonNode change(Change change, boolean force, long deadlineMs)
+            throws IOException, InterruptedException {
         if (session == 0) {
             session = chance.nextLong() >>> 1 | 1;
             askLeader(call("open").put("session", session), deadlineMs);
         }
         serial++;
         return askLeader(call("change").put("session", session).put("serial", serial).put("force", force)
-                .put("change", new String(change.json(), java.nio.charset.StandardCharsets.UTF_8)), deadlineMs);
+                .put("change", new String(change.json(), java.nio.charset.StandardCharsets.UTF_8)),
+                deadlineMs);
     }
 
     /** The status of each member that answers, by address. */
@@ -143,7 +145,8 @@
             try {
                 found.put(address, ask(address, call("status")));
             } catch (IOException failure) {
-                found.put(address, JSON.createObjectNode().put("unreached", String.valueOf(failure.getMessage())));
+                found.put(address,
+                        JSON.createObjectNode().put("unreached", String.valueOf(failure.getMessage())));
             }
         }
         return found;
--- a/src/main/java/rockshift/cluster/ClusterCharter.java
+++ b/src/main/java/rockshift/cluster/ClusterCharter.java
@@ -19,7 +19,9 @@
         Map<String, String> founders, Map<String, String> routes, Timing timing, Engine.Compaction compaction,
         Minority minority) {
     /** What a governor still orders when it is cut off from most: all, what rules owe, or nothing. */
-    public enum Minority { SERVE, WITHDRAW, HOLD }
+    public enum Minority {
+        SERVE, WITHDRAW, HOLD
+    }
 
     private static final int LEAST_ELECTION = 50;
     private static final int MOST_FOUNDERS = 5;
@@ -42,8 +44,9 @@
         double drift = cluster.number("drift", 0.05, 0, 0.5);
         boolean leases = cluster.flag("leases", true);
         int batch = cluster.whole("batch", 512, 1, 4_096);
-        Engine.Compaction compaction = new Engine.Compaction(cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
-                cluster.bytes("snapshot_bytes", "4MB", 64 << 10, 64 << 20));
+        Engine.Compaction compaction =
+                new Engine.Compaction(cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
+                        cluster.bytes("snapshot_bytes", "4MB", 64 << 10, 64 << 20));
         Minority minority = Minority.valueOf(cluster.word("minority", "withdraw", "serve", "withdraw", "hold")
                 .toUpperCase(java.util.Locale.ROOT));
         Map<String, String> founders = addresses(cluster, "founder");
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -51,7 +51,7 @@
     private static final int MOST_RECENT = 4_096;
     private static final long NANOS_PER_TENTH = 100_000;
 
-    private record Asked(Links.Link link, long number) { }
+    private record Asked(Links.Link link, long number) {}
 
     private final ClusterCharter charter;
     private final Governed governed;
@@ -94,7 +94,8 @@
             id = found.id();
             cluster = found.cluster();
             links = new Links(this, new SplittableRandom(source.nextLong()));
-            engine = new Engine(found, charter.timing(), new Rules(), new SplittableRandom(source.nextLong()), now(), agreed,
+            engine = new Engine(found, charter.timing(), new Rules(), new SplittableRandom(source.nextLong()),
+                    now(), agreed,
                     charter.compaction(), this);
         } catch (IOException | RuntimeException failure) {
             disk.close();
@@ -274,7 +275,8 @@
             if (cluster == 0) {
                 found(hello);
             } else if (hello.cluster() != 0 && hello.cluster() != cluster) {
-                LOG.warn("{} belongs to another cluster, {}, not {}", hello.name(), Long.toHexString(hello.cluster()),
+                LOG.warn("{} belongs to another cluster, {}, not {}", hello.name(),
+                        Long.toHexString(hello.cluster()),
                         Long.toHexString(cluster));
             }
         });
@@ -295,7 +297,8 @@
                 cluster = hello.cluster();
                 LOG.info("part of cluster {} by {}", Long.toHexString(cluster), hello.name());
             } else {
-                LOG.warn("{} has a cluster that this member is no part of: add it with 'cluster member add {} {}'",
+                LOG.warn(
+                        "{} has a cluster that this member is no part of: add it with 'cluster member add {} {}'",
                         hello.name(), charter.name(), charter.address());
             }
         } catch (IOException failure) {
@@ -381,7 +384,8 @@
             } catch (IOException failure) {
                 String trouble = String.valueOf(failure.getMessage());
                 if (!trouble.equals(diskTrouble)) {
-                    LOG.error("folder {} takes nothing: {}; no votes and no entries until it does", charter.folder(),
+                    LOG.error("folder {} takes nothing: {}; no votes and no entries until it does",
+                            charter.folder(),
                             trouble);
                     diskTrouble = trouble;
                 }
@@ -426,7 +430,8 @@
             String change = new String(entry.body(), StandardCharsets.UTF_8);
             String answer = new String(outcome.answer(), StandardCharsets.UTF_8);
             LOG.info("agreed {}: {} {}", entry.index(), change, answer);
-            recent.add("{\"index\":" + entry.index() + ",\"change\":" + change + ",\"outcome\":" + answer + "}");
+            recent.add(
+                    "{\"index\":" + entry.index() + ",\"change\":" + change + ",\"outcome\":" + answer + "}");
             if (recent.size() > MOST_RECENT) {
                 recent.removeFirst();
                 recentFrom++;
@@ -511,10 +516,14 @@
                     reply(request, json -> json.writeBooleanField("begun", begun));
                 }
                 case "transfer" -> engine.transfer(request, named(call.get("name")));
-                case "remove" -> engine.member(request, new Member(named(call.get("name")), call.get("name"), "",
-                        Member.Role.LEARNER), true);
-                case "add" -> engine.member(request, new Member(number(call, "id"), call.get("name"), call.get("address"),
-                        Boolean.parseBoolean(call.get("learner")) ? Member.Role.LEARNER : Member.Role.JOINING), false);
+                case "remove" ->
+                        engine.member(request, new Member(named(call.get("name")), call.get("name"), "",
+                                Member.Role.LEARNER), true);
+                case "add" -> engine.member(request,
+                        new Member(number(call, "id"), call.get("name"), call.get("address"),
+                                Boolean.parseBoolean(call.get("learner")) ? Member.Role.LEARNER
+                                        : Member.Role.JOINING),
+                        false);
                 case "change" -> change(request, call);
                 default -> throw new IOException("field op: '" + op + "' is not known");
             }
@@ -532,7 +541,8 @@
     private void change(long request, Map<String, String> call) throws IOException {
         Change change = Change.read(call.getOrDefault("change", "").getBytes(StandardCharsets.UTF_8));
         if (change.kind() == Change.Kind.DRAIN && change.started() == 0) {
-            change = new Change(change.kind(), change.subject(), governed.started(change.subject()), 0, change.reason());
+            change = new Change(change.kind(), change.subject(), governed.started(change.subject()), 0,
+                    change.reason());
         }
         // A change sent again must meet its own first time, not this check: only the state can tell which it is.
         boolean first = engine.raft().leads() && !Boolean.parseBoolean(call.get("again"));
--- a/src/main/java/rockshift/cluster/Codec.java
+++ b/src/main/java/rockshift/cluster/Codec.java
@@ -24,8 +24,7 @@
     private static final CBORFactory CBOR = new CBORFactory();
     private static final byte[] NOTHING = {};
 
-    private Codec() {
-    }
+    private Codec() {}
 
     /** Writes the items of one array. */
     private static final class Writer {
@@ -132,7 +131,8 @@
                 long id = in.getLongValue();
                 String name = text();
                 String address = text();
-                all.add(new Member(id, name, address, Member.Role.values()[whole(Member.Role.values().length - 1)]));
+                all.add(new Member(id, name, address,
+                        Member.Role.values()[whole(Member.Role.values().length - 1)]));
             }
             return new Membership(all);
         }
@@ -145,7 +145,8 @@
             long serial = number();
             byte[] body = bytes();
             Membership members = members();
-            return new Entry(index, term, kind, session, serial, body, kind == Entry.Kind.MEMBERS ? members : null);
+            return new Entry(index, term, kind, session, serial, body,
+                    kind == Entry.Kind.MEMBERS ? members : null);
         }
 
         void end() throws IOException {
@@ -240,7 +241,7 @@
     }
 
     /** Who speaks, as the first frame of a connection tells. */
-    record Hello(long version, long cluster, long id, String name, Membership members) { }
+    record Hello(long version, long cluster, long id, String name, Membership members) {}
 
     static byte[] hello(Hello hello) throws IOException {
         Writer writer = new Writer();
@@ -257,7 +258,8 @@
         reader.expect(JsonToken.START_ARRAY);
         long version = reader.number();
         if (version != Frames.VERSION) {
-            throw new Frames.Broken("version", "it speaks version " + version + ", this is " + Frames.VERSION);
+            throw new Frames.Broken("version",
+                    "it speaks version " + version + ", this is " + Frames.VERSION);
         }
         Hello hello = new Hello(version, reader.number(), reader.number(), reader.text(), reader.members());
         reader.end();
@@ -270,7 +272,7 @@
         w.out.writeStartArray();
         int kind = message instanceof Message.Ask ? 0 : message instanceof Message.Vote ? 1
                 : message instanceof Message.Append ? 2 : message instanceof Message.Appended ? 3
-                : message instanceof Message.Piece ? 4 : message instanceof Message.Taken ? 5 : 6;
+                        : message instanceof Message.Piece ? 4 : message instanceof Message.Taken ? 5 : 6;
         w.add(kind, message.from(), message.to(), message.term());
         if (message instanceof Message.Ask m) {
             w.add(m.lastIndex(), m.lastTerm()).flag(m.trial(), m.forced());
@@ -312,14 +314,18 @@
                 for (int count = r.whole(Integer.MAX_VALUE); count > 0; count--) {
                     entries.add(r.entry());
                 }
-                yield new Message.Append(from, to, term, head[0], head[1], head[2], head[3], head[4], entries);
+                yield new Message.Append(from, to, term, head[0], head[1], head[2], head[3], head[4],
+                        entries);
             }
-            case 3 -> new Message.Appended(from, to, term, r.flag(), r.number(), r.number(), r.number(), r.number(),
+            case 3 -> new Message.Appended(from, to, term, r.flag(), r.number(), r.number(), r.number(),
+                    r.number(),
                     r.number(), r.number());
             case 4 -> new Message.Piece(from, to, term, r.number(), r.number(), r.members(),
-                    r.whole(Integer.MAX_VALUE), (int) r.number(), r.whole(Integer.MAX_VALUE), r.bytes(), r.number(),
+                    r.whole(Integer.MAX_VALUE), (int) r.number(), r.whole(Integer.MAX_VALUE), r.bytes(),
+                    r.number(),
                     r.number());
-            case 5 -> new Message.Taken(from, to, term, r.number(), r.whole(Integer.MAX_VALUE), r.number(), r.number(),
+            case 5 -> new Message.Taken(from, to, term, r.number(), r.whole(Integer.MAX_VALUE), r.number(),
+                    r.number(),
                     r.number());
             default -> new Message.Campaign(from, to, term);
         };
--- a/src/main/java/rockshift/cluster/DurableLog.java
+++ b/src/main/java/rockshift/cluster/DurableLog.java
@@ -39,7 +39,7 @@
     private static final String ASIDE = ".new";
 
     /** What a folder holds. */
-    public record Recovered(long id, long cluster, Ballot ballot, Snapshot snapshot, List<Entry> entries) { }
+    public record Recovered(long id, long cluster, Ballot ballot, Snapshot snapshot, List<Entry> entries) {}
 
     private final Disk disk;
     private final Consumer<String> log;
@@ -100,11 +100,13 @@
         Snapshot snapshot = readSnapshot(names);
         long base = snapshot.index();
         if (voided > base) {
-            throw new Unrecoverable(snapshotFile(voided), 0, "missing or damaged, and nothing else stands for it");
+            throw new Unrecoverable(snapshotFile(voided), 0,
+                    "missing or damaged, and nothing else stands for it");
         }
         if (!entries.isEmpty() && entries.get(0).index() > base + 1) {
-            throw new Unrecoverable(segment(segments.firstKey()), HEADER, "begins with entry " + entries.get(0).index()
-                    + ", the snapshot ends with " + base);
+            throw new Unrecoverable(segment(segments.firstKey()), HEADER,
+                    "begins with entry " + entries.get(0).index()
+                            + ", the snapshot ends with " + base);
         }
         if (!entries.isEmpty() && !joins(entries, snapshot)) {
             // The crash came when a snapshot from elsewhere was kept and its entries were not yet void.
@@ -131,7 +133,8 @@
         long expected = segments.isEmpty() ? 0 : segments.firstKey();
         for (long number : List.copyOf(segments.keySet())) {
             if (number != expected++) {
-                throw new Unrecoverable(segment(number), 0, "segment " + (expected - 1) + " before it is missing");
+                throw new Unrecoverable(segment(number), 0,
+                        "segment " + (expected - 1) + " before it is missing");
             }
             boolean last = number == segments.lastKey();
             byte[] bytes = disk.read(segment(number));
@@ -149,7 +152,8 @@
     }
 
     /** Answers where the sound part ends. */
-    private long readSegment(long number, byte[] bytes, boolean last, List<Entry> entries) throws IOException {
+    private long readSegment(long number, byte[] bytes, boolean last, List<Entry> entries)
+            throws IOException {
         String name = segment(number);
         ByteBuffer head = ByteBuffer.wrap(bytes);
         if (bytes.length < HEADER || head.getInt(0) != MAGIC || head.getLong(8) != number
@@ -167,7 +171,8 @@
                     throw new Unrecoverable(name, at, "damaged, and more follows in the next segment");
                 }
                 refuseLaterProof(name, bytes, at);
-                log.accept(name + ": " + (bytes.length - at) + " bytes of an unfinished save cut at byte " + at);
+                log.accept(
+                        name + ": " + (bytes.length - at) + " bytes of an unfinished save cut at byte " + at);
                 disk.cut(name, at);
                 break;
             }
@@ -188,7 +193,7 @@
                     voided = Codec.numbers(2, bytes, from, length)[0];
                     segments.merge(number, voided, Math::max);
                 }
-                case BATCH -> { }
+                case BATCH -> {}
                 default -> throw new Unrecoverable(name, at, "a record of unknown kind " + bytes[at + 8]);
             }
             at = end(bytes, at);
@@ -305,7 +310,8 @@
     }
 
     private void roll(long number) throws IOException {
-        ByteBuffer head = ByteBuffer.allocate(HEADER).putInt(MAGIC).putInt(FORMAT).putLong(number).putLong(id);
+        ByteBuffer head =
+                ByteBuffer.allocate(HEADER).putInt(MAGIC).putInt(FORMAT).putLong(number).putLong(id);
         head.putInt(Checksum.of(head.array(), 0, HEADER - 4));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(head.array());
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -59,9 +59,9 @@
     }
 
     /** When a snapshot is taken: after so many entries, or so many bytes of them. */
-    public record Compaction(long entries, long bytes) { }
+    public record Compaction(long entries, long bytes) {}
 
-    private record Waiting(long request, long term) { }
+    private record Waiting(long request, long term) {}
 
     private final Raft raft;
     private final Sessions sessions;
@@ -76,7 +76,8 @@
         this.compaction = compaction;
         this.around = around;
         sessions = new Sessions(rules, machine);
-        raft = new Raft(disk.id(), timing, rules, chance, now, disk.ballot(), disk.snapshot(), disk.entries());
+        raft = new Raft(disk.id(), timing, rules, chance, now, disk.ballot(), disk.snapshot(),
+                disk.entries());
         keptAt = disk.snapshot().index();
         if (disk.snapshot().data().length > 0) {
             Codec.restore(disk.snapshot().data(), sessions);
@@ -172,7 +173,8 @@
     private void refuse(long request, Refusal refusal) {
         Member leader = raft.members().get(raft.leader());
         boolean elsewhere = refusal == Refusal.NOT_LEADER && leader != null;
-        around.answer(request, new Answer(refusal.code(), new byte[0], 0, elsewhere ? leader.address() : null));
+        around.answer(request,
+                new Answer(refusal.code(), new byte[0], 0, elsewhere ? leader.address() : null));
     }
 
     // ---- what follows ---------------------------------------------------------------------------
@@ -185,8 +187,9 @@
         if (!raft.leads() && !proposals.isEmpty()) {
             // Another leads now: whether these will be agreed is not known here, and nobody is kept waiting for it.
             Member leader = raft.members().get(raft.leader());
-            proposals.values().forEach(waiting -> around.answer(waiting.request, new Answer(Answer.UNKNOWN, new byte[0],
-                    0, leader == null ? null : leader.address())));
+            proposals.values()
+                    .forEach(waiting -> around.answer(waiting.request, new Answer(Answer.UNKNOWN, new byte[0],
+                            0, leader == null ? null : leader.address())));
             proposals.clear();
         }
         boolean much = raft.applied() - keptAt >= compaction.entries()
@@ -242,7 +245,8 @@
         try {
             Codec.restore(snapshot.data(), sessions);
         } catch (IOException damaged) {
-            throw new IllegalStateException("snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
+            throw new IllegalStateException(
+                    "snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
         }
         keptAt = snapshot.index();
         around.restored(snapshot.index());
--- a/src/main/java/rockshift/cluster/FileDisk.java
+++ b/src/main/java/rockshift/cluster/FileDisk.java
@@ -41,7 +41,8 @@
     @Override
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.map(file -> file.getFileName().toString()).filter(name -> !name.equals(LOCK)).sorted().toList();
+            return files.map(file -> file.getFileName().toString()).filter(name -> !name.equals(LOCK))
+                    .sorted().toList();
         }
     }
 
@@ -53,7 +54,8 @@
     private FileChannel channel(String name) throws IOException {
         if (!name.equals(openName) || open == null || !open.isOpen()) {
             release();
-            open = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+            open = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
+                    StandardOpenOption.APPEND);
             openName = name;
         }
         return open;
--- a/src/main/java/rockshift/cluster/Frames.java
+++ b/src/main/java/rockshift/cluster/Frames.java
@@ -31,7 +31,7 @@
         }
     }
 
-    record Frame(byte kind, byte[] payload) { }
+    record Frame(byte kind, byte[] payload) {}
 
     private ByteBuffer held = ByteBuffer.allocate(4 << 10).limit(0);
 
--- a/src/main/java/rockshift/cluster/Governed.java
+++ b/src/main/java/rockshift/cluster/Governed.java
@@ -5,7 +5,9 @@
 /** The governor that a member belongs to, as far as the agreement concerns it. Calls come on the member's thread. */
 public interface Governed {
     /** Whether a governor is in touch with a leader that most hear, or what it still may order if not. */
-    enum Reach { FULL, WITHDRAW, HOLD }
+    enum Reach {
+        FULL, WITHDRAW, HOLD
+    }
 
     /** What stands agreed now: told anew, whole, after each change. */
     void agreed(long version, Map<String, Change> out, Map<String, Double> terms);
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -78,10 +78,13 @@
     Links(Ear ear, RandomGenerator chance) {
         this.ear = ear;
         this.chance = chance;
-        IOReactorConfig one = IOReactorConfig.custom().setIoThreadCount(1).setSoReuseAddress(true).setTcpNoDelay(true)
-                .setSelectInterval(TimeValue.ofMilliseconds(LOOK)).build();
-        reactor = new DefaultListeningIOReactor((session, attachment) -> new Link(session, attachment instanceof Dialled
-                ? (Dialled) attachment : null), one, null, null, null,
+        IOReactorConfig one =
+                IOReactorConfig.custom().setIoThreadCount(1).setSoReuseAddress(true).setTcpNoDelay(true)
+                        .setSelectInterval(TimeValue.ofMilliseconds(LOOK)).build();
+        reactor = new DefaultListeningIOReactor(
+                (session, attachment) -> new Link(session, attachment instanceof Dialled
+                        ? (Dialled) attachment : null),
+                one, null, null, null,
                 failure -> LOG.error("failure of the members' listener", failure), null, null,
                 session -> session.close(CloseMode.IMMEDIATE), null);
     }
@@ -216,7 +219,8 @@
                 }
                 try {
                     frames.feed(piece.flip());
-                    for (Frames.Frame frame = frames.next(); frame != null && reason == null; frame = frames.next()) {
+                    for (Frames.Frame frame = frames.next(); frame != null && reason == null;
+                            frame = frames.next()) {
                         take(frame);
                     }
                 } catch (Frames.Broken broken) {
--- a/src/main/java/rockshift/distribution/ConfigurationStore.java
+++ b/src/main/java/rockshift/distribution/ConfigurationStore.java
@@ -6,8 +6,7 @@
 
 /** The state at one revision, with a bounded history of the updates that led to it. */
 public final class ConfigurationStore {
-    public ConfigurationStore(Limits.Sizes sizes) {
-    }
+    public ConfigurationStore(Limits.Sizes sizes) {}
 
     /** What the state is at; {@link Revision#NONE} before the first reset. */
     public Revision current() {
--- a/src/main/java/rockshift/distribution/Digest.java
+++ b/src/main/java/rockshift/distribution/Digest.java
@@ -5,8 +5,7 @@
     private static final long OFFSET = 0xcbf29ce484222325L;
     private static final long PRIME = 0x100000001b3L;
 
-    private Digest() {
-    }
+    private Digest() {}
 
     static long of(Item item) {
         long hash = text(text(text(OFFSET, item.key()), item.service()), item.zone());
--- a/src/main/java/rockshift/distribution/Limits.java
+++ b/src/main/java/rockshift/distribution/Limits.java
@@ -31,9 +31,9 @@
      * @param snapshot for a subscriber to take a snapshot; then it is closed as slow
      * @param remember how long a lost subscriber counts as unreachable
      */
-    public record Timing(long heartbeat, long silence, long connect, long backOff, long mostBackOff, long stale,
-            long staleRetry, long acknowledge, long snapshot, long remember) {
-    }
+    public record Timing(long heartbeat, long silence, long connect, long backOff, long mostBackOff,
+            long stale,
+            long staleRetry, long acknowledge, long snapshot, long remember) {}
 
     /**
      * What a message, a state and a history may hold.
@@ -50,8 +50,7 @@
      * @param nameLength of a subscriber's name, a service or a zone
      */
     public record Sizes(int itemBytes, int stateItems, int historyUpdates, long historyBytes, int partItems,
-            int partBytes, int differenceUpdates, int differenceBytes, int scopeNames, int nameLength) {
-    }
+            int partBytes, int differenceUpdates, int differenceBytes, int scopeNames, int nameLength) {}
 
     /**
      * What one publisher takes on at a time.
@@ -64,6 +63,5 @@
      * @param mostRetryMillis the latest time to come back that is told
      */
     public record Admission(int connections, int subscriptionsEachSecond, int snapshotsAtOnce, int window,
-            int snapshotWindow, long mostRetryMillis) {
-    }
+            int snapshotWindow, long mostRetryMillis) {}
 }
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -19,8 +19,8 @@
      * @param store what it serves; the owner changes it and then calls {@link #published}
      * @param served what the store holds: wider scopes are refused
      */
-    public Publisher(ConfigurationStore store, Scope served, Limits limits, RandomGenerator random, Effects effects) {
-    }
+    public Publisher(ConfigurationStore store, Scope served, Limits limits, RandomGenerator random,
+            Effects effects) {}
 
     /** A connection came up. */
     public void connected(long connection, long now) {
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -12,12 +12,11 @@
 
         void send(DistributionMessage message);
 
-        default void notice(RejectionReason reason, String place) {
-        }
+        default void notice(RejectionReason reason, String place) {}
     }
 
-    public Relay(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random, Effects effects) {
-    }
+    public Relay(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random,
+            Effects effects) {}
 
     public void upstreamConnected(long now) {
         throw new UnsupportedOperationException();
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -24,12 +24,10 @@
         void difference(Revision revision, List<Update> updates);
 
         /** What was held stands unchanged at a later revision. */
-        default void advanced(Revision revision) {
-        }
+        default void advanced(Revision revision) {}
 
         /** The upstream tells something while the subscription goes on. */
-        default void notice(RejectionReason reason, String place) {
-        }
+        default void notice(RejectionReason reason, String place) {}
     }
 
     /**
@@ -37,8 +35,8 @@
      *
      * @param upstreams how many there are to choose from
      */
-    public Subscriber(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random, Effects effects) {
-    }
+    public Subscriber(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random,
+            Effects effects) {}
 
     /** Takes up what was kept from an earlier run, before the first tick; it counts as in force. */
     public void restore(Revision revision, Collection<Item> items) {
--- a/src/main/java/rockshift/distribution/Summary.java
+++ b/src/main/java/rockshift/distribution/Summary.java
@@ -23,6 +23,7 @@
 
     /** Whether a revision is in force at each governor of the roster, none left out and none counted twice. */
     public boolean inForceEverywhere(long revision, Roster roster) {
-        return inForce(revision) && subscribers == roster.subscribers() && fingerprint == roster.fingerprint();
+        return inForce(revision) && subscribers == roster.subscribers()
+                && fingerprint == roster.fingerprint();
     }
 }
--- a/src/main/java/rockshift/kit/Charts.java
+++ b/src/main/java/rockshift/kit/Charts.java
@@ -14,13 +14,14 @@
 
 /** Pictures of measurements, drawn without a screen. */
 public final class Charts {
-    private Charts() {
-    }
+    private Charts() {}
 
     /** Bars by name. */
-    public static void bars(Path file, String title, String unit, Map<String, ? extends Number> values) throws IOException {
+    public static void bars(Path file, String title, String unit, Map<String, ? extends Number> values)
+            throws IOException {
         System.setProperty("java.awt.headless", "true");
-        CategoryChart chart = new CategoryChartBuilder().width(900).height(420).title(title).yAxisTitle(unit).build();
+        CategoryChart chart =
+                new CategoryChartBuilder().width(900).height(420).title(title).yAxisTitle(unit).build();
         chart.getStyler().setXAxisLabelRotation(30).setLegendVisible(false);
         chart.addSeries(unit, new ArrayList<>(values.keySet()), new ArrayList<Number>(values.values()));
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
@@ -37,7 +38,8 @@
         }
         XYChart chart = new XYChartBuilder().width(900).height(420).title(title).xAxisTitle("ms")
                 .yAxisTitle("share that took longer").build();
-        chart.getStyler().setXAxisLogarithmic(true).setYAxisLogarithmic(true).setLegendVisible(false).setMarkerSize(3);
+        chart.getStyler().setXAxisLogarithmic(true).setYAxisLogarithmic(true).setLegendVisible(false)
+                .setMarkerSize(3);
         chart.addSeries("changes", at, slower);
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -50,12 +50,10 @@
     /** Nobody is governed here. */
     private static final class Nobody implements Governed {
         @Override
-        public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {
-        }
+        public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {}
 
         @Override
-        public void reach(Reach reach) {
-        }
+        public void reach(Reach reach) {}
 
         @Override
         public String objection(Change change, Map<String, Change> out) {
@@ -160,7 +158,7 @@
 
     private void plainLog() throws IOException {
         try (FileDisk disk = new FileDisk(folder.resolve("plain"))) {
-            DurableLog log = new DurableLog(disk, line -> { });
+            DurableLog log = new DurableLog(disk, line -> {});
             log.open(1);
             long began = System.nanoTime();
             for (int batch = 0; batch < 400; batch++) {
@@ -172,13 +170,13 @@
 
     private void recovery() throws IOException {
         try (FileDisk disk = new FileDisk(folder.resolve("long"))) {
-            DurableLog log = new DurableLog(disk, line -> { });
+            DurableLog log = new DurableLog(disk, line -> {});
             log.open(1);
             for (int batch = 0; batch < 100; batch++) {
                 log.save(Ballot.NONE, 1 + batch * 1_000L, entries(1 + batch * 1_000L, 1_000), null);
             }
             long began = System.nanoTime();
-            int found = new DurableLog(disk, line -> { }).open(1).entries().size();
+            int found = new DurableLog(disk, line -> {}).open(1).entries().size();
             figures.put("recovery of " + found + " entries, ms", (System.nanoTime() - began) / 1e6);
         }
     }
@@ -188,10 +186,12 @@
         for (int k = 0; k < 3; k++) {
             founders.put("n" + k, address(k));
         }
-        members[i] = new ClusterMember(new ClusterCharter("n" + i, new InetSocketAddress("127.0.0.1", ports[i]),
-                address(i), folder.resolve("member" + i), founders, Map.of(),
-                new Timing(ELECTION_MS * 10, ELECTION_MS * 2, 0.05, true, 512), new Engine.Compaction(10_000, 4 << 20),
-                ClusterCharter.Minority.WITHDRAW), new Nobody());
+        members[i] =
+                new ClusterMember(new ClusterCharter("n" + i, new InetSocketAddress("127.0.0.1", ports[i]),
+                        address(i), folder.resolve("member" + i), founders, Map.of(),
+                        new Timing(ELECTION_MS * 10, ELECTION_MS * 2, 0.05, true, 512),
+                        new Engine.Compaction(10_000, 4 << 20),
+                        ClusterCharter.Minority.WITHDRAW), new Nobody());
         members[i].start();
     }
 
@@ -258,7 +258,7 @@
         Map<Long, Double> held = new LinkedHashMap<>();
         AtomicLong done = new AtomicLong();
         Path own = Files.createDirectories(folder.resolve("memory"));
-        try (Farm farm = new Farm(own, 3, ELECTION_MS + "ms", 1, (member, life, line) -> { })) {
+        try (Farm farm = new Farm(own, 3, ELECTION_MS + "ms", 1, (member, life, line) -> {})) {
             List<String> addresses = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 farm.start(i);
--- a/src/main/java/rockshift/kit/Explorer.java
+++ b/src/main/java/rockshift/kit/Explorer.java
@@ -7,8 +7,7 @@
 
 /** Plays many seeds of a {@link World}, side by side. */
 public final class Explorer {
-    private Explorer() {
-    }
+    private Explorer() {}
 
     /** What so many seeds came to; the worlds that broke a promise, by seed. */
     public record Findings(long seeds, long steps, long changes, List<World.Result> broken) {
--- a/src/main/java/rockshift/kit/Farm.java
+++ b/src/main/java/rockshift/kit/Farm.java
@@ -24,9 +24,10 @@
  */
 public final class Farm implements AutoCloseable {
     /** The platform's own options for a governor. */
-    private static final List<String> JAVA = List.of("-Xmx64m", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m", "-XX:MaxDirectMemorySize=8m",
-            "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError");
+    private static final List<String> JAVA =
+            List.of("-Xmx64m", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+                    "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m", "-XX:MaxDirectMemorySize=8m",
+                    "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError");
     private static final int REPLICAS = 6;
 
     /** Hears each line that a governor logs. */
@@ -96,8 +97,9 @@
                         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(Long.parseLong(wait.group(1))));
                     }
                     String body = list();
-                    call.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n"
-                            + body).getBytes(StandardCharsets.US_ASCII));
+                    call.getOutputStream()
+                            .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n"
+                                    + body).getBytes(StandardCharsets.US_ASCII));
                     head.setLength(0);
                 }
             }
@@ -109,7 +111,8 @@
     private static String list() {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < REPLICAS; i++) {
-            entries.add("{\"instanceId\":\"s-" + i + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"hall-a\",\"machineType\":\"m\","
+            entries.add("{\"instanceId\":\"s-" + i
+                    + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"hall-a\",\"machineType\":\"m\","
                     + "\"cell\":0,\"lifecycle\":\"Ready\",\"weight\":1.0,\"startedAtMs\":0}");
         }
         return "{\"generation\":1,\"reset\":true,\"instances\":[" + String.join(",", entries) + "]}";
@@ -138,16 +141,21 @@
     }
 
     private Path write(int member) throws IOException {
-        StringBuilder text = new StringBuilder("cluster {\n  name = \"n" + member + "\"\n  listen = \"127.0.0.1:0\"\n"
-                + "  address = \"" + front(member) + "\"\n  folder = \"" + folder.resolve("d" + member) + "\"\n"
-                + "  election = \"" + election + "\"\n  snapshot_after = 200\n");
+        StringBuilder text =
+                new StringBuilder("cluster {\n  name = \"n" + member + "\"\n  listen = \"127.0.0.1:0\"\n"
+                        + "  address = \"" + front(member) + "\"\n  folder = \""
+                        + folder.resolve("d" + member) + "\"\n"
+                        + "  election = \"" + election + "\"\n  snapshot_after = 200\n");
         for (int i = 0; i < members; i++) {
             text.append("  founder \"n" + i + "\" { address = \"" + front(i) + "\" }\n");
             text.append("  route \"n" + i + "\" { address = \"" + ways[member][i].address() + "\" }\n");
         }
-        Files.writeString(folder.resolve("governor" + member + ".json"), "{\"name\":\"n" + member + "\",\"listen\":"
-                + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"seed\":\"" + (member + 1)
-                + "\",\"limits\":{\"sockets\":512},\"known\":" + list() + ",\"settings\":{\"dcs\":[\"hall-a\"],"
+        Files.writeString(folder.resolve("governor" + member + ".json"), "{\"name\":\"n" + member
+                + "\",\"listen\":"
+                + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"seed\":\""
+                + (member + 1)
+                + "\",\"limits\":{\"sockets\":512},\"known\":" + list()
+                + ",\"settings\":{\"dcs\":[\"hall-a\"],"
                 + "\"granularity_us\":5000,\"report\":{\"names\":[\"util\"]},\"classes\":[{\"name\":\"subset\",\"worth\":1.0}],"
                 + "\"domain\":{\"proxy_count\":8,\"channel_rate\":5000,\"backlog\":5000.0,\"fixed_cost\":3.0}}}");
         return Files.writeString(folder.resolve("operator" + member + ".hcl"), text.append("}\n"));
@@ -156,12 +164,15 @@
     /** Starts a member's process, and waits until it takes part and serves. */
     public void start(int member) throws IOException, InterruptedException {
         Path operator = write(member);
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        List<String> command =
+                new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(JAVA);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "rockshift.Main", "serve", "--operator",
-                operator.toString()));
+        command.addAll(
+                List.of("-cp", System.getProperty("java.class.path"), "rockshift.Main", "serve", "--operator",
+                        operator.toString()));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-        builder.environment().putAll(Map.of("RELAY_CONFIG", folder.resolve("governor" + member + ".json").toString()));
+        builder.environment()
+                .putAll(Map.of("RELAY_CONFIG", folder.resolve("governor" + member + ".json").toString()));
         int life = ++lives[member];
         ports[member] = 0;
         streams[member] = 0;
--- a/src/main/java/rockshift/kit/SimDisk.java
+++ b/src/main/java/rockshift/kit/SimDisk.java
@@ -47,7 +47,8 @@
         files.values().removeIf(file -> !file.listed && chance.nextBoolean());
         for (File file : files.values()) {
             byte[] all = file.bytes.toByteArray();
-            int kept = file.durable + (all.length > file.durable ? chance.nextInt(all.length - file.durable + 1) : 0);
+            int kept = file.durable
+                    + (all.length > file.durable ? chance.nextInt(all.length - file.durable + 1) : 0);
             file.bytes.reset();
             file.bytes.writeBytes(Arrays.copyOf(all, kept));
             if (kept > file.durable && chance.nextInt(3) == 0) {
--- a/src/main/java/rockshift/kit/Trial.java
+++ b/src/main/java/rockshift/kit/Trial.java
@@ -39,7 +39,8 @@
     private static final Pattern REASON = Pattern.compile("\"reason\":\"(op-\\d+-\\d+)\"");
 
     /** What a trial came to. */
-    public record Outcome(int applied, int lost, int twice, int disordered, int minority, int faults, Histogram agreeing,
+    public record Outcome(int applied, int lost, int twice, int disordered, int minority, int faults,
+            Histogram agreeing,
             List<String> troubles) {
         public boolean held() {
             return applied > 0 && lost + twice + disordered + minority == 0;
@@ -71,7 +72,8 @@
     private volatile boolean over;
     private int faults;
 
-    public Trial(Path folder, int members, long seconds, long seed, Consumer<String> progress) throws IOException {
+    public Trial(Path folder, int members, long seconds, long seed, Consumer<String> progress)
+            throws IOException {
         this.members = members;
         this.seconds = seconds;
         this.progress = progress;
@@ -99,7 +101,8 @@
         String content = agreed.group(2) + agreed.group(3);
         String before = contents.putIfAbsent(index, content);
         List<Long> order = orders.computeIfAbsent(member + "/" + life, key -> new ArrayList<>());
-        if (before != null && !before.equals(content) || !order.isEmpty() && order.get(order.size() - 1) >= index) {
+        if (before != null && !before.equals(content)
+                || !order.isEmpty() && order.get(order.size() - 1) >= index) {
             disordered.incrementAndGet();
             troubles.add("n" + member + " applied at " + index + " " + content + ", known " + before);
         }
@@ -137,7 +140,8 @@
                 fault(end);
                 if (now() > told + 15_000) {
                     told = now();
-                    progress.accept(contents.size() + " applied, " + faults + " faults, " + (end - now()) / 1_000 + " s left");
+                    progress.accept(contents.size() + " applied, " + faults + " faults, "
+                            + (end - now()) / 1_000 + " s left");
                 }
             }
             heal();
@@ -182,7 +186,8 @@
             }
             default -> {
                 for (int i = 0; i < members; i++) {
-                    farm.way(one, i).spoil(chance.nextDouble(0.4), chance.nextDouble(0.2), chance.nextInt(20));
+                    farm.way(one, i).spoil(chance.nextDouble(0.4), chance.nextDouble(0.2),
+                            chance.nextInt(20));
                 }
                 TimeUnit.MILLISECONDS.sleep(lasts);
                 for (int i = 0; i < members; i++) {
@@ -263,10 +268,13 @@
                 reader.setDaemon(true);
                 reader.start();
                 while (!over) {
-                    say(proxy, "usage", "sidecar", "0", "kind", "subset", "n", "20", "bad", "0", "window", "1000");
+                    say(proxy, "usage", "sidecar", "0", "kind", "subset", "n", "20", "bad", "0", "window",
+                            "1000");
                     for (int i = 0; i < 6; i++) {
-                        say(collector, "heard", "az", "hall-a", "host", "s-" + i, "n", Integer.toString(20 + own.nextInt(200)),
-                                "bad", "0", "avg", "20", "window", "1000", "report", "util:0." + (1 + own.nextInt(8)));
+                        say(collector, "heard", "az", "hall-a", "host", "s-" + i, "n",
+                                Integer.toString(20 + own.nextInt(200)),
+                                "bad", "0", "avg", "20", "window", "1000", "report",
+                                "util:0." + (1 + own.nextInt(8)));
                     }
                     TimeUnit.MILLISECONDS.sleep(200);
                 }
@@ -295,10 +303,12 @@
             for (int count = in.read(piece); count >= 0; count = in.read(piece)) {
                 String text = new String(piece, 0, count, StandardCharsets.US_ASCII);
                 orderCount.incrementAndGet();
-                boolean gives = text.contains("lines\r\n") && Pattern.compile("s-\\d+:(?!0[,\r])").matcher(text).find();
+                boolean gives = text.contains("lines\r\n")
+                        && Pattern.compile("s-\\d+:(?!0[,\r])").matcher(text).find();
                 if ((gives || text.contains("back\r\n")) && minority(member)) {
                     minority.incrementAndGet();
-                    troubles.add("n" + member + " ordered though it was cut off: " + text.replaceAll("\\s+", " "));
+                    troubles.add(
+                            "n" + member + " ordered though it was cut off: " + text.replaceAll("\\s+", " "));
                 }
             }
         } catch (IOException ended) {
@@ -351,12 +361,14 @@
             Matcher number = Pattern.compile("\"version\":(\\d+)").matcher(each.getValue());
             if (!number.find() || Long.parseLong(number.group(1)) != ++version) {
                 disordered.incrementAndGet();
-                troubles.add("entry " + each.getKey() + " is not version " + version + ": " + each.getValue());
+                troubles.add(
+                        "entry " + each.getKey() + " is not version " + version + ": " + each.getValue());
                 break;
             }
         }
         progress.accept(String.format(Locale.ROOT, "%d orders to proxies seen", orderCount.get()));
-        return new Outcome(contents.size(), lost, twice, disordered.get(), minority.get(), faults, agreeing.copy(),
+        return new Outcome(contents.size(), lost, twice, disordered.get(), minority.get(), faults,
+                agreeing.copy(),
                 List.copyOf(troubles));
     }
 }
--- a/src/main/java/rockshift/kit/World.java
+++ b/src/main/java/rockshift/kit/World.java
@@ -36,12 +36,14 @@
     private static final int LINES = 4_000;
 
     /** What most of a seed's faults are about: anything; who leads and who reads; leaders that die one after the other. */
-    private enum Theme { ANYTHING, READS, LEADERS }
+    private enum Theme {
+        ANYTHING, READS, LEADERS
+    }
 
-    private record Event(long at, long number, Runnable work) { }
+    private record Event(long at, long number, Runnable work) {}
 
     /** What a run came to. */
-    public record Result(long seed, long steps, String violation, int changes, List<String> account) { }
+    public record Result(long seed, long steps, String violation, int changes, List<String> account) {}
 
     private final long seed;
     private final RandomGenerator chance;
@@ -49,8 +51,9 @@
     private final boolean telling;
     private final boolean encoding;
     private final ArrayDeque<String> account = new ArrayDeque<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.number, b.number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
+                    : Long.compare(a.number, b.number));
     private final History history = new History();
     private final List<Host> hosts = new ArrayList<>();
     private final List<Client> clients = new ArrayList<>();
@@ -84,7 +87,8 @@
         timing = new Timing(2_000, 400, 0.1, chance.nextInt(3) > 0, small ? 1 + chance.nextInt(3) : 512);
         far = reads || chance.nextBoolean() ? chance.nextInt(members) : -1;
         sluggish = !reads && chance.nextInt(4) == 0 ? chance.nextInt(members) : -1;
-        usualDelay = reads ? 20 : new long[] {20, theme == Theme.LEADERS ? 200 : 20, 200, 600}[chance.nextInt(4)];
+        usualDelay =
+                reads ? 20 : new long[] {20, theme == Theme.LEADERS ? 200 : 20, 200, 600}[chance.nextInt(4)];
         pace = reads ? 5_000 : new long[] {700, 2_000, 5_000}[chance.nextInt(3)];
         rigid = reads || chance.nextInt(3) == 0;
         cut = new boolean[members][members];
@@ -113,7 +117,8 @@
 
     private void tell(String text, Object... values) {
         if (telling) {
-            account.add(String.format(Locale.ROOT, "%8.1f ms  %s", now / 10.0, String.format(Locale.ROOT, text, values)));
+            account.add(String.format(Locale.ROOT, "%8.1f ms  %s", now / 10.0,
+                    String.format(Locale.ROOT, text, values)));
             if (account.size() > LINES) {
                 account.removeFirst();
             }
@@ -264,7 +269,8 @@
             case 10 -> {
                 host.slow = !host.slow;
                 host.disk.full = chance.nextInt(3) == 0;
-                tell("disk of n%d %s%s", host.place, host.slow ? "slow" : "as usual", host.disk.full ? ", full" : "");
+                tell("disk of n%d %s%s", host.place, host.slow ? "slow" : "as usual",
+                        host.disk.full ? ", full" : "");
                 after(chance.nextLong(1_000, 5_000), () -> host.disk.full = false);
             }
             case 11 -> host.wipe();
@@ -295,7 +301,8 @@
         tell("n%d and n%d are cut from the rest", leader.place, other.place);
         healLater();
         for (Host host : hosts) {
-            if (host != leader && host != other && leader.engine != null && leader.engine.raft().members().voters() > 3) {
+            if (host != leader && host != other && leader.engine != null
+                    && leader.engine.raft().members().voters() > 3) {
                 leader.engine.member(0, host.member(Member.Role.VOTER), true);
                 leader.run();
             }
@@ -414,7 +421,8 @@
                 }
                 tell("n%d starts with %d entries, %s", place, engine.raft().log().last(), found.ballot());
             } catch (Unrecoverable refused) {
-                throw new History.Violation("recovery: n" + place + " refused its own disk: " + refused.getMessage());
+                throw new History.Violation(
+                        "recovery: n" + place + " refused its own disk: " + refused.getMessage());
             } catch (IOException full) {
                 tell("n%d can't start: %s", place, full.getMessage());
                 after(1_000, this::revive);
@@ -427,7 +435,7 @@
 
         private void tick(int of) {
             if (of == life && engine != null) {
-                enter(() -> { });
+                enter(() -> {});
                 after(TICK + chance.nextLong(20), () -> tick(of));
             }
         }
@@ -486,7 +494,8 @@
             pausedUntil = now;
             inbox.clear();
             disk.crash();
-            after(chance.nextBoolean() ? chance.nextLong(5, 300) : chance.nextLong(100, 10_000), this::revive);
+            after(chance.nextBoolean() ? chance.nextLong(5, 300) : chance.nextLong(100, 10_000),
+                    this::revive);
         }
 
         private void revive() {
@@ -508,8 +517,9 @@
 
         /** Loses the disk, if all others that vote are there. */
         void wipe() {
-            boolean others = hosts.stream().allMatch(other -> other.engine != null && other.engine.raft().members().votes(
-                    other.id()) && other.engine.raft().members().voters() == hosts.size());
+            boolean others = hosts.stream()
+                    .allMatch(other -> other.engine != null && other.engine.raft().members().votes(
+                            other.id()) && other.engine.raft().members().voters() == hosts.size());
             if (others) {
                 tell("n%d loses its disk", place);
                 crash();
@@ -561,15 +571,16 @@
         private void next(int of) {
             diskWork = diskQueue.poll();
             if (diskWork != null) {
-                after(slow || troubled && place == sluggish ? chance.nextLong(3_000) : 2 + chance.nextLong(20), () -> {
-                    if (of == life) {
-                        Runnable work = diskWork;
-                        work.run();
-                        if (of == life) {
-                            next(of);
-                        }
-                    }
-                });
+                after(slow || troubled && place == sluggish ? chance.nextLong(3_000)
+                        : 2 + chance.nextLong(20), () -> {
+                            if (of == life) {
+                                Runnable work = diskWork;
+                                work.run();
+                                if (of == life) {
+                                    next(of);
+                                }
+                            }
+                        });
             }
         }
 
@@ -582,7 +593,8 @@
             queue(() -> trySave(life, ticket, kept, from, entries, snapshot));
         }
 
-        private void trySave(int of, long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+        private void trySave(int of, long ticket, Ballot ballot, long from, List<Entry> entries,
+                Snapshot snapshot) {
             if (of != life) {
                 return;
             }
--- a/src/main/java/rockshift/net/Configuration.java
+++ b/src/main/java/rockshift/net/Configuration.java
@@ -20,7 +20,8 @@
  * What a governor is told in its file: where it is, where discovery is, what it may use, the list that it last
  * had, and its terms. It is what one reading found and never changes, and what is missing is named.
  */
-record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int descriptors,
+record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
+        int descriptors,
         DiscoveryClient.Listing known, Map<String, String> terms) {
     /** Descriptors where none are told: what is usual for a process. */
     private static final int USUAL_DESCRIPTORS = 1024;
@@ -101,12 +102,16 @@
         double takes = least / number("channel.pace", Double.MAX_VALUE);
         List<String> lines = new ArrayList<>();
         if (least > limit) {
-            lines.add(String.format(Locale.ROOT, "domain.backlog %.0f: one drain told to all %.0f proxies at once comes to %.0f"
-                    + " lines", limit, proxies, least));
+            lines.add(String.format(Locale.ROOT,
+                    "domain.backlog %.0f: one drain told to all %.0f proxies at once comes to %.0f"
+                            + " lines",
+                    limit, proxies, least));
         }
         if (takes > grace) {
-            lines.add(String.format(Locale.ROOT, "domain.channel_rate %.0f: one drain told to all %.0f proxies takes %.1f of"
-                    + " the %.1f s that it is given", number("channel.pace", 0), proxies, takes, grace));
+            lines.add(String.format(Locale.ROOT,
+                    "domain.channel_rate %.0f: one drain told to all %.0f proxies takes %.1f of"
+                            + " the %.1f s that it is given",
+                    number("channel.pace", 0), proxies, takes, grace));
         }
         return lines;
     }
@@ -119,7 +124,7 @@
     /** The fields in which another file differs though they stand for as long as the process serves. */
     String fixed(Configuration other) {
         return Stream.of(name.equals(other.name) ? "" : "name", listen.equals(other.listen) ? "" : "listen",
-                        descriptors == other.descriptors ? "" : "limits", terms.equals(other.terms) ? "" : "settings")
+                descriptors == other.descriptors ? "" : "limits", terms.equals(other.terms) ? "" : "settings")
                 .filter(field -> !field.isEmpty()).collect(Collectors.joining(", "));
     }
 
--- a/src/main/java/rockshift/net/DiscoveryClient.java
+++ b/src/main/java/rockshift/net/DiscoveryClient.java
@@ -73,7 +73,7 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** A list as it came, whole or what changed, with the names that its replicas have outside. */
-    record Listing(long version, boolean whole, List<Listed> entries, Map<Long, String> names) { }
+    record Listing(long version, boolean whole, List<Listed> entries, Map<Long, String> names) {}
 
     private final Thread thread = new Thread(this, "discovery-client");
     private final EventLoop loop;
@@ -179,7 +179,8 @@
      */
     private void follows(Listing listing) throws IOException {
         if (version == NONE ? !listing.whole : listing.version < version) {
-            String what = version == NONE ? "changes in place of the whole list" : "version " + listing.version;
+            String what =
+                    version == NONE ? "changes in place of the whole list" : "version " + listing.version;
             version = NONE;
             throw new IOException(what + " is no answer to what was asked");
         }
@@ -209,7 +210,8 @@
         if (client == null || client.getStatus() != IOReactorStatus.ACTIVE) {
             end();
             client = AsyncRequesterBootstrap.bootstrap()
-                    .setIOReactorConfig(IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).build())
+                    .setIOReactorConfig(
+                            IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).build())
                     .setTlsStrategy(new NoTls())
                     .create();
             client.start();
@@ -305,7 +307,8 @@
                 case "zone" -> zone = text(json);
                 case "machineType" -> kind = text(json);
                 case "lifecycle" -> health = Terms.health(text(json));
-                case "startedAtMs" -> started = Math.round(json.getDoubleValue() * EventLoop.TENTHS_PER_MILLI);
+                case "startedAtMs" ->
+                        started = Math.round(json.getDoubleValue() * EventLoop.TENTHS_PER_MILLI);
                 default -> json.skipChildren();
             }
         }
@@ -331,7 +334,8 @@
     /** Discovery is asked in plain HTTP: else the client loads all that TLS needs, a fifth of a start's classes. */
     private static final class NoTls implements TlsStrategy {
         @Override
-        public boolean upgrade(TransportSecurityLayer session, HttpHost host, SocketAddress local, SocketAddress remote,
+        public boolean upgrade(TransportSecurityLayer session, HttpHost host, SocketAddress local,
+                SocketAddress remote,
                 Object attachment, Timeout timeout) {
             return false;
         }
--- a/src/main/java/rockshift/net/EventLoop.java
+++ b/src/main/java/rockshift/net/EventLoop.java
@@ -38,7 +38,7 @@
     /** Tenths of a ms between two turns: what is told at start. */
     private final long spacing;
     /** Who else hears of the list, on the thread that brings it. */
-    volatile Consumer<DiscoveryClient.Listing> listing = list -> { };
+    volatile Consumer<DiscoveryClient.Listing> listing = list -> {};
     private final List<LongConsumer> inputs = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
     private volatile boolean closed;
--- a/src/main/java/rockshift/net/ProcessSignals.java
+++ b/src/main/java/rockshift/net/ProcessSignals.java
@@ -26,12 +26,13 @@
     /** Signals that come from now on come here. Anonymous classes, as the first lambda costs a tenth of the start. */
     public static ProcessSignals install() {
         ProcessSignals signals = new ProcessSignals();
-        signals.hangupIgnored = SignalHandler.SIG_IGN == Signal.handle(new Signal("HUP"), new SignalHandler() {
-            @Override
-            public void handle(Signal hangup) {
-                signals.reload();
-            }
-        });
+        signals.hangupIgnored =
+                SignalHandler.SIG_IGN == Signal.handle(new Signal("HUP"), new SignalHandler() {
+                    @Override
+                    public void handle(Signal hangup) {
+                        signals.reload();
+                    }
+                });
         Runtime.getRuntime().addShutdownHook(new Thread("stop") {
             @Override
             public void run() {
--- a/src/main/java/rockshift/net/Serve.java
+++ b/src/main/java/rockshift/net/Serve.java
@@ -60,14 +60,17 @@
                 port = streams.listen(configuration.listen());
             } catch (IOException failure) {
                 streams.close();
-                throw new IOException("cannot listen on " + configuration.listen() + ": " + failure.getMessage(), failure);
+                throw new IOException(
+                        "cannot listen on " + configuration.listen() + ": " + failure.getMessage(), failure);
             }
             thread.start();
             discovery.start();
         }
-        LOG.info("{} serves on {}, port {}", configuration.name(), configuration.listen().getHostString(), port);
+        LOG.info("{} serves on {}, port {}", configuration.name(), configuration.listen().getHostString(),
+                port);
         if (streams.beyond() > 0) {
-            LOG.warn("limits.sockets {}: {} of the proxies told could not all join here", configuration.descriptors(),
+            LOG.warn("limits.sockets {}: {} of the proxies told could not all join here",
+                    configuration.descriptors(),
                     streams.beyond());
         }
         configuration.beyondChannel().forEach(LOG::warn);
@@ -170,7 +173,8 @@
      * instead: one that is another than was seen before is read.
      */
     private void watch(String file, String before) throws InterruptedException {
-        LOG.warn("SIGHUP is ignored by whoever started this process: {} is looked at every second instead", file);
+        LOG.warn("SIGHUP is ignored by whoever started this process: {} is looked at every second instead",
+                file);
         for (String seen = before; thread.isAlive(); thread.join(LOOK)) {
             String now = stamp(file);
             if (!now.equals(seen)) {
@@ -183,7 +187,8 @@
     /** Which file it is and when it was written, or why that can't be told. */
     private static String stamp(String file) {
         try {
-            BasicFileAttributes now = Files.readAttributes(Path.of(file == null ? "" : file), BasicFileAttributes.class);
+            BasicFileAttributes now =
+                    Files.readAttributes(Path.of(file == null ? "" : file), BasicFileAttributes.class);
             return now.fileKey() + " " + now.lastModifiedTime() + " " + now.size();
         } catch (IOException failure) {
             return failure.toString();
--- a/src/main/java/rockshift/net/Streams.java
+++ b/src/main/java/rockshift/net/Streams.java
@@ -102,7 +102,8 @@
         loads = List.of(terms.getOrDefault("load.values", "").split(",")).contains(RespCodec.BUSY);
         most = Math.max(1, descriptors - RESERVED);
         IOReactorConfig one = IOReactorConfig.custom().setIoThreadCount(1).setBacklogSize(BACKLOG)
-                .setSoReuseAddress(true).setTcpNoDelay(true).setSelectInterval(TimeValue.ofMilliseconds(LOOK)).build();
+                .setSoReuseAddress(true).setTcpNoDelay(true).setSelectInterval(TimeValue.ofMilliseconds(LOOK))
+                .build();
         reactor = new DefaultListeningIOReactor((session, attachment) -> connection(session), one, null, null,
                 null, failure -> LOG.error("failure of the listener", failure), null,
                 null, session -> session.close(CloseMode.IMMEDIATE), this::worker);
@@ -148,7 +149,7 @@
     }
 
     /** Why a connection ended: a code, and what else there is to say. */
-    private record Ending(String code, String about) { }
+    private record Ending(String code, String about) {}
 
     /** Whether a stranger's end has a line of its own; of the others one line tells as the next one ends. */
     private boolean logged(String code) {
@@ -195,7 +196,8 @@
             session.setSocketTimeout(Timeout.ofMilliseconds(TO_JOIN_CROWDED));
             if (connections.size() >= most) {
                 // Who says nothing makes room, but not before what it says could be read.
-                Connection oldest = connections.stream().filter(Connection::stranger).findFirst().orElse(this);
+                Connection oldest =
+                        connections.stream().filter(Connection::stranger).findFirst().orElse(this);
                 if (oldest.age() < TO_JOIN_CROWDED) {
                     end("crowded", "");
                     return;
@@ -270,7 +272,8 @@
                 if (stranger()) {
                     end(spoilt.code, spoilt.getMessage());
                 } else if (dropped++ == 0) {
-                    LOG.warn("dropped a message of {}: {}", name, quoted(spoilt.code + " " + spoilt.getMessage()));
+                    LOG.warn("dropped a message of {}: {}", name,
+                            quoted(spoilt.code + " " + spoilt.getMessage()));
                 }
                 return true;
             }
@@ -308,7 +311,8 @@
                     int count = counted();
                     int failed = resp.whole(RespCodec.FAILED);
                     field(failed <= count, RespCodec.FAILED);
-                    yield loop.heard(queued, zone, DiscoveryClient.number(resp.text(RespCodec.REPLICA)), count, failed,
+                    yield loop.heard(queued, zone, DiscoveryClient.number(resp.text(RespCodec.REPLICA)),
+                            count, failed,
                             tenths(RespCodec.MEAN_TIME), tenths(RespCodec.SPAN), busy());
                 }
                 case RespCodec.USAGE -> {
--- a/src/main/java/rockshift/net/Tables.java
+++ b/src/main/java/rockshift/net/Tables.java
@@ -35,7 +35,7 @@
         void send(byte[] message);
     }
 
-    private record Level(int classes, double level, int again) { }
+    private record Level(int classes, double level, int again) {}
 
     private static final class Table {
         final TreeMap<Long, Double> lines = new TreeMap<>();
@@ -267,7 +267,8 @@
         for (Level level : levels.values()) {
             int meant = level.classes == 0 ? bits : bits == 0 ? level.classes : bits & level.classes;
             List<String> part = meant == bits && first != null ? first : part(parts, meant);
-            part.addAll(List.of(RespCodec.LEVEL, plain(level.level), RespCodec.AGAIN, Integer.toString(level.again)));
+            part.addAll(List.of(RespCodec.LEVEL, plain(level.level), RespCodec.AGAIN,
+                    Integer.toString(level.again)));
             first = part == first ? null : first;
         }
     }
--- a/src/main/java/rockshift/operator/Lines.java
+++ b/src/main/java/rockshift/operator/Lines.java
@@ -19,7 +19,8 @@
 
     /** The line of a path, or that of the nearest block around it; 0 if there is none. */
     int of(String path) {
-        for (String at = path; !at.isEmpty(); at = at.contains(".") ? at.substring(0, at.lastIndexOf('.')) : "") {
+        for (String at = path; !at.isEmpty();
+                at = at.contains(".") ? at.substring(0, at.lastIndexOf('.')) : "") {
             if (byPath.containsKey(at)) {
                 return byPath.get(at);
             }
@@ -100,7 +101,8 @@
             throw new Unusable(file, since, path(blocks, words.toString()), "no value");
         }
         if (!blocks.isEmpty()) {
-            throw new Unusable(file, opened.getLast(), String.join(".", blocks), "a block that is not closed");
+            throw new Unusable(file, opened.getLast(), String.join(".", blocks),
+                    "a block that is not closed");
         }
     }
 
--- a/src/main/java/rockshift/operator/OperatorFile.java
+++ b/src/main/java/rockshift/operator/OperatorFile.java
@@ -12,8 +12,7 @@
     /** Bytes of the longest file that is read: far more than a fleet's. */
     private static final int LONGEST = 1 << 20;
 
-    private OperatorFile() {
-    }
+    private OperatorFile() {}
 
     public static Section read(String file) throws Unusable {
         try {
@@ -33,7 +32,8 @@
             Map<String, Object> values = new HCLParser().parse(text);
             return new Section(file, lines, "", values);
         } catch (HCLParserException | IOException | RuntimeException wrong) {
-            throw new Unusable(file, 0, "", String.valueOf(wrong.getMessage()).lines().findFirst().orElse("no HCL"));
+            throw new Unusable(file, 0, "",
+                    String.valueOf(wrong.getMessage()).lines().findFirst().orElse("no HCL"));
         }
     }
 }
--- a/src/main/java/rockshift/operator/Section.java
+++ b/src/main/java/rockshift/operator/Section.java
@@ -76,7 +76,8 @@
         }
         double number = ((Number) value).doubleValue();
         if (!(number >= least && number <= most)) {
-            throw wrong(field, "must be from " + plain(least) + " to " + plain(most) + ", not " + plain(number));
+            throw wrong(field,
+                    "must be from " + plain(least) + " to " + plain(most) + ", not " + plain(number));
         }
         return number;
     }
@@ -152,7 +153,8 @@
         int colon = text.lastIndexOf(':');
         try {
             if (colon > 0) {
-                return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+                return new InetSocketAddress(text.substring(0, colon),
+                        Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException wrong) {
             // Told below, in words that fit both.
--- a/src/main/java/rockshift/operator/Unusable.java
+++ b/src/main/java/rockshift/operator/Unusable.java
@@ -5,6 +5,7 @@
     private static final long serialVersionUID = 1L;
 
     public Unusable(String file, int line, String field, String what) {
-        super(file + (line > 0 ? ", line " + line : "") + (field.isEmpty() ? "" : ", field " + field) + ": " + what);
+        super(file + (line > 0 ? ", line " + line : "") + (field.isEmpty() ? "" : ", field " + field) + ": "
+                + what);
     }
 }
--- a/src/main/java/rockshift/raft/Checksum.java
+++ b/src/main/java/rockshift/raft/Checksum.java
@@ -4,8 +4,7 @@
 
 /** The checksum of snapshots, records and frames: CRC32C. */
 public final class Checksum {
-    private Checksum() {
-    }
+    private Checksum() {}
 
     public static int of(byte[] bytes) {
         return of(bytes, 0, bytes.length);
--- a/src/main/java/rockshift/raft/ClockWatch.java
+++ b/src/main/java/rockshift/raft/ClockWatch.java
@@ -22,7 +22,8 @@
             double shortest = sentAt - heard;
             double longest = now - sent;
             double passed = clockThere - there;
-            apart = passed > longest ? passed / longest - 1 : passed < shortest ? shortest / Math.max(1, passed) - 1 : 0;
+            apart = passed > longest ? passed / longest - 1
+                    : passed < shortest ? shortest / Math.max(1, passed) - 1 : 0;
             begin(sentAt, now, clockThere);
         }
     }
--- a/src/main/java/rockshift/raft/Member.java
+++ b/src/main/java/rockshift/raft/Member.java
@@ -9,7 +9,9 @@
  */
 public record Member(long id, String name, String address, Role role) {
     /** What it does: votes, follows without a vote, or follows until it has caught up and then votes. */
-    public enum Role { VOTER, LEARNER, JOINING }
+    public enum Role {
+        VOTER, LEARNER, JOINING
+    }
 
     Member as(Role other) {
         return new Member(id, name, address, other);
--- a/src/main/java/rockshift/raft/Message.java
+++ b/src/main/java/rockshift/raft/Message.java
@@ -17,10 +17,10 @@
      * @param forced the leader itself handed over, so that hearing from it is no reason to refuse
      */
     record Ask(long from, long to, long term, long lastIndex, long lastTerm, boolean trial, boolean forced)
-            implements Message { }
+            implements Message {}
 
     /** Answers {@link Ask}. */
-    record Vote(long from, long to, long term, boolean trial, boolean given) implements Message { }
+    record Vote(long from, long to, long term, boolean trial, boolean given) implements Message {}
 
     /**
      * Entries to follow those up to {@code prevIndex}, perhaps none.
@@ -29,7 +29,7 @@
      * @param sentAt the leader's clock as it began the round
      */
     record Append(long from, long to, long term, long prevIndex, long prevTerm, long commit, long round,
-            long sentAt, List<Entry> entries) implements Message { }
+            long sentAt, List<Entry> entries) implements Message {}
 
     /**
      * Answers {@link Append} or the last {@link Piece}.
@@ -39,17 +39,18 @@
      * @param refused of a refusal, the index that was missing
      * @param clock the follower's own clock
      */
-    record Appended(long from, long to, long term, boolean ok, long match, long hintTerm, long refused, long round,
-            long sentAt, long clock) implements Message { }
+    record Appended(long from, long to, long term, boolean ok, long match, long hintTerm, long refused,
+            long round,
+            long sentAt, long clock) implements Message {}
 
     /** A part of a snapshot, for a follower that lacks entries which the leader no longer has. */
     record Piece(long from, long to, long term, long index, long snapshotTerm, Membership members, int total,
-            int checksum, int offset, byte[] bytes, long round, long sentAt) implements Message { }
+            int checksum, int offset, byte[] bytes, long round, long sentAt) implements Message {}
 
     /** How much of a snapshot is held. */
     record Taken(long from, long to, long term, long index, int offset, long round, long sentAt, long clock)
-            implements Message { }
+            implements Message {}
 
     /** The leader hands over: campaign now. */
-    record Campaign(long from, long to, long term) implements Message { }
+    record Campaign(long from, long to, long term) implements Message {}
 }
--- a/src/main/java/rockshift/raft/Progress.java
+++ b/src/main/java/rockshift/raft/Progress.java
@@ -5,7 +5,9 @@
 /** What a leader knows of one other member, and how it sends to it. */
 final class Progress {
     /** One message at a time until the logs are known to meet; many in flight; or a snapshot. */
-    enum Way { PROBE, REPLICATE, SNAPSHOT }
+    enum Way {
+        PROBE, REPLICATE, SNAPSHOT
+    }
 
     final long id;
     Way way = Way.PROBE;
--- a/src/main/java/rockshift/raft/Raft.java
+++ b/src/main/java/rockshift/raft/Raft.java
@@ -43,13 +43,14 @@
 
     public enum Role { FOLLOWER, TRIAL, CANDIDATE, LEADER }
 
-    private record Read(long token, long round, long index) { }
+    private record Read(long token, long round, long index) {}
 
-    private record Held(long ticket, Message message) { }
+    private record Held(long ticket, Message message) {}
 
     /** Where a member stands, for staff and for checks. */
-    public record Standing(Role role, long term, long leader, long commit, long applied, long saved, long first,
-            long last, Membership members, Map<Long, Long> matches, boolean leased) { }
+    public record Standing(Role role, long term, long leader, long commit, long applied, long saved,
+            long first,
+            long last, Membership members, Map<Long, Long> matches, boolean leased) {}
 
     // ---- state ----------------------------------------------------------------------------------
     private final long id;
@@ -102,7 +103,8 @@
     private ByteArrayOutputStream came = new ByteArrayOutputStream();
 
     /** A member as its disk has it: its ballot, its newest snapshot and the entries above the snapshot. */
-    public Raft(long id, Timing timing, Rules rules, RandomGenerator chance, long now, Ballot ballot, Snapshot snapshot,
+    public Raft(long id, Timing timing, Rules rules, RandomGenerator chance, long now, Ballot ballot,
+            Snapshot snapshot,
             List<Entry> entries) {
         this.id = id;
         this.timing = timing;
@@ -184,7 +186,8 @@
     public Standing standing() {
         Map<Long, Long> matches = new TreeMap<>();
         followers.forEach((member, progress) -> matches.put(member, progress.match));
-        return new Standing(role, ballot.term(), leader(), commit, applied, saved, log.base() + 1, log.last(), members(),
+        return new Standing(role, ballot.term(), leader(), commit, applied, saved, log.base() + 1, log.last(),
+                members(),
                 matches, leaseHolds());
     }
 
@@ -239,7 +242,8 @@
     /** Whether the disk takes what it is given. One whose disk does not works on, but neither leads nor campaigns. */
     public void disk(boolean works) {
         if (diskWorks != works) {
-            notes.add(works ? "disk takes entries again" : "disk takes nothing: no votes, no entries, until it does");
+            notes.add(works ? "disk takes entries again"
+                    : "disk takes nothing: no votes, no entries, until it does");
         }
         diskWorks = works;
         abdicate();
@@ -257,7 +261,8 @@
     public long propose(Entry.Kind kind, long session, long serial, byte[] body, Refusal[] why) {
         Refusal refusal = role != Role.LEADER ? Refusal.NOT_LEADER : handTo != 0 ? Refusal.HANDING_OVER
                 : !diskWorks ? Refusal.DISK : body.length > LARGEST_CHANGE ? Refusal.TOO_LARGE
-                : log.last() - commit >= MOST_OPEN || openBytes() > MOST_OPEN_BYTES ? Refusal.BUSY : null;
+                        : log.last() - commit >= MOST_OPEN || openBytes() > MOST_OPEN_BYTES ? Refusal.BUSY
+                                : null;
         if (refusal != null) {
             why[0] = refusal;
             return 0;
@@ -354,7 +359,8 @@
         } else if (message.term() < ballot.term()) {
             // A leader of an older term learns of ours, and ends; answers to what is long past mean nothing.
             if (message instanceof Message.Append || message instanceof Message.Piece) {
-                post(new Message.Appended(id, message.from(), ballot.term(), false, 0, 0, 0, 0, 0, now), needs());
+                post(new Message.Appended(id, message.from(), ballot.term(), false, 0, 0, 0, 0, 0, now),
+                        needs());
             }
         } else if (message instanceof Message.Vote vote && vote.trial() && vote.given()) {
             if (role == Role.TRIAL && vote.term() == ballot.term() + 1) {
@@ -394,7 +400,8 @@
             // Nothing is learned of its term: one that is cut off must not depose who works.
             return;
         }
-        boolean fits = rules.upToDate(ask.lastIndex(), ask.lastTerm(), log.last(), log.lastTerm()) && diskWorks;
+        boolean fits =
+                rules.upToDate(ask.lastIndex(), ask.lastTerm(), log.last(), log.lastTerm()) && diskWorks;
         if (ask.trial()) {
             boolean yes = ask.term() > ballot.term() && fits;
             post(new Message.Vote(id, ask.from(), yes ? ask.term() : ballot.term(), true, yes), needs());
@@ -423,14 +430,16 @@
         leader = 0;
         given.clear();
         // Who still waits for the old leader refuses a trial, which harms nobody: it is made again soon.
-        campaignAt = now + timing.election() / (trial ? 5 : 2) + chance.nextLong(timing.election() / (trial ? 5 : 2));
+        campaignAt = now + timing.election() / (trial ? 5 : 2)
+                + chance.nextLong(timing.election() / (trial ? 5 : 2));
         if (!trial) {
             vote(new Ballot(ballot.term() + 1, id));
         }
         long term = trial ? ballot.term() + 1 : ballot.term();
         for (Member member : members().all()) {
             if (member.id() != id && member.role() == Member.Role.VOTER) {
-                post(new Message.Ask(id, member.id(), term, log.last(), log.lastTerm(), trial, forced), needs());
+                post(new Message.Ask(id, member.id(), term, log.last(), log.lastTerm(), trial, forced),
+                        needs());
             }
         }
         // Its own vote counts once it is durable, like any other's.
@@ -461,7 +470,8 @@
                 followers.put(member.id(), new Progress(member.id(), log.last() + 1, now));
             }
         }
-        notes.add("leads in term " + ballot.term() + " with " + log.last() + " entries, " + commit + " known agreed");
+        notes.add("leads in term " + ballot.term() + " with " + log.last() + " entries, " + commit
+                + " known agreed");
         add(Entry.start(log.last() + 1, ballot.term()));
         if (configs.lastKey() == 0) {
             // Who founded the cluster is told to those that come in with an empty log, like everything else.
@@ -513,7 +523,8 @@
             while (hint > log.base() && log.term(hint) > prevTerm) {
                 hint--;
             }
-            post(new Message.Appended(id, append.from(), ballot.term(), false, hint, Math.max(0, log.term(hint)),
+            post(new Message.Appended(id, append.from(), ballot.term(), false, hint,
+                    Math.max(0, log.term(hint)),
                     append.prevIndex(), append.round(), append.sentAt(), now), needs());
             return;
         }
@@ -538,7 +549,8 @@
     }
 
     private Message match(Message.Append append, long match) {
-        return new Message.Appended(id, append.from(), ballot.term(), true, match, 0, 0, append.round(), append.sentAt(),
+        return new Message.Appended(id, append.from(), ballot.term(), true, match, 0, 0, append.round(),
+                append.sentAt(),
                 now);
     }
 
@@ -552,10 +564,12 @@
     }
 
     private void pieced(Message.Piece piece) {
-        if (piece.index() <= log.last() && log.term(piece.index()) == piece.snapshotTerm() || piece.index() <= commit) {
+        if (piece.index() <= log.last() && log.term(piece.index()) == piece.snapshotTerm()
+                || piece.index() <= commit) {
             commit = Math.max(commit, Math.min(piece.index(), log.last()));
             post(taken(piece, piece.total()), needs());
-            post(new Message.Appended(id, piece.from(), ballot.term(), true, Math.min(piece.index(), saved), 0, 0,
+            post(new Message.Appended(id, piece.from(), ballot.term(), true, Math.min(piece.index(), saved),
+                    0, 0,
                     piece.round(), piece.sentAt(), now), needs());
             return;
         }
@@ -579,7 +593,8 @@
         coming = null;
         came = new ByteArrayOutputStream();
         if (Checksum.of(data) != piece.checksum()) {
-            notes.add("snapshot of entry " + piece.index() + " came corrupt from " + name(piece.from()) + ", asked anew");
+            notes.add("snapshot of entry " + piece.index() + " came corrupt from " + name(piece.from())
+                    + ", asked anew");
             post(taken(piece, 0), 0);
             return;
         }
@@ -591,7 +606,8 @@
     }
 
     private Message taken(Message.Piece piece, int offset) {
-        return new Message.Taken(id, piece.from(), ballot.term(), piece.index(), offset, piece.round(), piece.sentAt(),
+        return new Message.Taken(id, piece.from(), ballot.term(), piece.index(), offset, piece.round(),
+                piece.sentAt(),
                 now);
     }
 
@@ -643,7 +659,8 @@
         if (progress.way == Progress.Way.SNAPSHOT) {
             return now >= progress.pieceAt + timing.heartbeat() && piece(progress);
         }
-        while (progress.way == Progress.Way.REPLICATE ? progress.next <= log.last() && progress.flight.size() < FLIGHT
+        while (progress.way == Progress.Way.REPLICATE
+                ? progress.next <= log.last() && progress.flight.size() < FLIGHT
                 : !progress.probing) {
             if (progress.next <= log.base()) {
                 progress.snapshot(snapshot, Checksum.of(snapshot.data()));
@@ -664,7 +681,8 @@
     }
 
     private void append(Progress progress, List<Entry> entries) {
-        post(new Message.Append(id, progress.id, ballot.term(), progress.next - 1, log.term(progress.next - 1), commit,
+        post(new Message.Append(id, progress.id, ballot.term(), progress.next - 1,
+                log.term(progress.next - 1), commit,
                 round, roundAt, entries), 0);
     }
 
@@ -709,7 +727,8 @@
                 progress.flight.removeFirst();
             }
             boolean met = progress.way == Progress.Way.PROBE && answer.match() >= progress.next - 1;
-            boolean installed = progress.way == Progress.Way.SNAPSHOT && progress.match >= progress.sending.index();
+            boolean installed =
+                    progress.way == Progress.Way.SNAPSHOT && progress.match >= progress.sending.index();
             if (met || installed) {
                 progress.replicate();
             }
@@ -742,7 +761,8 @@
         progress.answered(now, answeredRound, sentAt, clock);
         if (progress.clock.apart() > timing.drift() && !driftTold) {
             driftTold = true;
-            notes.add("the clock of " + name(progress.id) + " runs apart by more than allowed: reads without leases");
+            notes.add("the clock of " + name(progress.id)
+                    + " runs apart by more than allowed: reads without leases");
         }
         confirm();
     }
@@ -803,7 +823,8 @@
         for (Member member : List.copyOf(members().all())) {
             Progress progress = followers.get(member.id());
             if (member.role() == Member.Role.JOINING && progress != null && progress.match + CLOSE >= commit
-                    && progress.way == Progress.Way.REPLICATE && change(member.as(Member.Role.VOTER), false) == null) {
+                    && progress.way == Progress.Way.REPLICATE
+                    && change(member.as(Member.Role.VOTER), false) == null) {
                 notes.add(member.name() + " has caught up and votes");
                 return;
             }
@@ -833,8 +854,9 @@
         }
         if (!notes.isEmpty()) {
             effects.log(notes.remove());
-        } else if (role == Role.LEADER && (!reads.isEmpty() && reads.getLast().round > round || tellFrom <= commit
-                && commit == log.last())) {
+        } else if (role == Role.LEADER
+                && (!reads.isEmpty() && reads.getLast().round > round || tellFrom <= commit
+                        && commit == log.last())) {
             // Followers hear at once of what was agreed, where nothing is on the way that would tell them later.
             speak();
         } else if (role == Role.LEADER && sendAll()) {
@@ -897,7 +919,8 @@
         unrestored = install == null ? unrestored : install;
         long from = unsavedFrom;
         unsavedFrom = Long.MAX_VALUE;
-        List<Entry> entries = from > log.last() ? List.of() : log.from(from, Integer.MAX_VALUE, Long.MAX_VALUE);
+        List<Entry> entries =
+                from > log.last() ? List.of() : log.from(from, Integer.MAX_VALUE, Long.MAX_VALUE);
         effects.save(saving, ballot, from == Long.MAX_VALUE ? 0 : from, entries, install);
     }
 
@@ -908,14 +931,18 @@
 
     /** Everything that a next step could depend on, but for times: equal words mean equal states. */
     public String fingerprint() {
-        StringBuilder text = new StringBuilder().append(role).append(ballot).append(leader).append('|').append(commit)
-                .append(',').append(applied).append(',').append(saved).append(',').append(saving).append(dirty)
-                .append(given).append(held).append(members());
+        StringBuilder text =
+                new StringBuilder().append(role).append(ballot).append(leader).append('|').append(commit)
+                        .append(',').append(applied).append(',').append(saved).append(',').append(saving)
+                        .append(dirty)
+                        .append(given).append(held).append(members());
         for (long i = log.base(); i <= log.last(); i++) {
             text.append(' ').append(log.term(i));
         }
-        followers.values().forEach(p -> text.append(p.id).append(p.way).append(p.match).append(',').append(p.next).append(p.flight)
-                .append(p.probing));
+        followers.values()
+                .forEach(p -> text.append(p.id).append(p.way).append(p.match).append(',').append(p.next)
+                        .append(p.flight)
+                        .append(p.probing));
         return text.toString();
     }
 }
--- a/src/main/java/rockshift/raft/Sessions.java
+++ b/src/main/java/rockshift/raft/Sessions.java
@@ -25,7 +25,7 @@
     }
 
     /** How an entry ended: whether it took effect now, and what the client is told; a reason if it was refused. */
-    public record Outcome(boolean applied, byte[] answer, String refused) { }
+    public record Outcome(boolean applied, byte[] answer, String refused) {}
 
     /** A client's session: its number, its last change and what that was answered. */
     public record Session(long id, long serial, byte[] answer) {
--- a/src/main/java/rockshift/raft/Timing.java
+++ b/src/main/java/rockshift/raft/Timing.java
@@ -10,4 +10,4 @@
  * @param leases whether reads may lean on a lease
  * @param batch entries that one message carries at most
  */
-public record Timing(long election, long heartbeat, double drift, boolean leases, int batch) { }
+public record Timing(long election, long heartbeat, double drift, boolean leases, int batch) {}
--- a/src/test/java/rockshift/kit/TrialTest.java
+++ b/src/test/java/rockshift/kit/TrialTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void killedStoppedAndCutGovernorsApplyEachChangeOnceInOneOrder() throws Exception {
-        Trial.Outcome outcome = new Trial(folder, 3, 20, 4, line -> { }).run();
+        Trial.Outcome outcome = new Trial(folder, 3, 20, 4, line -> {}).run();
         assertThat(outcome.troubles()).isEmpty();
         assertThat(outcome.held()).as(outcome.line()).isTrue();
         assertThat(outcome.faults()).isGreaterThan(2);
