--- a/src/main/java/rockshift/distribution/DistributionMessage.java
+++ b/src/main/java/rockshift/distribution/DistributionMessage.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 
 /**
- * What subscribers and publishers tell each other, over a connection that keeps the order. Each names the epoch of the scope that it is
- * for, which the subscriber raises with each new scope.
+ * What subscribers and publishers tell each other, over a connection that keeps the order. Each names the
+ * epoch of the scope that it is for, which the subscriber raises with each new scope.
  */
 public sealed interface DistributionMessage {
     /** The epoch of the scope that the message is for; from 1. */
@@ -28,7 +28,8 @@
     }
 
     /**
-     * Subscriber to publisher: what is in force; also the answer to each heartbeat and each part of a snapshot.
+     * Subscriber to publisher: what is in force; also the answer to each heartbeat and each part of a
+     * snapshot.
      *
      * @param snapshotParts parts received of the snapshot under way; 0 if none is
      * @param summary what is in force at the sender and below it
@@ -43,7 +44,8 @@
     }
 
     /**
-     * Publisher to subscriber: a part of the whole state of a scope, which takes effect when all parts are there.
+     * Publisher to subscriber: a part of the whole state of a scope, which takes effect when all parts are
+     * there.
      *
      * @param part from 0
      * @param parts how many there are, at least 1
@@ -74,7 +76,8 @@
     }
 
     /**
-     * Publisher to subscriber, at a fixed interval: what the subscriber should hold after all messages before this one.
+     * Publisher to subscriber, at a fixed interval: what the subscriber should hold after all messages before
+     * this one.
      *
      * @param current where the subscriber stands; {@link Revision#NONE} while a snapshot is under way
      * @param digest of the state of its scope at that revision
--- /dev/null
+++ b/src/main/java/rockshift/distribution/ForceTally.java
@@ -0,0 +1,93 @@
+package rockshift.distribution;
+
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Sums up what is in force at a publisher's subscribers, kept up with each change of one of them. */
+final class ForceTally {
+    /**
+     * What one subscription adds.
+     *
+     * @param caughtUp whether all that concerns it is in force there and below
+     * @param lowest the lowest number in force there and below, where it has not caught up
+     */
+    record Share(boolean caughtUp, long lowest, int subscribers, int behind, int unreachable,
+            long fingerprint) {
+        static final Share NOTHING = new Share(true, 0, 0, 0, 0, 0);
+    }
+
+    private record Lost(int governors, long until) {}
+
+    private final int mostLost;
+    private final TreeMap<Long, Integer> lowest = new TreeMap<>();
+    private final Map<String, Lost> lost = new LinkedHashMap<>();
+    private int subscribers;
+    private int behind;
+    private int unreachable;
+    private long fingerprint;
+
+    ForceTally(int mostLost) {
+        this.mostLost = mostLost;
+    }
+
+    /** One subscription adds another share than before. */
+    void replace(Share before, Share after) {
+        if (!before.caughtUp()) {
+            lowest.merge(before.lowest(), -1, (one, other) -> one + other == 0 ? null : one + other);
+        }
+        if (!after.caughtUp()) {
+            lowest.merge(after.lowest(), 1, Integer::sum);
+        }
+        subscribers += after.subscribers() - before.subscribers();
+        behind += after.behind() - before.behind();
+        unreachable += after.unreachable() - before.unreachable();
+        fingerprint += after.fingerprint() - before.fingerprint();
+    }
+
+    /**
+     * A subscriber was lost, and governors with it. Over the bound the one lost longest ago is forgotten
+     * early.
+     */
+    void lost(String subscriber, int governors, long until) {
+        found(subscriber);
+        if (governors == 0) {
+            return;
+        }
+        if (lost.size() >= mostLost) {
+            found(lost.keySet().iterator().next());
+        }
+        lost.put(subscriber, new Lost(governors, until));
+        unreachable += governors;
+    }
+
+    /** A subscriber is back, or need not be remembered; answers how many governors were lost with it. */
+    int found(String subscriber) {
+        Lost back = lost.remove(subscriber);
+        if (back == null) {
+            return 0;
+        }
+        unreachable -= back.governors();
+        return back.governors();
+    }
+
+    /** Forgets who was lost too long ago. */
+    void forget(long now) {
+        Iterator<Lost> oldest = lost.values().iterator();
+        while (oldest.hasNext()) {
+            Lost next = oldest.next();
+            if (next.until() > now) {
+                return;
+            }
+            unreachable -= next.governors();
+            oldest.remove();
+        }
+    }
+
+    /** The sum, where the publisher itself stands at this number. */
+    Summary sum(long current) {
+        long least = lowest.isEmpty() ? current : Math.min(current, lowest.firstKey());
+        return new Summary(least, subscribers, behind, unreachable, fingerprint);
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/distribution/HeldState.java
@@ -0,0 +1,110 @@
+package rockshift.distribution;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * What a subscriber holds, by digests alone: the items are with the host. It never goes back a revision of
+ * its cluster.
+ */
+final class HeldState {
+    private final Limits.Sizes sizes;
+    private Revision revision = Revision.NONE;
+    private long scopeEpoch;
+    private Map<String, Long> digests = new HashMap<>();
+    private long digest;
+
+    HeldState(Limits.Sizes sizes) {
+        this.sizes = sizes;
+    }
+
+    Revision revision() {
+        return revision;
+    }
+
+    /** The epoch of the scope that the state is of. */
+    long scopeEpoch() {
+        return scopeEpoch;
+    }
+
+    long digest() {
+        return digest;
+    }
+
+    /** Takes a whole state in place of what was held. */
+    void replace(Revision at, long epoch, Map<String, Long> whole) {
+        revision = at;
+        scopeEpoch = epoch;
+        digests = whole;
+        digest = whole.values().stream().mapToLong(Long::longValue).sum();
+    }
+
+    /** Takes a difference whole, or refuses it and stays as it was. */
+    void apply(DistributionMessage.Difference difference, Scope scope) throws Refusal {
+        check(difference, scope);
+        long after = digest;
+        int added = 0;
+        for (Update update : difference.updates()) {
+            Long before = digests.get(update.item().key());
+            after += (update.deleted() ? 0 : update.item().digest()) - (before == null ? 0 : before);
+            added += (update.deleted() ? 0 : 1) - (before == null ? 0 : 1);
+        }
+        if (digests.size() + added > sizes.stateItems()) {
+            throw new Refusal(RejectionReason.TOO_LARGE,
+                    "updates: more than " + sizes.stateItems() + " items");
+        } else if (after != difference.digest()) {
+            throw new Refusal(RejectionReason.DIGEST_MISMATCH, "difference: to " + difference.to());
+        }
+        difference.updates().forEach(this::put);
+        digest = after;
+        revision = difference.to();
+    }
+
+    /** What is held stands at a later revision. */
+    void advance(Revision to) {
+        revision = to;
+    }
+
+    private void put(Update update) {
+        if (update.deleted()) {
+            digests.remove(update.item().key());
+        } else {
+            digests.put(update.item().key(), update.item().digest());
+        }
+    }
+
+    private void check(DistributionMessage.Difference difference, Scope scope) throws Refusal {
+        Revision from = difference.from();
+        Revision to = difference.to();
+        if (difference.scopeEpoch() != scopeEpoch || !from.equals(revision)) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER, "from: " + from + ", held " + revision);
+        } else if (!to.sameCluster(from) || to.number() <= from.number()) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER, "to: " + to + " after " + from);
+        } else if (difference.updates().size() > sizes.differenceUpdates()) {
+            throw new Refusal(RejectionReason.TOO_LARGE,
+                    "updates: " + difference.updates().size() + " of " + sizes.differenceUpdates());
+        }
+        check(difference.updates(), from.number(), to.number(), scope);
+    }
+
+    private void check(List<Update> updates, long from, long to, Scope scope) throws Refusal {
+        Set<String> keys = new HashSet<>();
+        for (int index = 0; index < updates.size(); index++) {
+            Update update = updates.get(index);
+            String place = "updates[" + index + "]";
+            sizes.check(update.item(), place);
+            if (update.revision() <= from || update.revision() > to) {
+                throw new Refusal(RejectionReason.OUT_OF_ORDER,
+                        place + ".revision: " + update.revision() + " is not after " + from + " up to " + to);
+            } else if (!update.deleted() && !scope.matches(update)) {
+                throw new Refusal(RejectionReason.OUT_OF_SCOPE, place + ": " + update.item());
+            } else if (!keys.add(update.item().key())) {
+                throw new Refusal(RejectionReason.MALFORMED,
+                        place + ".key: '" + update.item().key() + "' comes twice");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/distribution/History.java
@@ -0,0 +1,132 @@
+package rockshift.distribution;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.NavigableMap;
+import java.util.Optional;
+import java.util.TreeMap;
+
+/**
+ * The last changes of a store, bounded in number and bytes; the oldest go first, and with them what can be
+ * resumed from.
+ */
+final class History {
+    /**
+     * What took the store from one revision to a later one.
+     *
+     * @param complete whether each item that changed on the way is there, also those that ended as they
+     *        began; else nobody can resume from a revision inside
+     */
+    record Step(long from, long to, boolean complete, List<ConfigurationStore.Change> changes) {
+        private long bytes() {
+            return changes.stream().mapToLong(change -> change.update().item().bytes()).sum();
+        }
+    }
+
+    /** What became of one item over several steps. */
+    private static final class Net {
+        private long digestBefore;
+        private boolean mayBeHeld;
+        private ConfigurationStore.Change last;
+    }
+
+    private final Limits.Sizes sizes;
+    private final NavigableMap<Long, Step> steps = new TreeMap<>();
+    private long compactedThrough;
+    private long updates;
+    private long bytes;
+
+    History(Limits.Sizes sizes) {
+        this.sizes = sizes;
+    }
+
+    long compactedThrough() {
+        return compactedThrough;
+    }
+
+    /** Forgets everything; resuming is possible from this revision on. */
+    void clear(long through) {
+        steps.clear();
+        updates = 0;
+        bytes = 0;
+        compactedThrough = through;
+    }
+
+    void add(Step step) {
+        steps.put(step.to(), step);
+        updates += step.changes().size();
+        bytes += step.bytes();
+        while (updates > sizes.historyUpdates() || bytes > sizes.historyBytes()) {
+            Step oldest = steps.pollFirstEntry().getValue();
+            updates -= oldest.changes().size();
+            bytes -= oldest.bytes();
+            compactedThrough = oldest.to();
+        }
+    }
+
+    /** All changes after a revision that the store was at; empty if they are not all there any more. */
+    Optional<List<ConfigurationStore.Change>> changesSince(long number) {
+        if (number < compactedThrough) {
+            return Optional.empty();
+        }
+        List<ConfigurationStore.Change> changes = new ArrayList<>();
+        steps.tailMap(number, false).values().forEach(step -> changes.addAll(step.changes()));
+        return Optional.of(changes);
+    }
+
+    /**
+     * What changed in a scope after a revision, which may lie inside a step where a subscriber comes from
+     * another server. Then what the subscriber held is not known, and items outside its scope are deleted in
+     * case it held them.
+     */
+    Optional<ConfigurationStore.Delta> since(long number, Scope scope) {
+        if (number < compactedThrough) {
+            return Optional.empty();
+        }
+        Map<String, Net> nets = new LinkedHashMap<>();
+        for (Step step : steps.tailMap(number, false).values()) {
+            boolean inside = step.from() < number;
+            if (inside && !step.complete()) {
+                return Optional.empty();
+            }
+            for (ConfigurationStore.Change change : step.changes()) {
+                if (change.update().revision() > number) {
+                    add(nets, change, scope, inside);
+                }
+            }
+        }
+        return Optional.of(sum(nets, scope));
+    }
+
+    private static void add(Map<String, Net> nets, ConfigurationStore.Change change, Scope scope,
+            boolean inside) {
+        Net net = nets.get(change.update().item().key());
+        boolean matched = change.matchedBefore(scope);
+        if (net == null) {
+            net = new Net();
+            net.digestBefore = matched ? change.digestBefore() : 0;
+            nets.put(change.update().item().key(), net);
+        }
+        net.mayBeHeld |= matched || inside;
+        net.last = change;
+    }
+
+    private static ConfigurationStore.Delta sum(Map<String, Net> nets, Scope scope) {
+        List<Update> updates = new ArrayList<>();
+        long digestChange = 0;
+        long bytes = 0;
+        for (Net net : nets.values()) {
+            Update last = net.last.update();
+            boolean held = !last.deleted() && scope.matches(last);
+            digestChange += (held ? net.last.digestAfter() : 0) - net.digestBefore;
+            if (held || net.mayBeHeld) {
+                Update update = held ? last : Update.delete(last.revision(), last.item());
+                updates.add(update);
+                bytes += update.item().bytes();
+            }
+        }
+        return new ConfigurationStore.Delta(updates, digestChange, bytes);
+    }
+}
--- a/src/main/java/rockshift/distribution/Limits.java
+++ b/src/main/java/rockshift/distribution/Limits.java
@@ -50,7 +50,17 @@
      * @param nameLength of a subscriber's name, a service or a zone
      */
     public record Sizes(int itemBytes, int stateItems, int historyUpdates, long historyBytes, int partItems,
-            int partBytes, int differenceUpdates, int differenceBytes, int scopeNames, int nameLength) {}
+            int partBytes, int differenceUpdates, int differenceBytes, int scopeNames, int nameLength) {
+        /** Refuses an item that is too large, or without a key. */
+        void check(Item item, String place) throws Refusal {
+            if (item.key().isEmpty()) {
+                throw new Refusal(RejectionReason.MALFORMED, place + ".key: empty");
+            } else if (item.bytes() > itemBytes) {
+                throw new Refusal(RejectionReason.TOO_LARGE,
+                        place + ": " + item.bytes() + " of " + itemBytes + " bytes");
+            }
+        }
+    }
 
     /**
      * What one publisher takes on at a time.
--- /dev/null
+++ b/src/main/java/rockshift/distribution/Rejections.java
@@ -0,0 +1,18 @@
+package rockshift.distribution;
+
+import java.util.Collections;
+import java.util.EnumMap;
+import java.util.Map;
+
+/** How often each reason was given. */
+final class Rejections {
+    private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
+
+    void count(RejectionReason reason) {
+        counts.merge(reason, 1L, Long::sum);
+    }
+
+    Map<RejectionReason, Long> counts() {
+        return Collections.unmodifiableMap(counts);
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/distribution/SnapshotAssembly.java
@@ -0,0 +1,89 @@
+package rockshift.distribution;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The parts of a snapshot that have come so far. Nothing of it counts before all are there and the digest
+ * agrees.
+ */
+final class SnapshotAssembly {
+    private final DistributionMessage.SnapshotPart first;
+    private final Limits.Sizes sizes;
+    private final List<Item> items = new ArrayList<>();
+    private final Map<String, Long> digests = new HashMap<>();
+    private long digest;
+    private int received;
+
+    SnapshotAssembly(DistributionMessage.SnapshotPart first, Limits.Sizes sizes) throws Refusal {
+        if (first.part() != 0) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER, "part: begins with " + first.part());
+        } else if (first.parts() < 1) {
+            throw new Refusal(RejectionReason.MALFORMED, "parts: " + first.parts());
+        } else if (first.parts() > sizes.stateItems()) {
+            throw new Refusal(RejectionReason.TOO_LARGE,
+                    "parts: " + first.parts() + " of " + sizes.stateItems());
+        }
+        this.first = first;
+        this.sizes = sizes;
+    }
+
+    /** Takes the next part. */
+    void add(DistributionMessage.SnapshotPart part, Scope scope) throws Refusal {
+        if (!part.revision().equals(first.revision()) || part.parts() != first.parts()
+                || part.digest() != first.digest() || part.part() != received) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+                    "part: " + part.part() + " of " + part.parts() + " at "
+                            + part.revision() + " after " + received + " of " + first.parts() + " at "
+                            + first.revision());
+        } else if (part.items().size() > sizes.partItems()) {
+            throw new Refusal(RejectionReason.TOO_LARGE,
+                    "items: " + part.items().size() + " of " + sizes.partItems());
+        } else if (items.size() + part.items().size() > sizes.stateItems()) {
+            throw new Refusal(RejectionReason.TOO_LARGE, "items: more than " + sizes.stateItems());
+        }
+        received++;
+        for (Item item : part.items()) {
+            add(item, scope);
+        }
+        if (complete() && digest != first.digest()) {
+            throw new Refusal(RejectionReason.DIGEST_MISMATCH, "snapshot: " + first.revision());
+        }
+    }
+
+    private void add(Item item, Scope scope) throws Refusal {
+        String place = "items[" + items.size() + "]";
+        sizes.check(item, place);
+        if (!scope.matches(item)) {
+            throw new Refusal(RejectionReason.OUT_OF_SCOPE, place + ": " + item);
+        }
+        long itemDigest = item.digest();
+        if (digests.put(item.key(), itemDigest) != null) {
+            throw new Refusal(RejectionReason.MALFORMED, place + ".key: '" + item.key() + "' comes twice");
+        }
+        items.add(item);
+        digest += itemDigest;
+    }
+
+    boolean complete() {
+        return received == first.parts();
+    }
+
+    int received() {
+        return received;
+    }
+
+    Revision revision() {
+        return first.revision();
+    }
+
+    List<Item> items() {
+        return items;
+    }
+
+    Map<String, Long> digests() {
+        return digests;
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/distribution/SnapshotTransfer.java
@@ -0,0 +1,73 @@
+package rockshift.distribution;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * A snapshot on its way to one subscriber: taken at one revision, sent in parts as the subscriber takes them.
+ */
+final class SnapshotTransfer {
+    private final Revision revision;
+    private final long digest;
+    private final long startedAt;
+    private final List<List<Item>> parts;
+    private int sent;
+    private int taken;
+
+    SnapshotTransfer(Revision revision, long digest, List<Item> items, Limits.Sizes sizes, long now) {
+        this.revision = revision;
+        this.digest = digest;
+        this.startedAt = now;
+        this.parts = split(items, sizes);
+    }
+
+    Revision revision() {
+        return revision;
+    }
+
+    long digest() {
+        return digest;
+    }
+
+    long startedAt() {
+        return startedAt;
+    }
+
+    /** The subscriber has taken this many parts. */
+    void taken(int count) {
+        taken = Math.max(taken, Math.min(count, sent));
+    }
+
+    boolean complete() {
+        return sent == parts.size();
+    }
+
+    /** Whether the next part may go, with this many not acknowledged at most. */
+    boolean mayContinue(int window) {
+        return !complete() && sent - taken < window;
+    }
+
+    DistributionMessage.SnapshotPart next(long scopeEpoch) {
+        int part = sent++;
+        return new DistributionMessage.SnapshotPart(scopeEpoch, revision, part, parts.size(), digest,
+                parts.get(part));
+    }
+
+    private static List<List<Item>> split(List<Item> items, Limits.Sizes sizes) {
+        List<List<Item>> parts = new ArrayList<>();
+        int start = 0;
+        long bytes = 0;
+        for (int index = 0; index < items.size(); index++) {
+            long itemBytes = items.get(index).bytes();
+            if (index > start
+                    && (index - start == sizes.partItems() || bytes + itemBytes > sizes.partBytes())) {
+                parts.add(items.subList(start, index));
+                start = index;
+                bytes = 0;
+            }
+            bytes += itemBytes;
+        }
+        parts.add(items.subList(start, items.size()));
+        return parts;
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/distribution/SubscribeCheck.java
@@ -0,0 +1,65 @@
+package rockshift.distribution;
+
+import java.util.Collection;
+
+/** Checks a request to subscribe by itself, before anything is spent on it. */
+final class SubscribeCheck {
+    private SubscribeCheck() {}
+
+    /**
+     * Refuses what no publisher of this kind could ever take.
+     *
+     * @param subscription what is known of the connection that it came over
+     * @param served what this publisher holds
+     */
+    static void check(DistributionMessage.Subscribe message, Subscription subscription, Scope served,
+            Limits.Sizes sizes)
+            throws Refusal {
+        checkName("subscriber", message.subscriber(), sizes);
+        if (subscription.subscribed() && !subscription.name().equals(message.subscriber())) {
+            throw new Refusal(RejectionReason.MALFORMED, "subscriber: was '" + subscription.name() + "'");
+        } else if (message.scopeEpoch() < 1) {
+            throw new Refusal(RejectionReason.MALFORMED, "scopeEpoch: " + message.scopeEpoch());
+        } else if (subscription.subscribed() && message.scopeEpoch() <= subscription.scopeEpoch()) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+                    "scopeEpoch: " + message.scopeEpoch() + " after " + subscription.scopeEpoch());
+        } else if (message.held().number() < 0
+                || message.held().cluster() == 0 && message.held().number() != 0) {
+            throw new Refusal(RejectionReason.MALFORMED, "held: " + message.held());
+        }
+        checkScope(message.scope(), served, sizes);
+    }
+
+    private static void checkScope(Scope scope, Scope served, Limits.Sizes sizes) throws Refusal {
+        int names = scope.services().size() + scope.zones().size();
+        if (scope.isEmpty()) {
+            throw new Refusal(RejectionReason.EMPTY_SCOPE, "scope: no service and no zone");
+        } else if (names > sizes.scopeNames()) {
+            throw new Refusal(RejectionReason.TOO_LARGE,
+                    "scope: " + names + " of " + sizes.scopeNames() + " names");
+        }
+        checkNames("services", scope.services(), sizes);
+        checkNames("zones", scope.zones(), sizes);
+        String missing = served.missing(scope);
+        if (missing != null) {
+            throw new Refusal(RejectionReason.UNKNOWN_SCOPE, missing);
+        }
+    }
+
+    private static void checkNames(String field, Collection<String> names, Limits.Sizes sizes)
+            throws Refusal {
+        for (String name : names) {
+            checkName(field, name, sizes);
+        }
+    }
+
+    private static void checkName(String field, String name, Limits.Sizes sizes) throws Refusal {
+        if (name.isEmpty()) {
+            throw new Refusal(RejectionReason.MALFORMED, field + ": empty name");
+        } else if (name.length() > sizes.nameLength()) {
+            throw new Refusal(RejectionReason.TOO_LARGE,
+                    field + ": " + name.length() + " of " + sizes.nameLength()
+                            + " characters");
+        }
+    }
+}
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -1,20 +1,33 @@
 package rockshift.distribution;
 
+import java.util.ArrayDeque;
 import java.util.Collection;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** The upstream side of a governor or relay: keeps one subscription going over a choice of upstreams. */
+/**
+ * The upstream side of a governor or relay: keeps one subscription going over a choice of upstreams, and
+ * knows how old what it holds may be. Whatever comes wrong is refused whole, and what was held stays.
+ */
 public final class Subscriber {
-    /** What the host carries out. Calls into the subscriber from within these are not allowed, but for {@link #acknowledged}. */
+    /**
+     * What the host carries out. Calls into the subscriber from within these are not allowed, but for {@link
+     * #acknowledged}.
+     */
     public interface Effects {
-        /** Opens a connection to an upstream, by its place in the host's list; answered by connected or disconnected. */
+        /**
+         * Opens a connection to an upstream, by its place in the host's list; answered by connected or
+         * disconnected.
+         */
         void connect(int upstream);
 
         /** Ends the connection, or the attempt at one. No {@link #disconnected} need follow. */
         void disconnect(RejectionReason why, String place);
 
+        /** Hands over a message, to be written in order. */
         void send(DistributionMessage message);
 
         /** A whole state takes the place of what was held. */
@@ -30,81 +43,396 @@
         default void notice(RejectionReason reason, String place) {}
     }
 
+    private enum Phase {
+        WAITING, CONNECTING, CONNECTED
+    }
+
+    /** A state or difference handed over and not yet in force. */
+    private record Delivery(Revision revision, long scopeEpoch) {}
+
+    /** More deliveries are not told apart: the oldest is taken as part of the next. */
+    private static final int MOST_DELIVERIES = 64;
+    private static final long NEVER = Long.MIN_VALUE;
+
+    private final String name;
+    private final int upstreams;
+    private final Limits limits;
+    private final Effects effects;
+    private final Supplier<Summary> summary;
+    private final BackOff backOff;
+    private final Rejections rejections = new Rejections();
+
+    private Scope scope;
+    private long scopeEpoch = 1;
+    private final HeldState held;
+    private boolean wantsSnapshot;
+    private long adopted;
+    private SnapshotAssembly assembly;
+    private final ArrayDeque<Delivery> deliveries = new ArrayDeque<>();
+    private Revision inForce = Revision.NONE;
+    private long inForceEpoch;
+
+    private Phase phase = Phase.WAITING;
+    private boolean started;
+    private boolean subscribed;
+    private int upstream;
+    private long waitUntil;
+    private long connectBy;
+    private long heardAt;
+    private long acknowledgedAt;
+    private Summary summarySent;
+
+    private long freshAt = NEVER;
+    private int staleUpstreams;
+    private long staleMoveAt;
+
     /**
      * A subscriber that holds nothing and is not connected; the first {@link #tick} begins.
      *
      * @param upstreams how many there are to choose from
      */
     public Subscriber(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random,
-            Effects effects) {}
+            Effects effects) {
+        this(name, scope, upstreams, limits, random, effects, null);
+    }
+
+    /** As above, with the sum of what is in force below; null: there is nobody below. */
+    Subscriber(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random,
+            Effects effects,
+            Supplier<Summary> below) {
+        this.name = name;
+        this.scope = scope;
+        this.upstreams = upstreams;
+        this.limits = limits;
+        this.effects = effects;
+        this.summary = below == null ? () -> Summary.ofOne(name, reportedInForce().number()) : below;
+        this.held = new HeldState(limits.sizes());
+        this.backOff = new BackOff(limits.timing(), random);
+        this.upstream = random.nextInt(upstreams);
+    }
 
     /** Takes up what was kept from an earlier run, before the first tick; it counts as in force. */
     public void restore(Revision revision, Collection<Item> items) {
-        throw new UnsupportedOperationException();
+        Map<String, Long> digests = new HashMap<>();
+        items.forEach(item -> digests.put(item.key(), item.digest()));
+        held.replace(revision, scopeEpoch, digests);
+        inForce = revision;
+        inForceEpoch = scopeEpoch;
     }
 
     /** The connection that was asked for is up. */
     public void connected(long now) {
-        throw new UnsupportedOperationException();
+        if (phase != Phase.CONNECTING) {
+            return;
+        }
+        phase = Phase.CONNECTED;
+        heardAt = now;
+        subscribe(now);
     }
 
     /** The connection, or the attempt at one, has ended. */
     public void disconnected(long now) {
-        throw new UnsupportedOperationException();
+        if (phase != Phase.WAITING) {
+            retry(now + backOff.next(), true);
+        }
     }
 
     /** A message came over the connection. */
     public void received(DistributionMessage message, long now) {
-        throw new UnsupportedOperationException();
+        if (phase != Phase.CONNECTED) {
+            return;
+        }
+        heardAt = now;
+        try {
+            if (message instanceof DistributionMessage.Rejected rejected) {
+                rejected(rejected, now);
+            } else if (message.scopeEpoch() > scopeEpoch) {
+                throw new Refusal(RejectionReason.MALFORMED,
+                        "scopeEpoch: " + message.scopeEpoch() + " of " + scopeEpoch);
+            } else if (message.scopeEpoch() == scopeEpoch) {
+                take(message, now);
+            }
+        } catch (Refusal refusal) {
+            wantsSnapshot |= refusal.reason() == RejectionReason.DIGEST_MISMATCH;
+            end(refusal.reason(), refusal.place(), now);
+        }
     }
 
     /** The host could not read what came: counts it and ends the connection. */
     public void refused(RejectionReason reason, String place, long now) {
-        throw new UnsupportedOperationException();
+        if (phase != Phase.WAITING) {
+            end(reason, place, now);
+        }
     }
 
-    /** What was handed over as this revision is in force. */
+    /**
+     * What was handed over as this revision is in force. To be called for each, in order, or for the last of
+     * several.
+     */
     public void acknowledged(Revision revision, long now) {
-        throw new UnsupportedOperationException();
+        if (deliveries.stream().noneMatch(each -> each.revision().equals(revision))) {
+            return;
+        }
+        Delivery done = deliveries.poll();
+        while (!done.revision().equals(revision)) {
+            done = deliveries.poll();
+        }
+        inForce = deliveries.isEmpty() ? held.revision() : done.revision();
+        inForceEpoch = done.scopeEpoch();
+        if (phase == Phase.CONNECTED) {
+            acknowledge(now);
+        }
     }
 
     /** Does what is due: silence, reconnection. To be called every 50 ms or so. */
     public void tick(long now) {
-        throw new UnsupportedOperationException();
+        switch (phase) {
+            case WAITING -> {
+                if (!started) {
+                    started = true;
+                    waitUntil = now + backOff.upTo(limits.timing().backOff());
+                }
+                if (now >= waitUntil) {
+                    phase = Phase.CONNECTING;
+                    connectBy = now + limits.timing().connect();
+                    effects.connect(upstream);
+                }
+            }
+            case CONNECTING -> {
+                if (now >= connectBy) {
+                    end(RejectionReason.UNREACHABLE, "upstream " + upstream, now);
+                }
+            }
+            default -> {
+                if (now - heardAt >= limits.timing().silence()) {
+                    end(RejectionReason.SILENT, (now - heardAt) + " ms", now);
+                } else if (now - acknowledgedAt >= limits.timing().acknowledge()
+                        && !summary.get().equals(summarySent)) {
+                    acknowledge(now);
+                }
+            }
+        }
     }
 
-    /** Asks for another scope from now on. */
-    public void scope(Scope scope, long now) {
-        throw new UnsupportedOperationException();
+    /** Asks for another scope from now on. What is held stays until the first snapshot of the new one. */
+    public void scope(Scope wanted, long now) {
+        scope = wanted;
+        scopeEpoch++;
+        if (phase == Phase.CONNECTED) {
+            subscribe(now);
+        }
     }
 
     /** Staff decided to follow another cluster: what is held stays until its first snapshot. */
     public void adopt(long cluster, long now) {
-        throw new UnsupportedOperationException();
+        adopted = cluster;
+        wantsSnapshot |= held.revision().cluster() != cluster;
+        if (phase != Phase.WAITING) {
+            end(RejectionReason.OTHER_CLUSTER, "adopts " + Long.toHexString(cluster), now);
+        }
     }
 
     /** What is held. */
     public Revision held() {
-        throw new UnsupportedOperationException();
+        return held.revision();
     }
 
-    /** What is held was the newest there is at this time, by the clock that is handed in; the lowest long if it never was. */
+    /**
+     * What is held was the newest there is at this time, by the clock that is handed in; the lowest long if
+     * it never was.
+     */
     public long freshAt() {
-        throw new UnsupportedOperationException();
+        return freshAt;
     }
 
     /** How old what is held may be, in milliseconds. */
     public long age(long now) {
-        throw new UnsupportedOperationException();
+        return freshAt == NEVER ? Long.MAX_VALUE : now - freshAt;
     }
 
     /** Whether a subscription stands, so that what is held is kept up. */
     public boolean subscribed() {
-        throw new UnsupportedOperationException();
+        return phase == Phase.CONNECTED && subscribed;
     }
 
     /** How often each reason was given, by either side. */
     public Map<RejectionReason, Long> rejections() {
-        throw new UnsupportedOperationException();
+        return rejections.counts();
+    }
+
+    private void subscribe(long now) {
+        assembly = null;
+        subscribed = false;
+        boolean resumes = !wantsSnapshot && held.scopeEpoch() == scopeEpoch;
+        effects.send(new DistributionMessage.Subscribe(name, scopeEpoch, scope,
+                resumes ? held.revision() : Revision.NONE,
+                now));
+    }
+
+    private void take(DistributionMessage message, long now) throws Refusal {
+        if (message instanceof DistributionMessage.SnapshotPart part) {
+            take(part, now);
+        } else if (message instanceof DistributionMessage.Difference difference) {
+            take(difference, now);
+        } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
+            take(heartbeat, now);
+        } else if (message instanceof DistributionMessage.Notice notice) {
+            rejections.count(notice.reason());
+            effects.notice(notice.reason(), notice.place());
+        } else {
+            throw new Refusal(RejectionReason.MALFORMED,
+                    "a subscriber takes no " + message.getClass().getSimpleName());
+        }
+    }
+
+    private void take(DistributionMessage.SnapshotPart part, long now) throws Refusal {
+        if (assembly == null) {
+            checkFollows(part.revision());
+            assembly = new SnapshotAssembly(part, limits.sizes());
+        }
+        assembly.add(part, scope);
+        if (!assembly.complete()) {
+            acknowledge(now);
+            return;
+        }
+        SnapshotAssembly whole = assembly;
+        assembly = null;
+        wantsSnapshot = false;
+        adopted = 0;
+        if (!held.revision().sameCluster(whole.revision())) {
+            inForce = Revision.NONE;
+            freshAt = NEVER;
+        }
+        held.replace(whole.revision(), scopeEpoch, whole.digests());
+        delivered();
+        effects.snapshot(whole.revision(), whole.items());
+    }
+
+    private void checkFollows(Revision revision) throws Refusal {
+        Revision holds = held.revision();
+        boolean follows = holds.isNone() || holds.sameCluster(revision);
+        if (revision.isNone() || revision.number() < 0) {
+            throw new Refusal(RejectionReason.MALFORMED, "revision: " + revision);
+        } else if (!follows && revision.cluster() != adopted
+                || adopted != 0 && revision.cluster() != adopted) {
+            throw new Refusal(RejectionReason.OTHER_CLUSTER, "revision: " + revision + ", held " + holds);
+        } else if (follows && revision.number() < holds.number()) {
+            throw new Refusal(RejectionReason.FUTURE_REVISION,
+                    "revision: " + revision + " is older than " + holds);
+        }
+    }
+
+    private void take(DistributionMessage.Difference difference, long now) throws Refusal {
+        if (assembly != null) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
+        }
+        held.apply(difference, scope);
+        delivered();
+        effects.difference(difference.to(), difference.updates());
+    }
+
+    private void delivered() {
+        if (deliveries.size() == MOST_DELIVERIES) {
+            deliveries.poll();
+        }
+        deliveries.add(new Delivery(held.revision(), scopeEpoch));
+    }
+
+    private void take(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
+        if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > now) {
+            throw new Refusal(RejectionReason.MALFORMED, "heartbeat: stale for " + heartbeat.staleMillis()
+                    + " ms, answers " + heartbeat.echoMillis() + " at " + now);
+        }
+        if (!heartbeat.current().isNone()) {
+            checkStandsAt(heartbeat);
+            advance(heartbeat.current());
+            freshAt = Math.max(freshAt, heartbeat.echoMillis() - heartbeat.staleMillis());
+            subscribed = true;
+            backOff.reset();
+        }
+        acknowledge(now);
+        leaveIfStale(heartbeat, now);
+    }
+
+    private void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws Refusal {
+        Revision current = heartbeat.current();
+        Revision holds = held.revision();
+        if (assembly != null || held.scopeEpoch() != scopeEpoch || wantsSnapshot) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+                    "current: " + current + " before the whole snapshot");
+        } else if (!holds.sameCluster(current)) {
+            throw new Refusal(RejectionReason.OTHER_CLUSTER, "current: " + current + ", held " + holds);
+        } else if (current.number() < holds.number()) {
+            throw new Refusal(RejectionReason.FUTURE_REVISION, "current: " + current + ", held " + holds);
+        } else if (heartbeat.digest() != held.digest()) {
+            throw new Refusal(RejectionReason.DIGEST_MISMATCH, "current: " + current + ", held " + holds);
+        }
+    }
+
+    private void advance(Revision current) {
+        if (current.number() == held.revision().number()) {
+            return;
+        }
+        held.advance(current);
+        if (deliveries.isEmpty()) {
+            inForce = current;
+        }
+        effects.advanced(current);
+    }
+
+    /**
+     * Moves to the next upstream once for each; when all are out of date it stays a while, and then looks
+     * again.
+     */
+    private void leaveIfStale(DistributionMessage.Heartbeat heartbeat, long now) {
+        if (heartbeat.staleMillis() <= limits.timing().stale()) {
+            staleUpstreams = 0;
+        } else if (!heartbeat.current().isNone() && now >= staleMoveAt && upstreams > 1) {
+            staleUpstreams++;
+            if (staleUpstreams >= upstreams) {
+                staleUpstreams = 0;
+                staleMoveAt = now + limits.timing().staleRetry() / 2
+                        + backOff.upTo(limits.timing().staleRetry() / 2);
+            } else {
+                end(RejectionReason.STALE_UPSTREAM, "stale for " + heartbeat.staleMillis() + " ms", now);
+            }
+        }
+    }
+
+    private void rejected(DistributionMessage.Rejected rejected, long now) {
+        rejections.count(rejected.reason());
+        effects.disconnect(rejected.reason(), rejected.place());
+        long wait = backOff.next();
+        long told = Math.min(Math.max(0, rejected.retryAfterMillis()), limits.admission().mostRetryMillis());
+        retry(now + Math.max(wait, told), rejected.reason() != RejectionReason.BUSY);
+    }
+
+    private void end(RejectionReason reason, String place, long now) {
+        rejections.count(reason);
+        effects.disconnect(reason, place);
+        retry(now + backOff.next(), true);
+    }
+
+    private void retry(long at, boolean elsewhere) {
+        phase = Phase.WAITING;
+        subscribed = false;
+        assembly = null;
+        summarySent = null;
+        waitUntil = at;
+        if (elsewhere) {
+            upstream = (upstream + 1) % upstreams;
+        }
+    }
+
+    private void acknowledge(long now) {
+        acknowledgedAt = now;
+        summarySent = summary.get();
+        effects.send(new DistributionMessage.Acknowledge(scopeEpoch, reportedInForce(),
+                assembly == null ? 0 : assembly.received(), summarySent, now));
+    }
+
+    /** What is in force of the scope that is asked for now. */
+    private Revision reportedInForce() {
+        return inForceEpoch == scopeEpoch ? inForce : Revision.NONE;
     }
 }
--- a/src/main/java/rockshift/distribution/Summary.java
+++ b/src/main/java/rockshift/distribution/Summary.java
@@ -1,8 +1,8 @@
 package rockshift.distribution;
 
 /**
- * What is in force at a subscriber and below it, summed up on the way back. A relay sends the sum of its subscribers, so that a member
- * learns of all governors from a few relays.
+ * What is in force at a subscriber and below it, summed up on the way back. A relay sends the sum of its
+ * subscribers, so that a member learns of all governors from a few relays.
  *
  * @param lowestRevision the lowest number that is in force at any of the governors counted
  * @param subscribers governors connected; relays are not counted
@@ -21,7 +21,9 @@
         return lowestRevision >= revision && behind == 0 && unreachable == 0;
     }
 
-    /** Whether a revision is in force at each governor of the roster, none left out and none counted twice. */
+    /**
+     * Whether a revision is in force at each governor of the roster, none left out and none counted twice.
+     */
     public boolean inForceEverywhere(long revision, Roster roster) {
         return inForce(revision) && subscribers == roster.subscribers()
                 && fingerprint == roster.fingerprint();
