--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -283,7 +283,7 @@
                 Farm.await(() -> done.get() >= reached, 600_000);
                 double most = 0;
                 for (int i = 0; i < 3; i++) {
-                    most = Math.max(most, resident(farm.pid(i)));
+                    most = Math.max(most, ProcessUsage.of(farm.pid(i)).residentMegabytes());
                 }
                 held.put(next, most);
             }
@@ -294,15 +294,6 @@
         return held;
     }
 
-    private static double resident(long pid) throws IOException {
-        for (String line : Files.readAllLines(Path.of("/proc", Long.toString(pid), "status"))) {
-            if (line.startsWith("VmRSS:")) {
-                return Long.parseLong(line.replaceAll("\\D", "")) / 1024.0;
-            }
-        }
-        return Double.NaN;
-    }
-
     /** From the end of the one that leads until another says that it does. */
     private void leaderless(int kills) throws IOException, InterruptedException {
         Histogram taken = new Histogram(3);
--- a/src/main/java/rockshift/kit/Farm.java
+++ b/src/main/java/rockshift/kit/Farm.java
@@ -2,32 +2,18 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStream;
-import java.net.InetAddress;
-import java.net.ServerSocket;
-import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 
 /**
  * Governors that agree, as processes on loopback, with a relay on each way between two of them and one before each for
  * commands, and a stand-in for discovery. It owns the processes that it starts and ends them all, also when it is ended itself.
  */
 public final class Farm implements AutoCloseable {
-    /** The platform's own options for a governor. */
-    private static final List<String> JAVA =
-            List.of("-Xmx64m", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-                    "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m", "-XX:MaxDirectMemorySize=8m",
-                    "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError");
     private static final int REPLICAS = 6;
 
     /** Hears each line that a governor logs. */
@@ -45,7 +31,7 @@
     private final int[] lives;
     private final int[] ports;
     private final int[] streams;
-    private final ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private final DiscoveryStandIn discovery = new DiscoveryStandIn(REPLICAS, List.of("hall-a"));
     private final Thread atEnd = new Thread(this::killAll);
 
     public Farm(Path folder, int members, String election, long seed, Ear ear) throws IOException {
@@ -65,59 +51,9 @@
                 ways[i][j] = new Relay(seed * 31 + i * members + j);
             }
         }
-        Thread list = new Thread(this::discover, "discovery");
-        list.setDaemon(true);
-        list.start();
         Runtime.getRuntime().addShutdownHook(atEnd);
     }
 
-    /** A list that never changes: a watch of it is held for as long as it asks. */
-    private void discover() {
-        while (!discovery.isClosed()) {
-            try {
-                Socket call = discovery.accept();
-                Thread one = new Thread(() -> answer(call), "discovery-call");
-                one.setDaemon(true);
-                one.start();
-            } catch (IOException closed) {
-                return;
-            }
-        }
-    }
-
-    private void answer(Socket call) {
-        try (call) {
-            StringBuilder head = new StringBuilder();
-            InputStream in = call.getInputStream();
-            for (int b = in.read(); b >= 0; b = in.read()) {
-                head.append((char) b);
-                if (head.indexOf("\r\n\r\n") >= 0) {
-                    Matcher wait = Pattern.compile("wait=(\\d+)").matcher(head);
-                    if (wait.find()) {
-                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(Long.parseLong(wait.group(1))));
-                    }
-                    String body = list();
-                    call.getOutputStream()
-                            .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n"
-                                    + body).getBytes(StandardCharsets.US_ASCII));
-                    head.setLength(0);
-                }
-            }
-        } catch (IOException ended) {
-            // The governor went.
-        }
-    }
-
-    private static String list() {
-        List<String> entries = new ArrayList<>();
-        for (int i = 0; i < REPLICAS; i++) {
-            entries.add("{\"instanceId\":\"s-" + i
-                    + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"hall-a\",\"machineType\":\"m\","
-                    + "\"cell\":0,\"lifecycle\":\"Ready\",\"weight\":1.0,\"startedAtMs\":0}");
-        }
-        return "{\"generation\":1,\"reset\":true,\"instances\":[" + String.join(",", entries) + "]}";
-    }
-
     /** The address at which a member takes commands, whatever is cut. */
     public String front(int member) {
         return fronts[member].address();
@@ -152,9 +88,9 @@
         }
         Files.writeString(folder.resolve("governor" + member + ".json"), "{\"name\":\"n" + member
                 + "\",\"listen\":"
-                + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"seed\":\""
+                + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.port() + "\",\"seed\":\""
                 + (member + 1)
-                + "\",\"limits\":{\"sockets\":512},\"known\":" + list()
+                + "\",\"limits\":{\"sockets\":512},\"known\":" + discovery.list()
                 + ",\"settings\":{\"dcs\":[\"hall-a\"],"
                 + "\"granularity_us\":5000,\"report\":{\"names\":[\"util\"]},\"classes\":[{\"name\":\"subset\",\"worth\":1.0}],"
                 + "\"domain\":{\"proxy_count\":8,\"channel_rate\":5000,\"backlog\":5000.0,\"fixed_cost\":3.0}}}");
@@ -164,15 +100,9 @@
     /** Starts a member's process, and waits until it takes part and serves. */
     public void start(int member) throws IOException, InterruptedException {
         Path operator = write(member);
-        List<String> command =
-                new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        command.addAll(JAVA);
-        command.addAll(
-                List.of("-cp", System.getProperty("java.class.path"), "rockshift.Main", "serve", "--operator",
-                        operator.toString()));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-        builder.environment()
-                .putAll(Map.of("RELAY_CONFIG", folder.resolve("governor" + member + ".json").toString()));
+        ProcessBuilder builder =
+                GovernorProcess.command(folder.resolve("governor" + member + ".json"), List.of(),
+                        List.of("--operator", operator.toString()));
         int life = ++lives[member];
         ports[member] = 0;
         streams[member] = 0;
--- /dev/null
+++ b/src/main/java/rockshift/kit/ProcessUsage.java
@@ -0,0 +1,82 @@
+package rockshift.kit;
+
+import java.io.IOException;
+import java.nio.file.DirectoryStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * What a process has used so far, as the kernel counts it. Seconds of threads are by the thread's name, cut by the kernel at 15
+ * characters; threads that ended are in the process's seconds alone.
+ */
+public record ProcessUsage(long takenNanos, double processorSeconds, Map<String, Double> secondsByThread,
+        double residentMegabytes, double peakMegabytes) {
+    /** The kernel's unit of processor time in these files. */
+    private static final double TICKS_PER_SECOND = 100;
+    private static final double KIB_PER_MEGABYTE = 1024;
+    /** Places of user and system time behind the name in a stat file. */
+    private static final int USER_TICKS = 11;
+    private static final int SYSTEM_TICKS = 12;
+
+    /** Reads the counters now. */
+    public static ProcessUsage of(long pid) throws IOException {
+        Path process = Path.of("/proc", Long.toString(pid));
+        double resident = Double.NaN;
+        double peak = Double.NaN;
+        for (String line : Files.readAllLines(process.resolve("status"))) {
+            if (line.startsWith("VmRSS:")) {
+                resident = kibibytes(line) / KIB_PER_MEGABYTE;
+            } else if (line.startsWith("VmHWM:")) {
+                peak = kibibytes(line) / KIB_PER_MEGABYTE;
+            }
+        }
+        return new ProcessUsage(System.nanoTime(), seconds(Files.readString(process.resolve("stat"))),
+                threads(process.resolve("task")), resident, peak);
+    }
+
+    /** The share of one core between an earlier look and this one. */
+    public double coreShareSince(ProcessUsage earlier) {
+        return (processorSeconds - earlier.processorSeconds) / secondsSince(earlier);
+    }
+
+    /** The share of one core that threads of a name took between an earlier look and this one. */
+    public double coreShareSince(ProcessUsage earlier, String thread) {
+        return (secondsByThread.getOrDefault(thread, 0.0) - earlier.secondsByThread.getOrDefault(thread, 0.0))
+                / secondsSince(earlier);
+    }
+
+    private double secondsSince(ProcessUsage earlier) {
+        return (takenNanos - earlier.takenNanos) / 1e9;
+    }
+
+    private static Map<String, Double> threads(Path tasks) throws IOException {
+        Map<String, Double> seconds = new TreeMap<>();
+        try (DirectoryStream<Path> each = Files.newDirectoryStream(tasks)) {
+            for (Path task : each) {
+                thread(task, seconds);
+            }
+        }
+        return seconds;
+    }
+
+    private static void thread(Path task, Map<String, Double> seconds) {
+        try {
+            String stat = Files.readString(task.resolve("stat"));
+            String name = stat.substring(stat.indexOf('(') + 1, stat.lastIndexOf(')'));
+            seconds.merge(name, seconds(stat), Double::sum);
+        } catch (IOException ended) {
+            // The thread ended after it was listed.
+        }
+    }
+
+    private static double seconds(String stat) {
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS])) / TICKS_PER_SECOND;
+    }
+
+    private static double kibibytes(String line) {
+        return Double.parseDouble(line.replaceAll("\\D", ""));
+    }
+}
--- a/src/main/java/rockshift/net/RespCodec.java
+++ b/src/main/java/rockshift/net/RespCodec.java
@@ -11,7 +11,7 @@
  * the words in them. It owns the bytes of one connection's unfinished message and nothing else. It must
  * never wait, never keep more than one message may hold, and never act on what a message says.
  */
-final class RespCodec {
+public final class RespCodec {
     /** Bytes: the longest message that the protocol allows. */
     static final int LONGEST = 1 << 20;
     /** Bytes kept for each connection while it is quiet; most messages fit. */
@@ -58,7 +58,7 @@
     static final String MORE = "more";
 
     /** Bytes that are no message: nothing after them can be read either. The code names the reason. */
-    static final class Broken extends Exception {
+    public static final class Broken extends Exception {
         private static final long serialVersionUID = 1L;
         final String code;
 
@@ -69,7 +69,7 @@
     }
 
     /** A message that can be read and not be used; the next one may be good. It keeps no trace: many may come. */
-    static final class Spoilt extends Exception {
+    public static final class Spoilt extends Exception {
         private static final long serialVersionUID = 1L;
         final String code;
 
@@ -92,7 +92,7 @@
     private int read;
 
     /** Takes over bytes that came. */
-    void feed(ByteBuffer came) {
+    public void feed(ByteBuffer came) {
         if (begin > 0 && end + came.remaining() > bytes.length) {
             compact();
         }
@@ -120,7 +120,7 @@
     }
 
     /** Whether one more whole message was read; its strings are valid until the next call. */
-    boolean next() throws Broken {
+    public boolean next() throws Broken {
         if (strings >= 0 && read == strings) {
             begin = at;
             read = 0;
@@ -200,7 +200,7 @@
         return new String(bytes, cuts[2 * i], cuts[2 * i + 1] - cuts[2 * i], StandardCharsets.UTF_8);
     }
 
-    String kind() {
+    public String kind() {
         return string(0);
     }
 
@@ -230,11 +230,11 @@
         return same;
     }
 
-    boolean has(String name) {
+    public boolean has(String name) {
         return find(name) != null;
     }
 
-    String text(String name) throws Spoilt {
+    public String text(String name) throws Spoilt {
         String value = find(name);
         if (value == null) {
             throw new Spoilt("bad-field", kind() + " without " + name);
@@ -282,7 +282,7 @@
     }
 
     /** The bytes of one message. */
-    static byte[] message(List<String> strings) {
+    public static byte[] message(List<String> strings) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(ascii("*" + strings.size() + "\r\n"));
         for (String string : strings) {
--- /dev/null
+++ b/src/main/java/rockshift/scale/GovernorRun.java
@@ -0,0 +1,166 @@
+package rockshift.scale;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import rockshift.kit.DiscoveryStandIn;
+import rockshift.kit.GovernorProcess;
+import rockshift.kit.ProcessUsage;
+
+/**
+ * One real governor as a process of its own, with a fleet of some shape before it, watched for a while once all proxies have
+ * tables or the wait for them is over. It owns the process and everything it talks to, and ends them also when it is ended.
+ */
+public final class GovernorRun implements AutoCloseable {
+    private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
+    /** What the collector's log says after each collection: heap before, heap after, heap committed. */
+    private static final Pattern COLLECTION = Pattern.compile("(\\d+)M->(\\d+)M\\((\\d+)M\\)");
+    private static final String FOLDER_PREFIX = "rockshift-scale";
+    private static final int START_SECONDS = 30;
+    /** Ms that a rig's round of reports may be late before the run counts for nothing: two rounds. */
+    private static final long RIG_LATE_MILLIS = 100;
+
+    /** How long a run waits and watches, in ms. */
+    public record Times(long tables, long settle, long watch) {}
+
+    private final FleetShape shape;
+    private final Path folder;
+    private final boolean watchHeap;
+    private final DiscoveryStandIn discovery;
+    private final Process governor;
+    private final CompletableFuture<Integer> port = new CompletableFuture<>();
+    private final Thread atEnd;
+
+    private GovernorRun(FleetShape shape, Path folder, boolean watchHeap) throws IOException {
+        this.shape = shape;
+        this.folder = folder;
+        this.watchHeap = watchHeap;
+        discovery = new DiscoveryStandIn(shape.replicas(), shape.zoneNames());
+        Path file = Files.writeString(folder.resolve("governor.json"),
+                shape.configuration(discovery.port(), discovery.list()));
+        List<String> options = watchHeap ? List.of("-Xlog:gc:file=" + folder.resolve("gc.log")) : List.of();
+        governor = GovernorProcess.command(file, options, List.of()).start();
+        atEnd = new Thread(this::end);
+        Runtime.getRuntime().addShutdownHook(atEnd);
+        Thread reader = new Thread(this::readLog, "governor's log");
+        reader.setDaemon(true);
+        reader.start();
+    }
+
+    /**
+     * Runs once, with its files in a folder of its own under another while it runs. A run that watches the heap has the
+     * collector's log on, and its other figures are not for slopes. The run's number is the seed of its reports.
+     */
+    public static GovernorSample measure(FleetShape shape, int run, boolean watchHeap, Times times,
+            Path under)
+            throws IOException, InterruptedException {
+        Path folder = Files.createTempDirectory(under, FOLDER_PREFIX);
+        try (GovernorRun governor = new GovernorRun(shape, folder, watchHeap)) {
+            return governor.measure(run, times);
+        }
+    }
+
+    /** Ends the process and leaves nothing behind; also run when this program is ended. */
+    private void end() {
+        governor.destroyForcibly().onExit().join();
+        for (String file : List.of("governor.json", "gc.log", "")) {
+            folder.resolve(file).toFile().delete();
+        }
+    }
+
+    private void readLog() {
+        try (BufferedReader lines = governor.inputReader()) {
+            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+                Matcher serves = PORT.matcher(line);
+                if (serves.find()) {
+                    port.complete(Integer.parseInt(serves.group(1)));
+                }
+            }
+        } catch (IOException killed) {
+            // The run is over.
+        }
+        port.completeExceptionally(new IOException("the governor ended as it started"));
+    }
+
+    private GovernorSample measure(int run, Times times) throws IOException, InterruptedException {
+        try (FleetStandIn fleet = new FleetStandIn(shape, awaitPort(), run)) {
+            double tables = awaitTables(fleet, times.tables());
+            TimeUnit.MILLISECONDS.sleep(times.settle());
+            long lateBefore = fleet.latestMillis();
+            ProcessUsage before = ProcessUsage.of(governor.pid());
+            FleetStandIn.Traffic sent = fleet.traffic();
+            DiscoveryStandIn.Traffic asked = discovery.traffic();
+            TimeUnit.MILLISECONDS.sleep(times.watch());
+            ProcessUsage after = ProcessUsage.of(governor.pid());
+            FleetStandIn.Traffic total = fleet.traffic();
+            DiscoveryStandIn.Traffic answered = discovery.traffic();
+            double seconds = (after.takenNanos() - before.takenNanos()) / 1e9;
+            Heap heap = watchHeap ? heap() : new Heap(Double.NaN, Double.NaN);
+            boolean late = fleet.latestMillis() > Math.max(lateBefore, RIG_LATE_MILLIS);
+            return new GovernorSample(shape, run, after.coreShareSince(before),
+                    after.coreShareSince(before, "event-loop"),
+                    after.coreShareSince(before) - after.coreShareSince(before, "event-loop"),
+                    (total.bytesIn() - sent.bytesIn()) / seconds,
+                    (total.bytesOut() - sent.bytesOut()) / seconds,
+                    (total.messagesIn() - sent.messagesIn()) / seconds,
+                    (total.messagesOut() - sent.messagesOut()) / seconds,
+                    (answered.bytes() - asked.bytes()) / seconds, after.residentMegabytes(),
+                    after.peakMegabytes(), heap.live(), heap.committed(), tables,
+                    fleet.withTables(), fleet.lostConnections(), fleet.droppedReports(), fleet.latestMillis(),
+                    ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage(), late);
+        }
+    }
+
+    private int awaitPort() throws IOException, InterruptedException {
+        try {
+            return port.get(START_SECONDS, TimeUnit.SECONDS);
+        } catch (ExecutionException | TimeoutException failure) {
+            throw new IOException("the governor does not serve: " + failure.getMessage(), failure);
+        }
+    }
+
+    /** Seconds until all proxies had a table, or NaN where the wait was over before. */
+    private double awaitTables(FleetStandIn fleet, long millis) throws InterruptedException {
+        long began = System.nanoTime();
+        while (fleet.withTables() < shape.proxies()) {
+            if (System.nanoTime() - began > TimeUnit.MILLISECONDS.toNanos(millis)) {
+                return Double.NaN;
+            }
+            TimeUnit.MILLISECONDS.sleep(10);
+        }
+        return (System.nanoTime() - began) / 1e9;
+    }
+
+    /** The heap that was left after the last collection, and the most that was ever committed, in MB. */
+    private record Heap(double live, double committed) {}
+
+    private Heap heap() throws IOException {
+        double live = Double.NaN;
+        double committed = Double.NaN;
+        for (String line : Files.readAllLines(folder.resolve("gc.log"))) {
+            Matcher collection = COLLECTION.matcher(line);
+            if (collection.find()) {
+                live = Double.parseDouble(collection.group(2));
+                committed = Math.max(Double.isNaN(committed) ? 0 : committed,
+                        Double.parseDouble(collection.group(3)));
+            }
+        }
+        return new Heap(live, committed);
+    }
+
+    @Override
+    public void close() throws IOException {
+        end();
+        discovery.close();
+        Runtime.getRuntime().removeShutdownHook(atEnd);
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/scale/GovernorSweep.java
@@ -0,0 +1,175 @@
+package rockshift.scale;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import java.util.function.Consumer;
+import java.util.function.ToDoubleFunction;
+
+/** Runs of one real governor over sizes, and the lines through what they used. */
+public final class GovernorSweep {
+    /** Core shares from which a governor is busy throughout: what it uses then tells no slope. */
+    private static final double SATURATED = 0.95;
+
+    /** What is measured of each run and fitted against the size. */
+    public enum Figure {
+        CORE_SHARE("share of a core", GovernorSample::coreShare),
+        DECISION_SHARE("share of a core that decides", GovernorSample::decisionShare),
+        SOCKET_SHARE("share of a core for sockets and the virtual machine", GovernorSample::socketShare),
+        BYTES_IN("bytes a second in", GovernorSample::bytesIn),
+        BYTES_OUT("bytes a second out", GovernorSample::bytesOut),
+        MESSAGES_IN("messages a second in", GovernorSample::messagesIn),
+        MESSAGES_OUT("messages a second out", GovernorSample::messagesOut),
+        RESIDENT("MB resident", GovernorSample::residentMegabytes),
+        PEAK("MB resident at the peak", GovernorSample::peakMegabytes),
+        HEAP("MB of heap after a collection", GovernorSample::heapMegabytes),
+        TABLES("s until all proxies have tables", GovernorSample::tablesSeconds);
+
+        private final String unit;
+        private final ToDoubleFunction<GovernorSample> of;
+
+        Figure(String unit, ToDoubleFunction<GovernorSample> of) {
+            this.unit = unit;
+            this.of = of;
+        }
+
+        public String unit() {
+            return unit;
+        }
+
+        public double of(GovernorSample sample) {
+            return of.applyAsDouble(sample);
+        }
+    }
+
+    /** What the size is: the one dimension that a sweep varies, or replicas times classes where it varies both. */
+    public enum Size {
+        REPLICAS(shape -> shape.replicas()),
+        CLASSES(shape -> shape.classes()),
+        PROXIES(shape -> shape.proxies()),
+        REPLICAS_TIMES_CLASSES(shape -> (double) shape.replicas() * shape.classes());
+
+        private final ToDoubleFunction<FleetShape> of;
+
+        Size(ToDoubleFunction<FleetShape> of) {
+            this.of = of;
+        }
+
+        public double of(FleetShape shape) {
+            return of.applyAsDouble(shape);
+        }
+
+        @Override
+        public String toString() {
+            return name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        }
+
+        /** The one that tells these shapes apart. */
+        public static Size of(List<FleetShape> shapes) {
+            boolean replicas = shapes.stream().mapToInt(FleetShape::replicas).distinct().count() > 1;
+            boolean classes = shapes.stream().mapToInt(FleetShape::classes).distinct().count() > 1;
+            boolean proxies = shapes.stream().mapToInt(FleetShape::proxies).distinct().count() > 1;
+            if (proxies) {
+                return PROXIES;
+            }
+            return replicas && classes ? REPLICAS_TIMES_CLASSES : classes ? CLASSES : REPLICAS;
+        }
+    }
+
+    /** Median, least and most of some runs. */
+    public record Spread(double median, double least, double most) {
+        static Spread of(double[] values) {
+            double[] sorted = Arrays.stream(values).filter(value -> !Double.isNaN(value)).sorted().toArray();
+            if (sorted.length == 0) {
+                return new Spread(Double.NaN, Double.NaN, Double.NaN);
+            }
+            return new Spread((sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2, sorted[0],
+                    sorted[sorted.length - 1]);
+        }
+    }
+
+    private final List<GovernorSample> samples = new ArrayList<>();
+
+    /**
+     * Runs each shape some times, and once more with the heap watched. The runs of one shape go side by side, each with a process
+     * and a fleet of its own, as each takes half a minute until what starting costs is over.
+     */
+    public void run(List<FleetShape> shapes, int runs, GovernorRun.Times times, Path under,
+            Consumer<String> progress) throws IOException, InterruptedException {
+        ExecutorService beside = Executors.newFixedThreadPool(runs + 1);
+        try {
+            for (FleetShape shape : shapes) {
+                List<Callable<GovernorSample>> all = new ArrayList<>();
+                for (int run = 0; run <= runs; run++) {
+                    int number = run;
+                    all.add(() -> GovernorRun.measure(shape, number, number == 0, times, under));
+                }
+                for (Future<GovernorSample> run : beside.invokeAll(all)) {
+                    take(run.get(), progress);
+                }
+            }
+        } catch (ExecutionException failure) {
+            throw new IOException("a run failed: " + failure.getCause().getMessage(), failure.getCause());
+        } finally {
+            beside.shutdownNow();
+        }
+    }
+
+    private void take(GovernorSample sample, Consumer<String> progress) {
+        samples.add(sample);
+        progress.accept(String.format(Locale.ROOT,
+                "%s, run %d%s: %.1f%% of a core, %.1f MB, tables after %.1f s%s", sample.shape(),
+                sample.run(), sample.run() == 0 ? " (heap)" : "", 100 * sample.coreShare(),
+                sample.residentMegabytes(),
+                sample.tablesSeconds(), sample.isVoid() ? ", void: the rig was late" : ""));
+    }
+
+    public List<GovernorSample> samples() {
+        return samples;
+    }
+
+    /** The runs that count: heap runs for what they watch, the others for all else, and none that is void. */
+    private List<GovernorSample> counted(Figure figure) {
+        return samples.stream()
+                .filter(sample -> !sample.isVoid() && (sample.run() == 0) == (figure == Figure.HEAP)
+                        && !Double.isNaN(figure.of(sample)))
+                .toList();
+    }
+
+    /** Each figure by shape. */
+    public Map<FleetShape, Spread> spreads(Figure figure) {
+        Map<FleetShape, Spread> all = new LinkedHashMap<>();
+        for (GovernorSample sample : samples) {
+            all.computeIfAbsent(sample.shape(), shape -> Spread.of(counted(figure).stream()
+                    .filter(other -> other.shape().equals(shape)).mapToDouble(figure::of).toArray()));
+        }
+        return all;
+    }
+
+    /** The lines through what was measured below saturation; those with too few runs are left out. */
+    public Map<Figure, SlopeFit> fits(Size size) {
+        Map<Figure, SlopeFit> fits = new LinkedHashMap<>();
+        for (Figure figure : Figure.values()) {
+            List<GovernorSample> points =
+                    counted(figure).stream().filter(sample -> sample.coreShare() < SATURATED).toList();
+            if (points.size() > 2
+                    && points.stream().mapToDouble(sample -> size.of(sample.shape())).distinct().count()
+                            > 1) {
+                fits.put(figure,
+                        SlopeFit.of(points.stream().mapToDouble(sample -> size.of(sample.shape())).toArray(),
+                                points.stream().mapToDouble(figure::of).toArray()));
+            }
+        }
+        return fits;
+    }
+}
--- /dev/null
+++ b/src/test/java/rockshift/scale/ScaleCheckerTest.java
@@ -0,0 +1,227 @@
+package rockshift.scale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.Test;
+import rockshift.distribution.Item;
+import rockshift.distribution.Revision;
+import rockshift.distribution.Scope;
+import rockshift.distribution.Update;
+
+/** A run that is right passes; each planted fault is found, and counted as what it is. */
+class ScaleCheckerTest {
+    private static final long CLUSTER = 7;
+    private static final int CHANGES = 12;
+    private static final long SECOND = 1_000;
+    private static final String EVERYWHERE = "g-all";
+    private static final String CHARTS = "g-charts";
+    /** Cut from 4.5 s to 8.5 s. */
+    private static final String CUT = "g-cut";
+
+    private static Item item(int change) {
+        String service = change % 2 == 0 ? "charts" : "lookup";
+        return new Item("key-" + change % 5, service, "",
+                ("value " + change).getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static Update update(int change) {
+        return change == 9 ? Update.delete(change, item(change)) : Update.put(change, item(change));
+    }
+
+    private static Revision at(int change) {
+        return new Revision(CLUSTER, change);
+    }
+
+    private static long asked(int change) {
+        return change * SECOND;
+    }
+
+    /** What a right run sees: a change each second, in force 40 ms later, and after the cut in one difference. */
+    private static List<Observation> rightRun() {
+        List<Observation> seen = new ArrayList<>();
+        for (String governor : List.of(EVERYWHERE, CHARTS, CUT)) {
+            Scope scope = governor.equals(CHARTS) ? Scope.of(Set.of("charts"), Set.of()) : Scope.all();
+            seen.add(new Observation.Started(0, governor, scope));
+            seen.add(new Observation.SnapshotTaken(30, governor, at(0), List.of()));
+        }
+        for (int change = 1; change <= CHANGES; change++) {
+            seen.add(new Observation.Agreed(asked(change), update(change)));
+            long inForce = asked(change) + 40;
+            seen.add(new Observation.DifferenceTaken(inForce, EVERYWHERE, at(change),
+                    List.of(update(change))));
+            seen.add(change % 2 == 0
+                    ? new Observation.DifferenceTaken(inForce, CHARTS, at(change), List.of(update(change)))
+                    : new Observation.Advanced(inForce, CHARTS, at(change)));
+            seen.add(new Observation.AgeTold(asked(change) + 500, EVERYWHERE, 400));
+            atTheCutOne(change, seen);
+        }
+        seen.add(new Observation.Ended(20 * SECOND, CHARTS));
+        return seen;
+    }
+
+    private static void atTheCutOne(int change, List<Observation> seen) {
+        if (change <= 4 || change > 8) {
+            seen.add(new Observation.DifferenceTaken(asked(change) + 60, CUT, at(change),
+                    List.of(update(change))));
+        }
+        if (change == 4) {
+            seen.add(new Observation.CutOff(4_500, CUT));
+        }
+        if (change == 8) {
+            seen.add(new Observation.AgeTold(8_400, CUT, 4_350));
+            seen.add(new Observation.Healed(8_500, CUT));
+            seen.add(new Observation.DifferenceTaken(8_700, CUT, at(8),
+                    List.of(update(5), update(6), update(7), update(8))));
+        }
+    }
+
+    private static ScaleVerdict judge(List<Observation> seen) {
+        ScaleChecker checker = new ScaleChecker();
+        seen.forEach(checker::saw);
+        return checker.verdict();
+    }
+
+    /** The right run with what one governor saw at one revision replaced; null in place of it drops it. */
+    private static ScaleVerdict planted(String governor, int revision,
+            UnaryOperator<Observation.DifferenceTaken> fault) {
+        List<Observation> seen = new ArrayList<>();
+        for (Observation each : rightRun()) {
+            boolean hit = each instanceof Observation.DifferenceTaken difference
+                    && difference.governor().equals(governor) && difference.to().number() == revision;
+            Observation put = hit ? fault.apply((Observation.DifferenceTaken) each) : each;
+            if (put != null) {
+                seen.add(put);
+            }
+        }
+        return judge(seen);
+    }
+
+    private static ScaleVerdict withMore(Observation... more) {
+        List<Observation> seen = rightRun();
+        seen.addAll(List.of(more));
+        return judge(seen);
+    }
+
+    @Test
+    void passesARightRun() {
+        ScaleVerdict verdict = judge(rightRun());
+        assertThat(verdict.examples()).isEmpty();
+        assertThat(verdict.held()).isTrue();
+        assertThat(verdict.everywhere().getTotalCount()).isEqualTo(CHANGES);
+        assertThat(verdict.everywhere().getMaxValue()).isEqualTo(60);
+        assertThat(verdict.line(0.5, 120))
+                .isEqualTo("scale: 3 governors, 12 changes, in force everywhere p50 0.06 s "
+                        + "p99 0.06 s max 0.06 s, 0 lost, 0 out of order, 0 stale after heal, busiest member 50.0% of a core, "
+                        + "governor 120 B/s");
+    }
+
+    @Test
+    void findsAChangeDroppedForOneSubscriber() {
+        ScaleVerdict verdict =
+                planted(EVERYWHERE, 6, taken -> new Observation.DifferenceTaken(taken.atMillis(),
+                        taken.governor(), taken.to(), List.of()));
+        assertThat(verdict.lost()).isEqualTo(1);
+        assertThat(verdict.held()).isFalse();
+    }
+
+    @Test
+    void findsAChangeThatAnAdvanceSkips() {
+        List<Observation> seen = rightRun();
+        seen.removeIf(each -> each instanceof Observation.DifferenceTaken taken
+                && taken.governor().equals(CHARTS) && taken.to().number() == 6);
+        assertThat(judge(seen).lost()).as("the advance to 7 is without 6").isEqualTo(1);
+    }
+
+    @Test
+    void findsADifferenceAppliedTwice() {
+        List<Observation> seen = rightRun();
+        int first =
+                seen.indexOf(seen.stream().filter(each -> each instanceof Observation.DifferenceTaken taken
+                        && taken.to().number() == 3).findFirst().orElseThrow());
+        seen.add(first + 1, seen.get(first));
+        assertThat(judge(seen).disordered()).isEqualTo(1);
+    }
+
+    @Test
+    void findsAChangeBroughtAgainLater() {
+        ScaleVerdict verdict =
+                planted(EVERYWHERE, 4, taken -> new Observation.DifferenceTaken(taken.atMillis(),
+                        taken.governor(), taken.to(), List.of(update(3), update(4))));
+        assertThat(verdict.disordered()).isEqualTo(1);
+    }
+
+    @Test
+    void findsAnOlderVersionAfterANewerOne() {
+        assertThat(withMore(new Observation.SnapshotTaken(13 * SECOND, EVERYWHERE, at(0), List.of()))
+                .disordered())
+                .isEqualTo(1);
+    }
+
+    @Test
+    void findsAnOlderValueUnderANewerRevision() {
+        ScaleVerdict verdict =
+                planted(EVERYWHERE, 7, taken -> new Observation.DifferenceTaken(taken.atMillis(),
+                        taken.governor(), taken.to(), List.of(Update.put(7, item(2)))));
+        assertThat(verdict.disordered()).isEqualTo(1);
+    }
+
+    @Test
+    void findsOneServedFromACutRelayAsIfFresh() {
+        ScaleVerdict verdict = judge(rightRun().stream().map(each -> each instanceof Observation.AgeTold told
+                && told.governor().equals(CUT) ? new Observation.AgeTold(told.atMillis(), CUT, 100) : each)
+                .toList());
+        assertThat(verdict.stale()).isEqualTo(1);
+        assertThat(verdict.held()).isFalse();
+    }
+
+    @Test
+    void findsASnapshotCutShort() {
+        List<Observation> restart = List.of(new Observation.Started(13 * SECOND, EVERYWHERE, Scope.all()),
+                new Observation.SnapshotTaken(13_200, EVERYWHERE, at(12),
+                        List.of(item(10), item(11), item(12), item(8))));
+        assertThat(withMore(restart.toArray(Observation[]::new)).held()).as("all but the deleted one")
+                .isTrue();
+        ScaleVerdict verdict = withMore(new Observation.Started(13 * SECOND, EVERYWHERE, Scope.all()),
+                new Observation.SnapshotTaken(13_200, EVERYWHERE, at(12), List.of(item(10), item(11))));
+        assertThat(verdict.lost()).isEqualTo(2);
+    }
+
+    @Test
+    void findsOneThatDoesNotComeBackAfterACut() {
+        List<Observation> seen = rightRun();
+        seen.removeIf(
+                each -> each instanceof Observation.DifferenceTaken taken && taken.governor().equals(CUT)
+                        && taken.to().number() > 4);
+        assertThat(judge(seen).stale()).isEqualTo(1);
+    }
+
+    @Test
+    void findsAChangeOutOfScopeAndOneThatNobodyAgreed() {
+        assertThat(planted(CHARTS, 6, taken -> new Observation.DifferenceTaken(taken.atMillis(), CHARTS,
+                taken.to(), List.of(update(5), update(6)))).disordered()).isEqualTo(1);
+        Update invented = Update.put(6, new Item("key-99", "", "", new byte[] {1}));
+        assertThat(
+                planted(EVERYWHERE, 6, taken -> new Observation.DifferenceTaken(taken.atMillis(), EVERYWHERE,
+                        taken.to(), List.of(update(6), invented))).disordered())
+                .isEqualTo(1);
+    }
+
+    @Test
+    void findsAChangeThatIsLate() {
+        ScaleVerdict verdict = planted(EVERYWHERE, 12, taken -> new Observation.DifferenceTaken(
+                asked(12) + ScaleVerdict.IN_FORCE_MILLIS + 100, EVERYWHERE, taken.to(), taken.updates()));
+        assertThat(verdict.everywhere().getMaxValue()).isGreaterThan(ScaleVerdict.IN_FORCE_MILLIS);
+        assertThat(verdict.held()).isFalse();
+    }
+
+    @Test
+    void findsWhatIsMissingAtTheEnd() {
+        ScaleVerdict verdict = planted(EVERYWHERE, 12, taken -> null);
+        assertThat(verdict.lost()).isEqualTo(1);
+    }
+}
--- /dev/null
+++ b/src/test/java/rockshift/scale/SlopeFitTest.java
@@ -0,0 +1,53 @@
+package rockshift.scale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+import static org.assertj.core.api.Assertions.within;
+
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** Lines through measurements: exact ones are found, noisy ones lie in their interval, far ones are marked. */
+class SlopeFitTest {
+    @Test
+    void findsAnExactLine() {
+        SlopeFit fit = SlopeFit.of(new double[] {1, 2, 5, 9}, new double[] {5, 7, 13, 21});
+        assertThat(fit.slope()).isCloseTo(2, within(1e-9));
+        assertThat(fit.intercept()).isCloseTo(3, within(1e-9));
+        assertThat(fit.at(100).value()).isCloseTo(203, within(1e-6));
+        assertThat(fit.at(100).low()).isCloseTo(203, within(1e-3));
+    }
+
+    @Test
+    void marksWhatLiesBeyondTwiceTheRange() {
+        SlopeFit fit = SlopeFit.of(new double[] {1, 2, 5, 9}, new double[] {5, 7, 13, 21});
+        assertThat(fit.at(18).marked()).isFalse();
+        assertThat(fit.at(18.1).marked()).isTrue();
+        assertThat(fit.at(45).reach()).isCloseTo(5, within(1e-9));
+    }
+
+    @Test
+    void holdsTheTrueSlopeInNineteenOfTwentyIntervals() {
+        int inside = 0;
+        for (int seed = 0; seed < 400; seed++) {
+            SplittableRandom random = new SplittableRandom(seed);
+            double[] sizes = IntStream.range(0, 15).mapToDouble(i -> 100 * i).toArray();
+            double[] measured = new double[sizes.length];
+            for (int i = 0; i < sizes.length; i++) {
+                measured[i] = 7 + 0.3 * sizes[i] + 20 * random.nextGaussian();
+            }
+            SlopeFit fit = SlopeFit.of(sizes, measured);
+            inside += fit.slopeLow() <= 0.3 && 0.3 <= fit.slopeHigh() ? 1 : 0;
+        }
+        assertThat(inside).isBetween(365, 395);
+    }
+
+    @Test
+    void refusesWhatTellsNoSlope() {
+        assertThatThrownBy(() -> SlopeFit.of(new double[] {1, 2}, new double[] {1, 2}))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> SlopeFit.of(new double[] {4, 4, 4}, new double[] {1, 2, 3}))
+                .isInstanceOf(IllegalArgumentException.class);
+    }
+}
