--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -180,7 +180,7 @@
 
     private void subscribe(Subscription subscription, DistributionMessage.Subscribe message, long now)
             throws Refusal {
-        SubscribeCheck.check(message, subscription, served, limits.sizes());
+        SubscribeCheck.check(message, subscription, served, limits);
         if (refusedForNow(subscription, message, now)) {
             return;
         }
@@ -198,13 +198,10 @@
         index.add(subscription);
         noticeUnmatched(subscription);
         begin(subscription, message.held(), now);
+        timers.remove(subscription);
+        beat(subscription, now);
         if (begins) {
-            timers.remove(subscription);
-            long interval = limits.timing().heartbeat();
-            beat(subscription, now);
-            timers.remove(subscription);
-            subscription.heartbeatAt(now + random.nextLong(interval / 2, interval + 1));
-            schedule(subscription);
+            stagger(subscription, now);
         }
     }
 
@@ -384,7 +381,7 @@
     }
 
     private void startTransfer(Subscription subscription, long now) {
-        if (transfers >= limits.admission().snapshotsAtOnce()) {
+        if (transfers >= limits.admission().snapshotsAtOnce() || !subscription.mayStartTransfer()) {
             return;
         }
         transfers++;
@@ -435,6 +432,14 @@
         return at < now - MOST_STALE_MILLIS ? MOST_STALE_MILLIS : Math.max(0, now - at);
     }
 
+    /** Spreads the heartbeats of those who came at once. */
+    private void stagger(Subscription subscription, long now) {
+        long interval = limits.timing().heartbeat();
+        timers.remove(subscription);
+        subscription.heartbeatAt(now + random.nextLong(interval / 2, interval + 1));
+        schedule(subscription);
+    }
+
     private void schedule(Subscription subscription) {
         long silentAt = subscription.heardAt() + limits.timing().silence();
         subscription.dueAt(Math.min(subscription.heartbeatAt(), silentAt));
--- a/src/main/java/rockshift/distribution/SubscribeCheck.java
+++ b/src/main/java/rockshift/distribution/SubscribeCheck.java
@@ -13,8 +13,8 @@
      * @param served what this publisher holds
      */
     static void check(DistributionMessage.Subscribe message, Subscription subscription, Scope served,
-            Limits.Sizes sizes)
-            throws Refusal {
+            Limits limits) throws Refusal {
+        Limits.Sizes sizes = limits.sizes();
         checkName("subscriber", message.subscriber(), sizes);
         if (subscription.subscribed() && !subscription.name().equals(message.subscriber())) {
             throw new Refusal(RejectionReason.MALFORMED, "subscriber: was '" + subscription.name() + "'");
@@ -23,6 +23,9 @@
         } else if (subscription.subscribed() && message.scopeEpoch() <= subscription.scopeEpoch()) {
             throw new Refusal(RejectionReason.OUT_OF_ORDER,
                     "scopeEpoch: " + message.scopeEpoch() + " after " + subscription.scopeEpoch());
+        } else if (subscription.unconfirmedScopes() > limits.admission().window()) {
+            throw new Refusal(RejectionReason.SLOW,
+                    "scopeEpoch: " + subscription.unconfirmedScopes() + " changes that were not confirmed");
         } else if (message.held().number() < 0
                 || message.held().cluster() == 0 && message.held().number() != 0) {
             throw new Refusal(RejectionReason.MALFORMED, "held: " + message.held());
--- a/src/main/java/rockshift/distribution/Subscription.java
+++ b/src/main/java/rockshift/distribution/Subscription.java
@@ -20,6 +20,7 @@
     private SnapshotTransfer transfer;
     private final ArrayDeque<Long> unacknowledged = new ArrayDeque<>();
 
+    private int unconfirmedScopes;
     private boolean acknowledged;
     private Revision inForce = Revision.NONE;
     private Summary summary;
@@ -62,6 +63,8 @@
     void subscribe(DistributionMessage.Subscribe message, int lostWithIt) {
         if (name == null) {
             lostBefore = lostWithIt;
+        } else {
+            unconfirmedScopes++;
         }
         name = message.subscriber();
         scopeEpoch = message.scopeEpoch();
@@ -124,7 +127,16 @@
         told = Revision.NONE;
         unchangedThrough = started.revision().number();
         lastRelevant = started.revision().number();
-        unacknowledged.clear();
+    }
+
+    /** Whether all that was sent before has been read, so that no more than one snapshot waits to be read. */
+    boolean mayStartTransfer() {
+        return unacknowledged.isEmpty() && unconfirmedScopes == 0;
+    }
+
+    /** Changes of scope since the subscriber last showed that it reads. */
+    int unconfirmedScopes() {
+        return unconfirmedScopes;
     }
 
     void finishTransfer() {
@@ -180,6 +192,7 @@
 
     void acknowledge(DistributionMessage.Acknowledge message) {
         acknowledged = true;
+        unconfirmedScopes = 0;
         inForce = message.inForce();
         summary = message.summary();
         while (!unacknowledged.isEmpty() && unacknowledged.peek() <= inForce.number()) {
--- a/src/main/java/rockshift/distribution/Summary.java
+++ b/src/main/java/rockshift/distribution/Summary.java
@@ -16,6 +16,12 @@
         return new Summary(inForce, 1, 0, 0, Digest.of(subscriber));
     }
 
+    /** The sum of two, as of members that each see a part of the governors. */
+    public Summary plus(Summary other) {
+        return new Summary(Math.min(lowestRevision, other.lowestRevision), subscribers + other.subscribers,
+                behind + other.behind, unreachable + other.unreachable, fingerprint + other.fingerprint);
+    }
+
     /** Whether a revision is in force at every governor that is, or was lately, connected. */
     public boolean inForce(long revision) {
         return lowestRevision >= revision && behind == 0 && unreachable == 0;
--- /dev/null
+++ b/src/test/java/rockshift/distribution/BadInputTest.java
@@ -0,0 +1,306 @@
+package rockshift.distribution;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Messages that nobody should send: refused with a reason and a place, counted, and without harm to what is
+ * held or to others.
+ */
+class BadInputTest {
+    private static final Limits LIMITS = TestLimits.small(40, 5, 20);
+    private static final Item A = ConfigurationStoreTest.item("a", "s1", "", "1");
+    private static final Item B = ConfigurationStoreTest.item("b", "s1", "", "1");
+    private static final Scope S1 = Scope.of(List.of("s1"), List.of());
+    private static final long OTHER = 2;
+
+    private PublisherHarness server;
+    private SubscriberHarness client;
+
+    @BeforeEach
+    void aServerWithABystanderAndAClientThatHoldsAnItem() throws Refusal {
+        server = new PublisherHarness(LIMITS);
+        server.put(0, A);
+        server.subscribe(OTHER, "other", S1, Revision.NONE, 0);
+        server.acknowledge(OTHER, "other", 1, 1);
+        client = new SubscriberHarness(S1, 2, LIMITS);
+        client.connectAfter(0);
+        client.hold(1, A);
+    }
+
+    @Test
+    void aScopeThatAsksForNothingIsRefused() {
+        assertServerRefuses(
+                new DistributionMessage.Subscribe("g", 1, Scope.of(List.of(), List.of()), Revision.NONE, 0),
+                RejectionReason.EMPTY_SCOPE);
+    }
+
+    @Test
+    void aScopeThatMatchesNothingYetIsTakenAndTold() throws Refusal {
+        List<DistributionMessage> answer = server.subscribe(1, "g", Scope.of(List.of("new"), List.of()),
+                Revision.NONE, 0);
+        assertThat(PublisherHarness.of(DistributionMessage.Notice.class, answer)).singleElement()
+                .isEqualTo(
+                        new DistributionMessage.Notice(1, RejectionReason.MATCHES_NOTHING, "services 'new'"));
+        assertThat(PublisherHarness.of(DistributionMessage.SnapshotPart.class, answer)).singleElement()
+                .matches(part -> part.items().isEmpty());
+        server.put(1, ConfigurationStoreTest.item("n", "new", "", "1"));
+        assertThat(PublisherHarness.of(DistributionMessage.Difference.class, server.take(1))).hasSize(1);
+    }
+
+    @Test
+    void aScopeThatTheServerDoesNotHoldIsRefused() throws Refusal {
+        server = new PublisherHarness(LIMITS, Scope.of(List.of(), List.of("z1")));
+        server.subscribe(1, "g", Scope.of(List.of(), List.of("z2")), Revision.NONE, 0);
+        assertThat(server.closed).containsEntry(1L, RejectionReason.UNKNOWN_SCOPE);
+        server.subscribe(3, "h", Scope.all(), Revision.NONE, 0);
+        assertThat(server.closed).containsEntry(3L, RejectionReason.UNKNOWN_SCOPE);
+    }
+
+    @Test
+    void namesAndScopesOverTheirBoundAreRefused() {
+        assertServerRefuses(subscribe("", 1, S1, Revision.NONE), RejectionReason.MALFORMED);
+        assertServerRefuses(subscribe("x".repeat(41), 1, S1, Revision.NONE), RejectionReason.TOO_LARGE);
+        assertServerRefuses(subscribe("g", 1, Scope.of(List.of(""), List.of()), Revision.NONE),
+                RejectionReason.MALFORMED);
+        List<String> many = new ArrayList<>();
+        for (int index = 0; index < 65; index++) {
+            many.add("s" + index);
+        }
+        assertServerRefuses(subscribe("g", 1, Scope.of(many, List.of()), Revision.NONE),
+                RejectionReason.TOO_LARGE);
+        assertServerRefuses(subscribe("g", 0, S1, Revision.NONE), RejectionReason.MALFORMED);
+        assertServerRefuses(subscribe("g", 1, S1, new Revision(0, 4)), RejectionReason.MALFORMED);
+    }
+
+    @Test
+    void repeatedAndUnaskedMessagesAreRefusedByTheServer() {
+        DistributionMessage.Subscribe subscribe = subscribe("g", 1, S1, Revision.NONE);
+        assertServerRefuses(subscribe, RejectionReason.OUT_OF_ORDER, subscribe);
+        assertServerRefuses(subscribe("h", 2, S1, Revision.NONE), RejectionReason.MALFORMED, subscribe);
+        assertServerRefuses(acknowledge(1, 0), RejectionReason.OUT_OF_ORDER);
+        assertServerRefuses(acknowledge(2, 1), RejectionReason.MALFORMED, subscribe);
+        assertServerRefuses(acknowledge(1, 9), RejectionReason.FUTURE_REVISION, subscribe);
+        assertServerRefuses(acknowledge(1, 0), RejectionReason.OUT_OF_ORDER, subscribe, acknowledge(1, 1));
+        assertServerRefuses(new DistributionMessage.Heartbeat(1, Revision.NONE, 0, 0, 0),
+                RejectionReason.MALFORMED);
+        assertServerRefuses(
+                new DistributionMessage.Acknowledge(1, new Revision(9, 1), 0, Summary.ofOne("g", 1), 0),
+                RejectionReason.OTHER_CLUSTER, subscribe);
+        assertServerRefuses(
+                new DistributionMessage.Acknowledge(1, Revision.NONE, 0, new Summary(0, -1, 0, 0, 0), 0),
+                RejectionReason.MALFORMED, subscribe);
+    }
+
+    @Test
+    void whatTheHostCouldNotReadIsCountedAndEndsThatConnectionOnly() {
+        server.subscribe(1, "g", S1, Revision.NONE, 0);
+        server.publisher.refused(1, RejectionReason.MALFORMED, "frame: 12 bytes of 400", 0);
+        assertThat(server.rejected(1)).isEqualTo(RejectionReason.MALFORMED);
+        assertBystanderUnharmed();
+    }
+
+    @Test
+    void aDifferenceThatDoesNotFitIsRefusedAndWhatWasHeldStays() {
+        Update b = Update.put(2, B);
+        long both = A.digest() + B.digest();
+        assertClientRefuses(difference(2, 3, both, b), RejectionReason.OUT_OF_ORDER);
+        assertClientRefuses(difference(1, 1, both, b), RejectionReason.OUT_OF_ORDER);
+        assertClientRefuses(difference(1, 2, both, Update.put(3, B)), RejectionReason.OUT_OF_ORDER);
+        assertClientRefuses(difference(1, 2, both, b, b), RejectionReason.MALFORMED);
+        assertClientRefuses(difference(1, 2, both + 1, b), RejectionReason.DIGEST_MISMATCH);
+        assertClientRefuses(
+                difference(1, 2, both, Update.put(2, ConfigurationStoreTest.item("b", "s2", "", "1"))),
+                RejectionReason.OUT_OF_SCOPE);
+        assertClientRefuses(
+                difference(1, 2, both,
+                        Update.put(2, ConfigurationStoreTest.item("b", "s1", "", "x".repeat(2_000)))),
+                RejectionReason.TOO_LARGE);
+        Update[] many = new Update[21];
+        for (int index = 0; index < many.length; index++) {
+            many[index] = Update.put(2, ConfigurationStoreTest.item("k" + index, "s1", "", "1"));
+        }
+        assertClientRefuses(difference(1, 2, both, many), RejectionReason.TOO_LARGE);
+        assertClientRefuses(new DistributionMessage.Difference(2, AgreedHistory.revision(1),
+                AgreedHistory.revision(2), both,
+                List.of(b)), RejectionReason.MALFORMED);
+    }
+
+    @Test
+    void aDifferenceThatComesTwiceIsRefused() {
+        DistributionMessage.Difference difference =
+                difference(1, 2, A.digest() + B.digest(), Update.put(2, B));
+        client.receive(difference);
+        assertThat(client.items).containsOnlyKeys("a", "b");
+        client.receive(difference);
+        assertThat(client.ended).containsExactly(RejectionReason.OUT_OF_ORDER);
+        assertThat(client.subscriber.held()).isEqualTo(AgreedHistory.revision(2));
+    }
+
+    @Test
+    void aSnapshotCutShortOrOutOfOrderIsRefusedAndWhatWasHeldStays() {
+        long both = A.digest() + B.digest();
+        assertClientRefuses(part(0, 1, both, A), RejectionReason.DIGEST_MISMATCH);
+        assertClientRefuses(part(1, 2, both, B), RejectionReason.OUT_OF_ORDER);
+        assertClientRefuses(part(0, 0, both, B), RejectionReason.MALFORMED);
+        assertClientRefuses(part(0, 1_025, both, B), RejectionReason.TOO_LARGE);
+        assertClientRefuses(part(0, 1, both, A, A), RejectionReason.MALFORMED);
+        assertClientRefuses(part(0, 1, both, A, B, A, B, A, B), RejectionReason.TOO_LARGE);
+        assertClientRefuses(part(0, 1, both, ConfigurationStoreTest.item("b", "s2", "", "1")),
+                RejectionReason.OUT_OF_SCOPE);
+        assertClientRefusesAfter(part(0, 3, both, A), part(2, 3, both, B), RejectionReason.OUT_OF_ORDER);
+        assertClientRefusesAfter(part(0, 3, both, A), client.heartbeat(2, both),
+                RejectionReason.OUT_OF_ORDER);
+        assertClientRefusesAfter(part(0, 3, both, A), difference(1, 2, both, Update.put(2, B)),
+                RejectionReason.OUT_OF_ORDER);
+    }
+
+    @Test
+    void anOlderSnapshotIsRefused() {
+        client.receive(
+                new DistributionMessage.SnapshotPart(1, AgreedHistory.revision(0), 0, 1, 0, List.of()));
+        assertThat(client.ended).containsExactly(RejectionReason.FUTURE_REVISION);
+        assertThat(client.subscriber.held()).isEqualTo(AgreedHistory.revision(1));
+        assertThat(client.items).containsOnlyKeys("a");
+    }
+
+    @Test
+    void aHeartbeatThatCannotBeIsRefused() {
+        assertClientRefuses(client.heartbeat(0, A.digest()), RejectionReason.FUTURE_REVISION);
+        assertClientRefuses(client.heartbeat(1, 5), RejectionReason.DIGEST_MISMATCH);
+        assertClientRefuses(new DistributionMessage.Heartbeat(1, new Revision(3, 1), A.digest(), 0, 0),
+                RejectionReason.OTHER_CLUSTER);
+        assertClientRefuses(
+                new DistributionMessage.Heartbeat(1, AgreedHistory.revision(1), A.digest(), -1, 0),
+                RejectionReason.MALFORMED);
+        assertClientRefuses(
+                new DistributionMessage.Heartbeat(1, AgreedHistory.revision(1), A.digest(), 0, 1_000_000),
+                RejectionReason.MALFORMED);
+        assertClientRefuses(subscribe("g", 1, S1, Revision.NONE), RejectionReason.MALFORMED);
+    }
+
+    @Test
+    void afterAWrongDigestTheWholeStateIsAskedFor() {
+        client.receive(client.heartbeat(1, 5));
+        client.connectAfter(client.now());
+        assertThat(client.last(DistributionMessage.Subscribe.class).held()).isEqualTo(Revision.NONE);
+    }
+
+    /**
+     * Whatever a stranger sends in whatever order: the bystander is served on, and the counters account for
+     * it.
+     */
+    @Property(tries = 300)
+    void noSequenceOfMessagesFromAStrangerHarmsAnother(@ForAll long seed) throws Refusal {
+        aServerWithABystanderAndAClientThatHoldsAnItem();
+        java.util.Random random = new java.util.Random(seed);
+        for (int step = 0; step < 30; step++) {
+            long connection = 10 + random.nextInt(3);
+            server.publisher.connected(connection, step);
+            server.publisher.received(connection, anyMessage(random), step);
+            server.acknowledge(OTHER, "other", 1, step);
+            server.publisher.tick(step);
+        }
+        assertBystanderUnharmed();
+        server.closed.keySet().forEach(connection -> assertThat(connection).isNotEqualTo(OTHER));
+        long closed = server.publisher.rejections().entrySet().stream()
+                .filter(each -> each.getKey() != RejectionReason.MATCHES_NOTHING)
+                .mapToLong(Map.Entry::getValue).sum();
+        assertThat(closed).isGreaterThanOrEqualTo(server.closed.size());
+    }
+
+    private DistributionMessage anyMessage(java.util.Random random) {
+        Revision revision =
+                new Revision(random.nextInt(5) == 0 ? 3 : AgreedHistory.CLUSTER, random.nextInt(4) - 1);
+        int epoch = random.nextInt(4);
+        return switch (random.nextInt(5)) {
+            case 0 -> new DistributionMessage.Subscribe("n" + random.nextInt(3), epoch, S1, revision, 0);
+            case 1 -> new DistributionMessage.Subscribe("n" + random.nextInt(3), epoch,
+                    Scope.of(List.of("s" + random.nextInt(3)), List.of()), Revision.NONE, 0);
+            case 2 -> new DistributionMessage.Difference(epoch, revision, revision, 0, List.of());
+            case 3 -> new DistributionMessage.Rejected(epoch, RejectionReason.BUSY, "", -1);
+            default -> new DistributionMessage.Acknowledge(epoch, revision, random.nextInt(9) - 1,
+                    new Summary(random.nextInt(3), random.nextInt(9) - 1, 0, 0, 0), 0);
+        };
+    }
+
+    private void assertBystanderUnharmed() {
+        assertThat(server.closed).doesNotContainKey(OTHER);
+        server.take(OTHER);
+        try {
+            server.put(5, B);
+        } catch (Refusal refusal) {
+            throw new AssertionError(refusal);
+        }
+        assertThat(PublisherHarness.of(DistributionMessage.Difference.class, server.take(OTHER))).hasSize(1);
+    }
+
+    private void assertServerRefuses(DistributionMessage bad, RejectionReason reason,
+            DistributionMessage... before) {
+        long connection = 100 + server.closed.size();
+        server.publisher.connected(connection, 0);
+        for (DistributionMessage message : before) {
+            server.publisher.received(connection, message, 0);
+        }
+        long counted = server.publisher.rejections().getOrDefault(reason, 0L);
+        server.take(connection);
+        server.publisher.received(connection, bad, 0);
+        DistributionMessage.Rejected rejected = PublisherHarness
+                .of(DistributionMessage.Rejected.class, server.take(connection)).get(0);
+        assertThat(rejected.reason()).isEqualTo(reason);
+        assertThat(rejected.place()).isNotEmpty();
+        assertThat(server.closed).containsEntry(connection, reason);
+        assertThat(server.publisher.rejections()).containsEntry(reason, counted + 1);
+        assertThat(server.closed).doesNotContainKey(OTHER);
+    }
+
+    private void assertClientRefuses(DistributionMessage bad, RejectionReason reason) {
+        Revision held = client.subscriber.held();
+        Map<String, Item> shown = new TreeMap<>(client.items);
+        long counted = client.subscriber.rejections().getOrDefault(reason, 0L);
+        client.ended.clear();
+        client.receive(bad);
+        assertThat(client.ended).containsExactly(reason);
+        assertThat(client.subscriber.rejections()).containsEntry(reason, counted + 1);
+        assertThat(client.subscriber.held()).isEqualTo(held);
+        assertThat(client.items).isEqualTo(shown);
+        client.connectAfter(client.now());
+        client.hold(1, A);
+    }
+
+    private void assertClientRefusesAfter(DistributionMessage good, DistributionMessage bad,
+            RejectionReason reason) {
+        client.receive(good);
+        assertClientRefuses(bad, reason);
+    }
+
+    private static DistributionMessage.Subscribe subscribe(String name, long epoch, Scope scope,
+            Revision held) {
+        return new DistributionMessage.Subscribe(name, epoch, scope, held, 0);
+    }
+
+    private static DistributionMessage.Acknowledge acknowledge(long epoch, long number) {
+        return new DistributionMessage.Acknowledge(epoch, AgreedHistory.revision(number), 0,
+                Summary.ofOne("g", number), 0);
+    }
+
+    private static DistributionMessage.Difference difference(long from, long to, long digest,
+            Update... updates) {
+        return new DistributionMessage.Difference(1, AgreedHistory.revision(from), AgreedHistory.revision(to),
+                digest,
+                List.of(updates));
+    }
+
+    private static DistributionMessage.SnapshotPart part(int part, int parts, long digest, Item... items) {
+        return new DistributionMessage.SnapshotPart(1, AgreedHistory.revision(2), part, parts, digest,
+                List.of(items));
+    }
+}
