--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -115,9 +115,11 @@
                 Map<String, JsonNode> all = client.statuses();
                 boolean reached = false;
                 if (!whom.json) {
-                    whom.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s  %s%n", "address", "name",
-                            "role", "term",
-                            "leader", "orders", "agreed", "applied", "version", "disk");
+                    whom.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s  %s%n",
+                            "address",
+                            "name", "role", "term", "leader", "orders", "agreed", "applied", "version",
+                            "subscribers",
+                            "in force", "behind", "unreachable", "disk");
                 }
                 for (Map.Entry<String, JsonNode> each : all.entrySet()) {
                     JsonNode s = each.getValue();
@@ -128,11 +130,17 @@
                         whom.out().printf("%-22s not reached: %s%n", each.getKey(),
                                 s.path("unreached").asText());
                     } else {
-                        whom.out().printf("%-22s %-12s %-10s %6d %-12s %-9s %9d %9d %8d  %s%n", each.getKey(),
-                                s.path("name").asText(), s.path("role").asText(), s.path("term").asLong(),
+                        JsonNode below = s.path("distribution");
+                        whom.out().printf(
+                                "%-22s %-12s %-10s %6d %-12s %-9s %9d %9d %8d %11d %8s %6d %11d  %s%n",
+                                each.getKey(), s.path("name").asText(), s.path("role").asText(),
+                                s.path("term").asLong(),
                                 s.path("leader").asText(), s.path("orders").asText(),
                                 s.path("agreed").asLong(),
                                 s.path("applied").asLong(), s.path("version").asLong(),
+                                below.path("subscribers").asInt(),
+                                below.path("subscribers").asInt() == 0 ? "-" : below.path("lowest").asText(),
+                                below.path("behind").asInt(), below.path("unreachable").asInt(),
                                 s.path("disk").asText());
                     }
                 }
@@ -182,13 +190,36 @@
 
         @Override
         public Integer call() throws Exception {
-            return whom.change(new Change(kind, replica, 0, 0, reason), force);
+            return whom.change(change(kind, replica, reason), force);
+        }
+
+        Change change(Change.Kind of, String subject, String why) {
+            return new Change(of, subject, 0, 0, why);
+        }
+    }
+
+    /** Asks that a replica be kept out, by everyone or by those whom it concerns. */
+    abstract static class KeepOutCommand extends ReplicaCommand {
+        @Option(names = "--service", defaultValue = "",
+                description = "the service that it concerns; every one if left out")
+        private String service;
+        @Option(names = "--zone", defaultValue = "",
+                description = "the zone that it concerns; that in which the replica is listed if left out")
+        private String zone;
+
+        KeepOutCommand(Change.Kind kind) {
+            super(kind);
+        }
+
+        @Override
+        Change change(Change.Kind of, String subject, String why) {
+            return new Change(of, subject, 0, 0, why, service, zone);
         }
     }
 
     @Command(name = "drain", mixinStandardHelpOptions = true,
             description = "Has a replica take nothing new, until it starts anew or is let back.")
-    static final class Drain extends ReplicaCommand {
+    static final class Drain extends KeepOutCommand {
         Drain() {
             super(Change.Kind.DRAIN);
         }
@@ -196,7 +227,7 @@
 
     @Command(name = "hold", mixinStandardHelpOptions = true,
             description = "Keeps a replica out, also after it starts anew, until it is let back.")
-    static final class Hold extends ReplicaCommand {
+    static final class Hold extends KeepOutCommand {
         Hold() {
             super(Change.Kind.HOLD);
         }
--- a/src/main/java/rockshift/cli/ClusterCompanion.java
+++ b/src/main/java/rockshift/cli/ClusterCompanion.java
@@ -1,7 +1,6 @@
 package rockshift.cli;
 
 import java.io.IOException;
-import java.util.HashMap;
 import java.util.Map;
 import rockshift.Listed;
 import rockshift.cluster.Change;
@@ -39,14 +38,7 @@
 
     @Override
     public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {
-        Map<String, Long> until = new HashMap<>();
-        // A drain means the process that ran when it was asked for; a hold means whatever runs under the name.
-        out.forEach(
-                (name, change) -> until.put(name, change.kind() == Change.Kind.DRAIN && change.started() > 0
-                        ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1 : Long.MAX_VALUE));
-        Map<String, String> values = new HashMap<>();
-        terms.forEach((name, value) -> values.put(name, value.toString()));
-        inlet.agreed(version, until, values);
+        AgreedInput.tell(inlet, version, out, terms, () -> {});
     }
 
     @Override
@@ -74,4 +66,10 @@
         Listed entry = inlet.listed().get(replica);
         return entry == null ? 0 : entry.started() / TENTHS_PER_MILLI;
     }
+
+    @Override
+    public String zone(String replica) {
+        Listed entry = inlet.listed().get(replica);
+        return entry == null ? "" : entry.zone();
+    }
 }
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -1,7 +1,6 @@
 package rockshift.cli;
 
 import java.io.IOException;
-import java.io.PrintWriter;
 import java.util.concurrent.Callable;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -9,18 +8,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import rockshift.cluster.ClusterCharter;
 import rockshift.drill.Drill;
+import rockshift.net.Companion;
 import rockshift.net.ProcessSignals;
-import rockshift.operator.OperatorFile;
-import rockshift.operator.Section;
 import rockshift.operator.Unusable;
 
 /** All commands. Exit statuses: 0 all held, 1 something that was checked did not hold, 2 the call or a file can't be used. */
 @Command(name = "rockshift", mixinStandardHelpOptions = true, version = "rockshift 0.1.0",
         description = "A central planner behind plain proxies.", synopsisSubcommandLabel = "COMMAND",
         subcommands = {Commands.Serve.class, Commands.Play.class, Commands.Check.class, ClusterCommands.class,
-            ScaleCommands.class})
+            RelayCommand.class, ScaleCommands.class})
 public final class Commands extends CommandGroup {
     static final int HELD = 0;
     static final int BROKEN = 1;
@@ -55,11 +52,8 @@
             }
         }
 
-        private ClusterCompanion companion() throws Exception {
-            Section file = OperatorFile.read(operator);
-            ClusterCharter cluster = ClusterCharter.read(file);
-            file.end();
-            return new ClusterCompanion(cluster);
+        private Companion companion() throws Exception {
+            return OperatorSettings.companion(operator);
         }
     }
 
@@ -84,15 +78,7 @@
 
         @Override
         public Integer call() throws Unusable {
-            Section file = OperatorFile.read(name);
-            ClusterCharter cluster = ClusterCharter.read(file);
-            file.end();
-            PrintWriter out = spec.commandLine().getOut();
-            out.println(name + ": member " + cluster.name() + " of "
-                    + (cluster.founders().isEmpty() ? "a cluster that it is"
-                            + " added to" : cluster.founders().keySet())
-                    + ", listens on " + cluster.listen().getHostString() + ":"
-                    + cluster.listen().getPort() + ", folder " + cluster.folder());
+            spec.commandLine().getOut().println(name + ": " + OperatorSettings.read(name).summary());
             return HELD;
         }
     }
--- /dev/null
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -0,0 +1,78 @@
+package rockshift.cli;
+
+import rockshift.cluster.ClusterCharter;
+import rockshift.cluster.DistributionSettings;
+import rockshift.operator.OperatorFile;
+import rockshift.operator.Section;
+import rockshift.operator.Unusable;
+
+/**
+ * All that an operator's file switches on.
+ *
+ * @param cluster the member that it makes of a governor; null for none
+ * @param distribution what a governor or relay subscribes to; null for nothing
+ */
+record OperatorSettings(ClusterCharter cluster, DistributionSettings distribution) {
+    /** Reads a file, and refuses what does not fit together. */
+    static OperatorSettings read(String name) throws Unusable {
+        return read(OperatorFile.read(name));
+    }
+
+    private static OperatorSettings read(Section file) throws Unusable {
+        DistributionSettings distribution = DistributionSettings.read(file);
+        ClusterCharter cluster =
+                file.has("cluster") || distribution == null ? ClusterCharter.read(file) : null;
+        file.end();
+        if (cluster != null && distribution != null && distribution.relay() == null) {
+            throw file.wrong("distribution", "has no meaning beside cluster: a member knows what is agreed");
+        }
+        return new OperatorSettings(cluster, distribution);
+    }
+
+    /** The companion of a governor that serves by this file. */
+    static rockshift.net.Companion companion(String name) throws Unusable {
+        Section file = OperatorFile.read(name);
+        OperatorSettings settings = read(file);
+        if (settings.cluster != null) {
+            return new ClusterCompanion(settings.cluster);
+        } else if (settings.distribution.relay() != null) {
+            throw file.wrong("distribution.relay", "is served by 'rockshift relay', not by a governor");
+        }
+        return new DistributionCompanion(settings.distribution);
+    }
+
+    /** What a relay is told. */
+    static DistributionSettings relay(String name) throws Unusable {
+        Section file = OperatorFile.read(name);
+        if (!file.has("distribution")) {
+            throw file.wrong("distribution", "is missing");
+        }
+        DistributionSettings distribution = read(file).distribution;
+        if (distribution.relay() == null) {
+            throw file.wrong("distribution.relay", "is missing");
+        }
+        return distribution;
+    }
+
+    /** One line that tells what the file switches on. */
+    String summary() {
+        StringBuilder text = new StringBuilder();
+        if (cluster != null) {
+            text.append("member ").append(cluster.name()).append(" of ").append(cluster.founders().isEmpty()
+                    ? "a cluster that it is added to" : cluster.founders().keySet().toString())
+                    .append(", listens on ").append(cluster.listen().getHostString()).append(':')
+                    .append(cluster.listen().getPort()).append(", folder ").append(cluster.folder());
+        }
+        if (distribution != null) {
+            text.append(cluster == null ? "" : "; ")
+                    .append(distribution.relay() == null ? "governor " : "relay ")
+                    .append(distribution.name()).append(" subscribes at ")
+                    .append(distribution.upstreams().keySet());
+        }
+        if (distribution != null && distribution.relay() != null) {
+            text.append(", listens on ").append(distribution.relay().listen().getHostString()).append(':')
+                    .append(distribution.relay().listen().getPort());
+        }
+        return text.toString();
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -0,0 +1,58 @@
+package rockshift.cli;
+
+import java.util.SplittableRandom;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CountDownLatch;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import rockshift.cluster.DistributionReactor;
+import rockshift.cluster.DistributionSettings;
+import rockshift.cluster.RelayProcess;
+import rockshift.net.ProcessSignals;
+
+/** Runs a relay until it is told to end. */
+@Command(name = "relay", mixinStandardHelpOptions = true,
+        description = "Hands what is agreed on from members to governors, as the operator's file tells.")
+final class RelayCommand implements Callable<Integer> {
+    private static final Logger LOG = LoggerFactory.getLogger(RelayCommand.class);
+
+    @Option(names = "--operator", paramLabel = "FILE", required = true,
+            description = "the operator's file with a block distribution that has a block relay")
+    private String operator;
+
+    @Override
+    public Integer call() throws Exception {
+        ProcessSignals signals = ProcessSignals.install();
+        try {
+            DistributionSettings settings = OperatorSettings.relay(operator);
+            try (DistributionReactor reactor = new DistributionReactor();
+                    RelayProcess relay = new RelayProcess(settings, reactor, new SplittableRandom())) {
+                CountDownLatch told = new CountDownLatch(1);
+                signals.tell(listener(settings.name(), relay, told));
+                relay.start();
+                told.await();
+            }
+            return Commands.HELD;
+        } finally {
+            signals.release();
+        }
+    }
+
+    private static ProcessSignals.Listener listener(String name, RelayProcess relay, CountDownLatch told) {
+        return new ProcessSignals.Listener() {
+            @Override
+            public void reload() {
+                LOG.info("relay {} reads its file at start alone", name);
+            }
+
+            @Override
+            public void stop() {
+                LOG.info("relay {} stops", name);
+                relay.close();
+                told.countDown();
+            }
+        };
+    }
+}
--- a/src/main/java/rockshift/cluster/ClusterCharter.java
+++ b/src/main/java/rockshift/cluster/ClusterCharter.java
@@ -14,10 +14,11 @@
  *
  * @param founders by name: where those are that begin the cluster; empty for one that is added later
  * @param routes by name: where this member reaches another, if not at the address that all were told
+ * @param subscribers relays and governors that may subscribe here at a time
  */
 public record ClusterCharter(String name, InetSocketAddress listen, String address, Path folder,
         Map<String, String> founders, Map<String, String> routes, Timing timing, Engine.Compaction compaction,
-        Minority minority) {
+        Minority minority, int subscribers) {
     /** What a governor still orders when it is cut off from most: all, what rules owe, or nothing. */
     public enum Minority {
         SERVE, WITHDRAW, HOLD
@@ -26,6 +27,14 @@
     private static final int LEAST_ELECTION = 50;
     private static final int MOST_FOUNDERS = 5;
 
+    /** A member that serves as many subscribers as is usual. */
+    public ClusterCharter(String name, InetSocketAddress listen, String address, Path folder,
+            Map<String, String> founders,
+            Map<String, String> routes, Timing timing, Engine.Compaction compaction, Minority minority) {
+        this(name, listen, address, folder, founders, routes, timing, compaction, minority,
+                DistributionSettings.USUAL_SUBSCRIBERS);
+    }
+
     /** Reads the block, and refuses what it does not know. */
     public static ClusterCharter read(Section file) throws Unusable {
         Section cluster = file.block("cluster");
@@ -56,9 +65,11 @@
             throw cluster.wrong("founder", "must name one, three or five, not " + founders.size());
         }
         Map<String, String> routes = addresses(cluster, "route");
+        int subscribers = cluster.whole("subscribers", DistributionSettings.USUAL_SUBSCRIBERS, 1,
+                DistributionSettings.MOST_SUBSCRIBERS);
         cluster.end();
         return new ClusterCharter(name, listen, address, folder, founders, routes,
-                new Timing(election, heartbeat, drift, leases, batch), compaction, minority);
+                new Timing(election, heartbeat, drift, leases, batch), compaction, minority, subscribers);
     }
 
     private static Map<String, String> addresses(Section cluster, String kind) throws Unusable {
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -58,6 +58,7 @@
     private final Agreed agreed = new Agreed();
     private final FileDisk disk;
     private final DurableLog log;
+    private final DistributionService distribution;
     private final Links links;
     private final Engine engine;
     private final long id;
@@ -93,7 +94,9 @@
             DurableLog.Recovered found = log.open(source.nextLong() >>> 1 | 1);
             id = found.id();
             cluster = found.cluster();
-            links = new Links(this, new SplittableRandom(source.nextLong()));
+            distribution = new DistributionService(charter.subscribers(), charter.timing().election(),
+                    new SplittableRandom(source.nextLong()));
+            links = new Links(this, distribution.port(), new SplittableRandom(source.nextLong()));
             engine = new Engine(found, charter.timing(), new Rules(), new SplittableRandom(source.nextLong()),
                     now(), agreed,
                     charter.compaction(), this);
@@ -110,6 +113,7 @@
         thread.setDaemon(true);
         diskThread.setDaemon(true);
         tellAgreed();
+        distribution.start();
         diskThread.start();
         thread.start();
         LOG.info("member {} ({}) listens on {}, port {}, {} entries, agreed version {}", charter.name(),
@@ -133,6 +137,7 @@
         diskThread.interrupt();
         thread.join(RETRY);
         diskThread.join(RETRY);
+        distribution.close();
         links.close();
         try {
             disk.close();
@@ -188,6 +193,7 @@
 
     private void tend() {
         leading = engine.raft().leads();
+        distribution.tend(cluster, agreed, engine.raft());
         if (engine.raft().members() != shownMembers) {
             show();
             links.greet();
@@ -339,7 +345,10 @@
     public void message(byte[] payload, long from) throws IOException {
         if (cluster != 0 && from == cluster) {
             Message message = Codec.message(payload);
-            offer(() -> engine.receive(message));
+            offer(() -> {
+                engine.receive(message);
+                distribution.heard(message, engine.raft());
+            });
         }
     }
 
@@ -436,6 +445,7 @@
                 recent.removeFirst();
                 recentFrom++;
             }
+            distribution.applied(cluster, agreed, entry.body());
             tellAgreed();
         }
     }
@@ -449,6 +459,7 @@
         LOG.info("agreed up to entry {} by a snapshot, version {}", index, agreed.version());
         recentFrom += recent.size();
         recent.clear();
+        distribution.restored(cluster, agreed);
         tellAgreed();
     }
 
@@ -541,8 +552,10 @@
     private void change(long request, Map<String, String> call) throws IOException {
         Change change = Change.read(call.getOrDefault("change", "").getBytes(StandardCharsets.UTF_8));
         if (change.kind() == Change.Kind.DRAIN && change.started() == 0) {
-            change = new Change(change.kind(), change.subject(), governed.started(change.subject()), 0,
-                    change.reason());
+            change = change.startedAt(governed.started(change.subject()));
+        }
+        if (change.scoped() && change.zone().isEmpty()) {
+            change = change.inZone(governed.zone(change.subject()));
         }
         // A change sent again must meet its own first time, not this check: only the state can tell which it is.
         boolean first = engine.raft().leads() && !Boolean.parseBoolean(call.get("again"));
@@ -631,6 +644,14 @@
         json.writeNumberField("snapshot", engine.raft().snapshot().index());
         json.writeNumberField("version", agreed.version());
         json.writeStringField("disk", diskTrouble);
+        DistributionService.Standing published = distribution.standing();
+        json.writeObjectFieldStart("distribution");
+        json.writeNumberField("connections", published.connections());
+        json.writeNumberField("subscribers", published.summary().subscribers());
+        json.writeNumberField("lowest", published.summary().lowestRevision());
+        json.writeNumberField("behind", published.summary().behind());
+        json.writeNumberField("unreachable", published.summary().unreachable());
+        json.writeEndObject();
         json.writeArrayFieldStart("members");
         for (Member member : standing.members().all()) {
             json.writeStartObject();
--- /dev/null
+++ b/src/main/java/rockshift/cluster/DistributionCodec.java
@@ -0,0 +1,231 @@
+package rockshift.cluster;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SortedSet;
+import java.util.TreeSet;
+import rockshift.distribution.DistributionMessage;
+import rockshift.distribution.Item;
+import rockshift.distribution.Limits;
+import rockshift.distribution.RejectionReason;
+import rockshift.distribution.Revision;
+import rockshift.distribution.Scope;
+import rockshift.distribution.Summary;
+import rockshift.distribution.Update;
+
+/**
+ * Messages of the distribution as bytes: one CBOR array each, its kind first, told in docs/raft.md. A reader takes exactly what a
+ * writer gave. What is missing, follows, has the wrong type or goes beyond a bound is an error that names the field.
+ */
+final class DistributionCodec {
+    private static final Limits.Sizes SIZES = Limits.standard().sizes();
+    /** Characters of the longest key, and of what a refusal says. */
+    private static final int LONGEST_KEY = 512;
+    private static final int LONGEST_PLACE = 500;
+
+    /** The kinds of messages, in the order of their numbers on the wire. */
+    private enum Kind {
+        SUBSCRIBE, ACKNOWLEDGE, SNAPSHOT_PART, DIFFERENCE, HEARTBEAT, NOTICE, REJECTED
+    }
+
+    private DistributionCodec() {}
+
+    static byte[] write(DistributionMessage message) throws IOException {
+        CborWriter out = new CborWriter();
+        out.startArray();
+        if (message instanceof DistributionMessage.Subscribe subscribe) {
+            write(out, subscribe);
+        } else if (message instanceof DistributionMessage.Acknowledge acknowledge) {
+            write(out, acknowledge);
+        } else if (message instanceof DistributionMessage.SnapshotPart part) {
+            write(out, part);
+        } else if (message instanceof DistributionMessage.Difference difference) {
+            write(out, difference);
+        } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
+            write(out, heartbeat);
+        } else if (message instanceof DistributionMessage.Notice notice) {
+            head(out, Kind.NOTICE, notice).text(notice.reason().code()).text(place(notice.place()));
+        } else if (message instanceof DistributionMessage.Rejected rejected) {
+            head(out, Kind.REJECTED, rejected).text(rejected.reason().code()).text(place(rejected.place()))
+                    .add(rejected.retryAfterMillis());
+        }
+        out.endArray();
+        return out.end();
+    }
+
+    private static CborWriter head(CborWriter out, Kind kind, DistributionMessage message)
+            throws IOException {
+        return out.add(kind.ordinal(), message.scopeEpoch());
+    }
+
+    private static String place(String place) {
+        return place.length() <= LONGEST_PLACE ? place : place.substring(0, LONGEST_PLACE);
+    }
+
+    private static void write(CborWriter out, DistributionMessage.Subscribe message) throws IOException {
+        head(out, Kind.SUBSCRIBE, message).text(message.subscriber());
+        write(out, message.scope());
+        write(out, message.held());
+        out.add(message.sentMillis());
+    }
+
+    private static void write(CborWriter out, DistributionMessage.Acknowledge message) throws IOException {
+        head(out, Kind.ACKNOWLEDGE, message);
+        write(out, message.inForce());
+        Summary summary = message.summary();
+        out.add(message.snapshotParts(), summary.lowestRevision(), summary.subscribers(), summary.behind(),
+                summary.unreachable(), summary.fingerprint(), message.sentMillis());
+    }
+
+    private static void write(CborWriter out, DistributionMessage.SnapshotPart message) throws IOException {
+        head(out, Kind.SNAPSHOT_PART, message);
+        write(out, message.revision());
+        out.add(message.part(), message.parts(), message.digest(), message.items().size());
+        for (Item item : message.items()) {
+            write(out, item);
+        }
+    }
+
+    private static void write(CborWriter out, DistributionMessage.Difference message) throws IOException {
+        head(out, Kind.DIFFERENCE, message);
+        write(out, message.from());
+        write(out, message.to());
+        out.add(message.digest(), message.updates().size());
+        for (Update update : message.updates()) {
+            out.add(update.revision()).flag(update.deleted());
+            write(out, update.item());
+        }
+    }
+
+    private static void write(CborWriter out, DistributionMessage.Heartbeat message) throws IOException {
+        head(out, Kind.HEARTBEAT, message);
+        write(out, message.current());
+        out.add(message.digest(), message.staleMillis(), message.echoMillis());
+    }
+
+    private static void write(CborWriter out, Revision revision) throws IOException {
+        out.add(revision.cluster(), revision.number());
+    }
+
+    private static void write(CborWriter out, Scope scope) throws IOException {
+        out.flag(scope.everything());
+        write(out, scope.services());
+        write(out, scope.zones());
+    }
+
+    private static void write(CborWriter out, SortedSet<String> names) throws IOException {
+        out.add(names.size());
+        for (String name : names) {
+            out.text(name);
+        }
+    }
+
+    private static void write(CborWriter out, Item item) throws IOException {
+        out.text(item.key()).text(item.service()).text(item.zone()).binary(item.value());
+    }
+
+    static DistributionMessage read(byte[] bytes) throws IOException {
+        CborReader in = new CborReader(bytes, 0, bytes.length);
+        in.at("message").startArray();
+        Kind kind = in.at("kind").oneOf(Kind.values());
+        long epoch = in.at("scopeEpoch").number(0, Long.MAX_VALUE);
+        DistributionMessage message = switch (kind) {
+            case SUBSCRIBE -> new DistributionMessage.Subscribe(in.at("subscriber").text(SIZES.nameLength()),
+                    epoch, scope(in),
+                    revision(in, "held"), in.at("sentMillis").number());
+            case ACKNOWLEDGE -> acknowledge(in, epoch);
+            case SNAPSHOT_PART -> snapshotPart(in, epoch);
+            case DIFFERENCE ->
+                    new DistributionMessage.Difference(epoch, revision(in, "from"), revision(in, "to"),
+                            in.at("digest").number(), updates(in));
+            case HEARTBEAT -> new DistributionMessage.Heartbeat(epoch, revision(in, "current"),
+                    in.at("digest").number(),
+                    count(in, "staleMillis"), in.at("echoMillis").number());
+            case NOTICE ->
+                    new DistributionMessage.Notice(epoch, reason(in), in.at("place").text(LONGEST_PLACE));
+            case REJECTED ->
+                    new DistributionMessage.Rejected(epoch, reason(in), in.at("place").text(LONGEST_PLACE),
+                            count(in, "retryAfterMillis"));
+        };
+        in.at("message").end();
+        return message;
+    }
+
+    private static long count(CborReader in, String field) throws IOException {
+        return in.at(field).number(0, Long.MAX_VALUE);
+    }
+
+    private static int whole(CborReader in, String field) throws IOException {
+        return in.at(field).whole(Integer.MAX_VALUE);
+    }
+
+    private static DistributionMessage acknowledge(CborReader in, long epoch) throws IOException {
+        Revision inForce = revision(in, "inForce");
+        int snapshotParts = whole(in, "snapshotParts");
+        Summary summary = new Summary(count(in, "summary.lowestRevision"), whole(in, "summary.subscribers"),
+                whole(in, "summary.behind"), whole(in, "summary.unreachable"),
+                in.at("summary.fingerprint").number());
+        return new DistributionMessage.Acknowledge(epoch, inForce, snapshotParts, summary,
+                in.at("sentMillis").number());
+    }
+
+    private static DistributionMessage snapshotPart(CborReader in, long epoch) throws IOException {
+        Revision revision = revision(in, "revision");
+        int part = whole(in, "part");
+        int parts = whole(in, "parts");
+        long digest = in.at("digest").number();
+        List<Item> items = new ArrayList<>();
+        for (int left = in.at("items").whole(SIZES.partItems()); left > 0; left--) {
+            items.add(item(in, "items"));
+        }
+        return new DistributionMessage.SnapshotPart(epoch, revision, part, parts, digest, items);
+    }
+
+    private static List<Update> updates(CborReader in) throws IOException {
+        List<Update> updates = new ArrayList<>();
+        for (int left = in.at("updates").whole(SIZES.differenceUpdates()); left > 0; left--) {
+            long revision = count(in, "updates.revision");
+            boolean deleted = in.at("updates.deleted").flag();
+            updates.add(new Update(revision, item(in, "updates"), deleted));
+        }
+        return updates;
+    }
+
+    private static Item item(CborReader in, String list) throws IOException {
+        return new Item(in.at(list + ".key").text(LONGEST_KEY),
+                in.at(list + ".service").text(SIZES.nameLength()),
+                in.at(list + ".zone").text(SIZES.nameLength()),
+                in.at(list + ".value").bytes(SIZES.itemBytes()));
+    }
+
+    private static Revision revision(CborReader in, String field) throws IOException {
+        return new Revision(in.at(field + ".cluster").number(), count(in, field + ".number"));
+    }
+
+    private static Scope scope(CborReader in) throws IOException {
+        boolean everything = in.at("scope.everything").flag();
+        return new Scope(everything, names(in, "scope.services"), names(in, "scope.zones"));
+    }
+
+    private static SortedSet<String> names(CborReader in, String field) throws IOException {
+        SortedSet<String> names = new TreeSet<>();
+        for (int left = in.at(field).whole(SIZES.scopeNames()); left > 0; left--) {
+            String name = in.text(SIZES.nameLength());
+            if (!names.isEmpty() && names.last().compareTo(name) >= 0) {
+                throw in.wrong("names that are not in order");
+            }
+            names.add(name);
+        }
+        return names;
+    }
+
+    private static RejectionReason reason(CborReader in) throws IOException {
+        String code = in.at("reason").text(LONGEST_PLACE);
+        RejectionReason reason = RejectionReason.byCode(code);
+        if (reason == null) {
+            throw in.wrong("'" + code + "' is no reason");
+        }
+        return reason;
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -0,0 +1,251 @@
+package rockshift.cluster;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.random.RandomGenerator;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import rockshift.distribution.ConfigurationStore;
+import rockshift.distribution.DistributionMessage;
+import rockshift.distribution.Item;
+import rockshift.distribution.Limits;
+import rockshift.distribution.Publisher;
+import rockshift.distribution.Refusal;
+import rockshift.distribution.RejectionReason;
+import rockshift.distribution.Revision;
+import rockshift.distribution.Scope;
+import rockshift.distribution.Summary;
+import rockshift.distribution.Update;
+import rockshift.raft.Message;
+import rockshift.raft.Raft;
+
+/**
+ * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a thread of its own, so that the
+ * agreement waits for none of it. The member's thread hands in what is agreed; subscribers' messages come from the connections.
+ */
+final class DistributionService implements SubscriberPort.Owner, AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
+    /** Changes that may wait to be published; beyond them the whole state is handed over once there is room. */
+    private static final int MOST_CHANGES_WAITING = 10_000;
+    /** Ms between two looks at what is due, with subscribers and without. */
+    private static final long TICK_MS = 50;
+    private static final long IDLE_TICK_MS = 1_000;
+    private static final long JOIN_MS = 500;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    private final SubscriberPort port;
+    // Used by the publisher's thread alone.
+    private final ConfigurationStore store;
+    private final Publisher publisher;
+    private boolean changed;
+    /** Steps of the port are bounded there, changes of the member by {@link #changesWaiting}. */
+    private final LinkedBlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
+    private final AtomicInteger changesWaiting = new AtomicInteger();
+    private final Thread thread = new Thread(this::work, "distribution");
+    private volatile boolean closed;
+    private volatile long freshAt = Long.MIN_VALUE;
+    private volatile Standing standing = new Standing(0, 0, new Summary(0, 0, 0, 0, 0));
+    // Used by the member's thread alone.
+    private final Freshness freshness;
+    private final Map<String, Item> handedOver = new HashMap<>();
+    private Revision handedOverAt = Revision.NONE;
+    private boolean behind;
+
+    /**
+     * How publishing stands.
+     *
+     * @param connections open, those of relays included
+     * @param revision the number of what is published
+     * @param summary what is in force below
+     */
+    record Standing(int connections, long revision, Summary summary) {}
+
+    /**
+     * A service that holds nothing yet.
+     *
+     * @param subscribers connections that are served at most
+     * @param election of the member, in tenths of a ms
+     */
+    DistributionService(int subscribers, long election, RandomGenerator random) {
+        Limits limits = DistributionSettings.limits(subscribers);
+        freshness = new Freshness(election);
+        port = new SubscriberPort(subscribers, this);
+        store = new ConfigurationStore(limits.sizes());
+        publisher = new Publisher(store, Scope.all(), limits, random, port);
+        thread.setDaemon(true);
+    }
+
+    void start() {
+        thread.start();
+    }
+
+    SubscriberPort port() {
+        return port;
+    }
+
+    Standing standing() {
+        return standing;
+    }
+
+    private static long now() {
+        return System.nanoTime() / NANOS_PER_MILLI;
+    }
+
+    // ---- the member's thread --------------------------------------------------------------------
+
+    /** A message came to the member. */
+    void heard(Message message, Raft raft) {
+        freshness.heard(message, raft, now());
+    }
+
+    /** To be called again and again: hands over what is agreed where it could not be told change by change. */
+    void tend(long cluster, Agreed agreed, Raft raft) {
+        if (cluster != handedOverAt.cluster() || behind && changesWaiting.get() == 0) {
+            restored(cluster, agreed);
+        }
+        freshAt = freshness.freshAt(raft, now());
+    }
+
+    /** All that is agreed may be another. */
+    void restored(long cluster, Agreed agreed) {
+        if (cluster == 0) {
+            return;
+        }
+        behind = false;
+        handedOver.clear();
+        List<Item> items = AgreedItems.all(agreed);
+        items.forEach(item -> handedOver.put(item.key(), item));
+        Revision revision = new Revision(cluster, agreed.version());
+        handedOverAt = revision;
+        handOver(() -> store.reset(revision, items));
+    }
+
+    /** A change was applied; it may have been refused there. */
+    void applied(long cluster, Agreed agreed, byte[] body) {
+        if (cluster != handedOverAt.cluster() || agreed.version() == handedOverAt.number()) {
+            return;
+        }
+        Revision revision = new Revision(cluster, agreed.version());
+        handedOverAt = revision;
+        List<Update> updates = List.of(update(revision, body));
+        if (changesWaiting.get() >= MOST_CHANGES_WAITING) {
+            behind = true;
+        }
+        if (!behind) {
+            handOver(() -> store.apply(revision, updates));
+        }
+    }
+
+    private Update update(Revision revision, byte[] body) {
+        try {
+            Change change = Change.read(body);
+            if (change.kind() == Change.Kind.BACK) {
+                return Update.delete(revision.number(), handedOver.remove(AgreedItems.key(change)));
+            }
+            Item item = AgreedItems.item(change);
+            handedOver.put(item.key(), item);
+            return Update.put(revision.number(), item);
+        } catch (IOException impossible) {
+            throw new IllegalStateException("a change that was applied can't be read", impossible);
+        }
+    }
+
+    private interface StoreStep {
+        void run() throws Refusal;
+    }
+
+    private void handOver(StoreStep step) {
+        changesWaiting.incrementAndGet();
+        steps.add(() -> {
+            changesWaiting.decrementAndGet();
+            try {
+                step.run();
+                changed = true;
+            } catch (Refusal refused) {
+                LOG.error("what was agreed can't be published: {} {}", refused.reason().code(),
+                        refused.place());
+            }
+        });
+    }
+
+    // ---- the publisher's thread -----------------------------------------------------------------
+
+    private void work() {
+        List<Runnable> batch = new ArrayList<>();
+        while (!closed) {
+            try {
+                Runnable first = steps.poll(publisher.connections() > 0 ? TICK_MS : IDLE_TICK_MS,
+                        TimeUnit.MILLISECONDS);
+                // Read before the queue: what was agreed by then is in the queue.
+                long fresh = freshAt;
+                if (first != null) {
+                    batch.add(first);
+                    steps.drainTo(batch);
+                    batch.forEach(this::guarded);
+                    batch.clear();
+                }
+                guarded(() -> publish(fresh));
+            } catch (InterruptedException stopped) {
+                return;
+            }
+        }
+    }
+
+    private void publish(long fresh) {
+        if (changed) {
+            changed = false;
+            publisher.published(now());
+        }
+        if (fresh != Long.MIN_VALUE) {
+            publisher.freshAt(fresh);
+        }
+        publisher.tick(now());
+        standing = new Standing(publisher.connections(), store.current().number(), publisher.summary());
+    }
+
+    private void guarded(Runnable step) {
+        try {
+            step.run();
+        } catch (RuntimeException failure) {
+            LOG.error("failure in the distribution", failure);
+        }
+    }
+
+    @Override
+    public void execute(Runnable step) {
+        steps.add(step);
+    }
+
+    @Override
+    public void connected(long connection) {
+        publisher.connected(connection, now());
+    }
+
+    @Override
+    public void received(long connection, DistributionMessage message) {
+        publisher.received(connection, message, now());
+    }
+
+    @Override
+    public void refused(long connection, RejectionReason reason, String place) {
+        publisher.refused(connection, reason, place, now());
+    }
+
+    @Override
+    public void disconnected(long connection) {
+        publisher.disconnected(connection, now());
+    }
+
+    @Override
+    public void close() throws InterruptedException {
+        closed = true;
+        thread.interrupt();
+        thread.join(JOIN_MS);
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/cluster/DistributionSettings.java
@@ -0,0 +1,99 @@
+package rockshift.cluster;
+
+import java.net.InetSocketAddress;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import rockshift.distribution.Limits;
+import rockshift.distribution.Scope;
+import rockshift.operator.Section;
+import rockshift.operator.Unusable;
+
+/**
+ * What a governor or relay is told in the block {@code distribution} of the operator's file. It is what one reading found and never
+ * changes.
+ *
+ * @param name by which publishers know it; each governor and relay has its own
+ * @param upstreams by label, in the order in which they are tried: relays, or members
+ * @param scope what it asks for
+ * @param relay what a relay serves; null for a governor
+ * @param limits bounds and intervals
+ */
+public record DistributionSettings(String name, Map<String, InetSocketAddress> upstreams, Scope scope,
+        RelaySettings relay,
+        Limits limits) {
+    /** Subscribers that a publisher serves if nothing is told, and at most. */
+    static final int USUAL_SUBSCRIBERS = 1_024;
+    static final int MOST_SUBSCRIBERS = 65_536;
+    private static final int LONGEST_NAME = Limits.standard().sizes().nameLength();
+
+    /**
+     * What a relay serves.
+     *
+     * @param listen where subscribers connect
+     * @param subscribers connections that are served at most
+     */
+    public record RelaySettings(InetSocketAddress listen, int subscribers) {}
+
+    /** Reads the block; null where the file has none. */
+    public static DistributionSettings read(Section file) throws Unusable {
+        Section block = file.block("distribution");
+        if (block == null) {
+            return null;
+        }
+        String name = block.text("name", null);
+        if (name.length() > LONGEST_NAME) {
+            throw block.wrong("name", "must be at most " + LONGEST_NAME + " characters");
+        }
+        Map<String, InetSocketAddress> upstreams = new LinkedHashMap<>();
+        for (Map.Entry<String, Section> each : block.blocks("upstream").entrySet()) {
+            upstreams.put(each.getKey(), each.getValue().address("address", null));
+        }
+        if (upstreams.isEmpty()) {
+            throw block.wrong("upstream", "is missing");
+        }
+        RelaySettings relay = relay(block.block("relay"));
+        Scope scope = scope(block, relay != null);
+        int subscribers = relay == null ? USUAL_SUBSCRIBERS : relay.subscribers();
+        return new DistributionSettings(name, upstreams, scope, relay, limits(subscribers));
+    }
+
+    private static RelaySettings relay(Section block) throws Unusable {
+        return block == null ? null : new RelaySettings(block.address("listen", null),
+                block.whole("subscribers", USUAL_SUBSCRIBERS, 1, MOST_SUBSCRIBERS));
+    }
+
+    private static Scope scope(Section distribution, boolean relays) throws Unusable {
+        Section block = distribution.block("scope");
+        if (block == null && relays) {
+            return Scope.all();
+        } else if (block == null) {
+            throw distribution.wrong("scope", "is missing");
+        }
+        if (block.flag("everything", false)) {
+            return Scope.all();
+        }
+        Scope scope = Scope.of(names(block, "services"), names(block, "zones"));
+        if (scope.isEmpty()) {
+            throw block.wrong("", "names no services and no zones");
+        }
+        return scope;
+    }
+
+    private static Set<String> names(Section scope, String field) throws Unusable {
+        Set<String> names = scope.texts(field, LONGEST_NAME);
+        if (names.size() > Limits.standard().sizes().scopeNames()) {
+            throw scope.wrong(field, "names more than " + Limits.standard().sizes().scopeNames());
+        }
+        return names;
+    }
+
+    /** The usual bounds of a publisher, for so many connections. */
+    static Limits limits(int subscribers) {
+        Limits usual = Limits.standard();
+        Limits.Admission admission = usual.admission();
+        return new Limits(usual.timing(), usual.sizes(), new Limits.Admission(subscribers,
+                admission.subscriptionsEachSecond(), admission.snapshotsAtOnce(), admission.window(),
+                admission.snapshotWindow(), admission.mostRetryMillis()));
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/cluster/FramedConnection.java
@@ -0,0 +1,233 @@
+package rockshift.cluster;
+
+import java.io.IOException;
+import java.net.SocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectionKey;
+import java.util.ArrayDeque;
+import java.util.concurrent.TimeUnit;
+import org.apache.hc.core5.io.CloseMode;
+import org.apache.hc.core5.reactor.IOEventHandler;
+import org.apache.hc.core5.reactor.IOSession;
+import org.apache.hc.core5.util.Timeout;
+
+/**
+ * One connection that carries {@link Frames} both ways. It owns the socket, the bytes that came and those that wait to be sent,
+ * and why it ended: the first reason that is given counts. Events come on the reactor's thread; {@link #send} and {@link #end}
+ * may be called from any.
+ */
+abstract class FramedConnection implements IOEventHandler {
+    /** For how long the other side may read nothing while frames wait for it. */
+    private static final long LONGEST_STALL = TimeUnit.SECONDS.toNanos(2);
+    /** Ms in which a connection that ends must take what was sent before its end. */
+    private static final int FAREWELL_MS = 500;
+
+    private final IOSession session;
+    private final SocketAddress from;
+    private final ByteBuffer readBuffer;
+    private final int mostUnsent;
+    private final Frames frames = new Frames();
+    // Under the session's lock: frames that wait, the first perhaps in part, and their bytes.
+    private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
+    private int unsent;
+    private long progressAt = System.nanoTime();
+    private boolean closesWhenSent;
+    // Under this object's monitor.
+    private String reason;
+    private String about = "";
+
+    /**
+     * @param readBuffer shared by all connections of one reactor's thread
+     * @param mostUnsent bytes that may wait to be sent
+     */
+    FramedConnection(IOSession session, ByteBuffer readBuffer, int mostUnsent) {
+        this.session = session;
+        this.from = session.getRemoteAddress();
+        this.readBuffer = readBuffer;
+        this.mostUnsent = mostUnsent;
+    }
+
+    /** Takes a frame. A thrown {@link Frames.Broken} ends the connection with its code, another failure as malformed. */
+    abstract void take(Frames.Frame frame) throws IOException;
+
+    /** The connection has ended, for the reason that {@link #reason} gives. */
+    abstract void ended();
+
+    final IOSession session() {
+        return session;
+    }
+
+    final SocketAddress from() {
+        return from;
+    }
+
+    /** The code of the reason for which it ended; null while it is open. */
+    final synchronized String reason() {
+        return reason;
+    }
+
+    /** What more there is to say of the reason. */
+    final synchronized String about() {
+        return about;
+    }
+
+    @Override
+    public final void inputReady(IOSession same, ByteBuffer unused) throws IOException {
+        int count;
+        do {
+            readBuffer.clear();
+            count = session.read(readBuffer);
+            if (count < 0) {
+                end("left", "");
+                return;
+            }
+            takeAll(readBuffer.flip());
+        } while (count == readBuffer.capacity() && reason() == null);
+    }
+
+    private void takeAll(ByteBuffer piece) {
+        try {
+            frames.feed(piece);
+            for (Frames.Frame frame = frames.next(); frame != null && reason() == null;
+                    frame = frames.next()) {
+                take(frame);
+            }
+        } catch (Frames.Broken broken) {
+            end(broken.code, broken.getMessage());
+        } catch (IOException spoilt) {
+            end("malformed", spoilt.getMessage());
+        }
+    }
+
+    /**
+     * Sends a frame, from the caller's thread where nothing waits before it.
+     *
+     * @return whether it was sent or waits; false where it was dropped, since too much waits already or the connection ends
+     */
+    final boolean send(byte kind, byte[] payload) {
+        ByteBuffer frame = ByteBuffer.wrap(Frames.frame(kind, payload));
+        session.getLock().lock();
+        try {
+            if (closesWhenSent) {
+                return false;
+            }
+            if (waiting.isEmpty()) {
+                session.write(frame);
+                progressAt = System.nanoTime();
+            }
+            if (!frame.hasRemaining()) {
+                return true;
+            }
+            if (unsent + frame.remaining() > mostUnsent) {
+                return false;
+            }
+            unsent += frame.remaining();
+            waiting.add(frame);
+            session.setEvent(SelectionKey.OP_WRITE);
+            return true;
+        } catch (IOException broken) {
+            end("reset", String.valueOf(broken.getMessage()));
+            return false;
+        } finally {
+            session.getLock().unlock();
+        }
+    }
+
+    @Override
+    public final void outputReady(IOSession same) throws IOException {
+        session.getLock().lock();
+        try {
+            for (ByteBuffer first = waiting.peek(); first != null; first = waiting.peek()) {
+                int written = session.write(first);
+                unsent -= written;
+                if (written > 0) {
+                    progressAt = System.nanoTime();
+                }
+                if (first.hasRemaining()) {
+                    return;
+                }
+                waiting.remove();
+            }
+            session.clearEvent(SelectionKey.OP_WRITE);
+            if (closesWhenSent) {
+                session.close(CloseMode.GRACEFUL);
+            }
+        } finally {
+            session.getLock().unlock();
+        }
+    }
+
+    /** Whether frames wait and the other side has read nothing for too long. */
+    final boolean stalled() {
+        session.getLock().lock();
+        try {
+            return !waiting.isEmpty() && System.nanoTime() - progressAt > LONGEST_STALL;
+        } finally {
+            session.getLock().unlock();
+        }
+    }
+
+    /** Ends the connection at once; what still waits is lost. */
+    final void end(String why, String what) {
+        if (given(why, what)) {
+            session.close(CloseMode.IMMEDIATE);
+        }
+    }
+
+    /** Ends the connection once what was sent is written, or soon if the other side does not take it. */
+    final void endWhenSent(String why, String what) {
+        if (!given(why, what)) {
+            return;
+        }
+        session.getLock().lock();
+        try {
+            closesWhenSent = true;
+            if (waiting.isEmpty()) {
+                session.close(CloseMode.GRACEFUL);
+            } else {
+                session.clearEvent(SelectionKey.OP_READ);
+                session.setSocketTimeout(Timeout.ofMilliseconds(FAREWELL_MS));
+            }
+        } finally {
+            session.getLock().unlock();
+        }
+    }
+
+    /** Takes the reason if it is the first. */
+    private synchronized boolean given(String why, String what) {
+        if (reason != null) {
+            return false;
+        }
+        reason = why;
+        about = what;
+        return true;
+    }
+
+    @Override
+    public final void timeout(IOSession same, Timeout after) {
+        if (reason() == null) {
+            quiet();
+        } else {
+            session.close(CloseMode.IMMEDIATE);
+        }
+    }
+
+    /** Nothing came or went for the time that was set. */
+    abstract void quiet();
+
+    @Override
+    public final void exception(IOSession same, Exception failure) {
+        if (!(failure instanceof IOException)) {
+            failed(failure);
+        }
+        end(failure instanceof IOException ? "reset" : "failure", String.valueOf(failure.getMessage()));
+    }
+
+    /** A fault of this program met while handling the connection. */
+    abstract void failed(Exception failure);
+
+    @Override
+    public final void disconnected(IOSession same) {
+        ended();
+    }
+}
--- a/src/main/java/rockshift/cluster/Frames.java
+++ b/src/main/java/rockshift/cluster/Frames.java
@@ -13,11 +13,14 @@
 final class Frames {
     /** Bytes of the longest frame: a message's entries or a snapshot's piece, and room. */
     static final int LONGEST = 1 << 20;
-    static final int VERSION = 1;
+    /** Told by a member's hello. 2: changes may name a service and a zone, which members of version 1 refuse to apply. */
+    static final int VERSION = 2;
     static final byte HELLO = 1;
     static final byte MESSAGE = 2;
     static final byte CALL = 3;
     static final byte REPLY = 4;
+    /** A message of the distribution between a publisher and its subscriber. */
+    static final byte WATCH = 5;
     private static final int HEAD = 8;
 
     /** A frame that can't be used; the code is the reason that the log gives. */
@@ -33,7 +36,11 @@
 
     record Frame(byte kind, byte[] payload) {}
 
-    private ByteBuffer held = ByteBuffer.allocate(4 << 10).limit(0);
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+    /** Bytes that an idle connection may keep room for. */
+    private static final int KEPT = 4 << 10;
+
+    private ByteBuffer held = EMPTY;
 
     static byte[] frame(byte kind, byte[] payload) {
         byte[] body = new byte[payload.length + 1];
@@ -72,7 +79,7 @@
         byte[] body = new byte[length];
         held.get(body);
         if (!held.hasRemaining()) {
-            held.clear().limit(0);
+            held = held.capacity() > KEPT ? EMPTY : held.clear().limit(0);
         }
         return check(body, sum);
     }
--- a/src/main/java/rockshift/cluster/Governed.java
+++ b/src/main/java/rockshift/cluster/Governed.java
@@ -19,4 +19,7 @@
 
     /** When a replica that is listed last started, in ms of Unix time; 0 where that is not known. */
     long started(String replica);
+
+    /** The zone of a replica that is listed; empty where that is not known. */
+    String zone(String replica);
 }
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -2,22 +2,17 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.SocketAddress;
 import java.nio.ByteBuffer;
-import java.nio.channels.SelectionKey;
-import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ExecutionException;
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
 import org.apache.hc.core5.concurrent.FutureCallback;
 import org.apache.hc.core5.http.HttpHost;
 import org.apache.hc.core5.io.CloseMode;
 import org.apache.hc.core5.reactor.DefaultListeningIOReactor;
-import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.IOReactorConfig;
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.util.TimeValue;
@@ -35,8 +30,10 @@
     /** Bytes read at a time, and that may wait for one connection: a flight of full messages. */
     private static final int PIECE = 64 << 10;
     private static final int UNSENT = 8 << 20;
-    /** Connections taken: members, commands, and strangers up to here. */
+    /** Connections taken of members and commands. Subscribers have a bound of their own, strangers that of both. */
     private static final int MOST = 64;
+    /** Connections that may wait to be taken: all subscribers dialling at once. */
+    private static final int BACKLOG = 1_024;
     /** Ms until a new connection must have said who it is, and until one that says nothing more is ended. */
     private static final int TO_SPEAK = 2_000;
     private static final int IDLE = 60_000;
@@ -64,7 +61,10 @@
     private final RandomGenerator chance;
     private final DefaultListeningIOReactor reactor;
     private final Map<String, Dialled> dialled = new ConcurrentHashMap<>();
-    private final AtomicInteger taken = new AtomicInteger();
+    private final SubscriberPort subscribers;
+    // Used by the reactor's thread alone.
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(PIECE);
+    private final int[] taken = new int[Role.values().length];
 
     /** An address that is dialled, again and again. */
     private static final class Dialled {
@@ -75,12 +75,13 @@
         boolean complained;
     }
 
-    Links(Ear ear, RandomGenerator chance) {
+    Links(Ear ear, SubscriberPort subscribers, RandomGenerator chance) {
         this.ear = ear;
+        this.subscribers = subscribers;
         this.chance = chance;
-        IOReactorConfig one =
-                IOReactorConfig.custom().setIoThreadCount(1).setSoReuseAddress(true).setTcpNoDelay(true)
-                        .setSelectInterval(TimeValue.ofMilliseconds(LOOK)).build();
+        IOReactorConfig one = IOReactorConfig.custom().setIoThreadCount(1).setBacklogSize(BACKLOG)
+                .setSoReuseAddress(true).setTcpNoDelay(true)
+                .setSelectInterval(TimeValue.ofMilliseconds(LOOK)).build();
         reactor = new DefaultListeningIOReactor(
                 (session, attachment) -> new Link(session, attachment instanceof Dialled
                         ? (Dialled) attachment : null),
@@ -168,75 +169,83 @@
         }
     }
 
+    /** What a connection that was taken turned out to be, by its first frame; each has a bound of its own. */
+    private enum Role {
+        STRANGER, MEMBER_OR_COMMAND, SUBSCRIBER
+    }
+
+    /** Connections taken that are in a role. Used by the reactor's thread alone. */
+    private int count(Role role) {
+        return taken[role.ordinal()];
+    }
+
+    private int most(Role role) {
+        return switch (role) {
+            case STRANGER -> MOST + subscribers.most();
+            case MEMBER_OR_COMMAND -> MOST;
+            case SUBSCRIBER -> subscribers.most();
+        };
+    }
+
     /** One connection. */
-    final class Link implements IOEventHandler {
-        private final IOSession session;
+    final class Link extends FramedConnection {
         private final Dialled dialledAs;
-        private final SocketAddress from;
-        private final Frames frames = new Frames();
-        private final ByteBuffer piece = ByteBuffer.allocate(PIECE);
-        // Under the session's lock: frames that wait, the first perhaps in part, and their bytes.
-        private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-        private int unsent;
         private Codec.Hello other;
-        private volatile String reason;
-        private String about = "";
-        private boolean counted;
+        private Role role;
 
         Link(IOSession session, Dialled dialledAs) {
-            this.session = session;
+            super(session, readBuffer, UNSENT);
             this.dialledAs = dialledAs;
-            from = session.getRemoteAddress();
         }
 
         @Override
         public void connected(IOSession same) {
             if (dialledAs == null) {
-                counted = true;
-                if (taken.incrementAndGet() > MOST) {
-                    end("crowded", "");
-                    return;
+                if (enter(Role.STRANGER)) {
+                    session().setSocketTimeout(Timeout.ofMilliseconds(TO_SPEAK));
                 }
-                session.setSocketTimeout(Timeout.ofMilliseconds(TO_SPEAK));
             } else {
                 dialledAs.link = this;
                 dialledAs.pause = FIRST_PAUSE;
                 dialledAs.complained = false;
-                session.setSocketTimeout(Timeout.DISABLED);
+                session().setSocketTimeout(Timeout.DISABLED);
                 send(Frames.HELLO, ear.hello());
             }
         }
 
+        /** Counts a taken connection in another role; ends it where there are too many of these. */
+        private boolean enter(Role next) {
+            if (role != null) {
+                taken[role.ordinal()]--;
+            }
+            role = next;
+            taken[role.ordinal()]++;
+            if (count(role) > most(role)) {
+                end("crowded", "");
+                return false;
+            }
+            return true;
+        }
+
         @Override
-        public void inputReady(IOSession same, ByteBuffer unused) throws IOException {
-            int count;
-            do {
-                piece.clear();
-                count = session.read(piece);
-                if (count < 0) {
-                    end("left", "");
+        void take(Frames.Frame frame) throws IOException {
+            if (role == Role.STRANGER) {
+                session().setSocketTimeout(Timeout.ofMilliseconds(IDLE));
+                if (!enter(frame.kind() == Frames.WATCH ? Role.SUBSCRIBER : Role.MEMBER_OR_COMMAND)) {
                     return;
                 }
-                try {
-                    frames.feed(piece.flip());
-                    for (Frames.Frame frame = frames.next(); frame != null && reason == null;
-                            frame = frames.next()) {
-                        take(frame);
-                    }
-                } catch (Frames.Broken broken) {
-                    end(broken.code, broken.getMessage());
-                } catch (IOException spoilt) {
-                    end("malformed", spoilt.getMessage());
+                if (role == Role.SUBSCRIBER) {
+                    subscribers.opened(this);
                 }
-            } while (count == PIECE && reason == null);
-        }
-
-        private void take(Frames.Frame frame) throws IOException {
+            }
+            boolean subscribes = role == Role.SUBSCRIBER;
+            if (subscribes != (frame.kind() == Frames.WATCH)) {
+                throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
+            }
             switch (frame.kind()) {
                 case Frames.HELLO -> {
                     other = Codec.hello(frame.payload());
                     if (dialledAs == null) {
-                        session.setSocketTimeout(Timeout.ofMilliseconds(IDLE));
                         send(Frames.HELLO, ear.hello());
                     }
                     ear.met(other);
@@ -247,86 +256,36 @@
                     }
                     ear.message(frame.payload(), other.cluster());
                 }
-                case Frames.CALL -> {
-                    session.setSocketTimeout(Timeout.ofMilliseconds(IDLE));
-                    ear.call(this, frame.payload());
-                }
+                case Frames.CALL -> ear.call(this, frame.payload());
+                case Frames.WATCH -> subscribers.received(this, frame.payload());
                 default -> throw new Frames.Broken("unknown-kind", "a frame of kind " + frame.kind());
             }
         }
 
-        /**
-         * Sends a frame, from the caller's thread where nothing waits before it. What would wait beyond the limit is dropped,
-         * as if it were lost on the way.
-         */
-        void send(byte kind, byte[] payload) {
-            ByteBuffer frame = ByteBuffer.wrap(Frames.frame(kind, payload));
-            session.getLock().lock();
-            try {
-                if (waiting.isEmpty()) {
-                    session.write(frame);
-                }
-                if (frame.hasRemaining() && unsent + frame.remaining() <= UNSENT) {
-                    unsent += frame.remaining();
-                    waiting.add(frame);
-                    session.setEvent(SelectionKey.OP_WRITE);
-                }
-            } catch (IOException broken) {
-                end("reset", String.valueOf(broken.getMessage()));
-            } finally {
-                session.getLock().unlock();
-            }
-        }
-
-        @Override
-        public void outputReady(IOSession same) throws IOException {
-            session.getLock().lock();
-            try {
-                for (ByteBuffer first = waiting.peek(); first != null; first = waiting.peek()) {
-                    unsent -= session.write(first);
-                    if (first.hasRemaining()) {
-                        return;
-                    }
-                    waiting.remove();
-                }
-                session.clearEvent(SelectionKey.OP_WRITE);
-            } finally {
-                session.getLock().unlock();
-            }
-        }
-
-        private void end(String why, String what) {
-            if (reason == null) {
-                reason = why;
-                about = what;
-                session.close(CloseMode.IMMEDIATE);
-            }
-        }
-
         @Override
-        public void timeout(IOSession same, Timeout after) {
+        void quiet() {
             end(other == null ? "not-joined" : "idle", "");
         }
 
         @Override
-        public void exception(IOSession same, Exception failure) {
-            if (!(failure instanceof IOException)) {
-                LOG.error("failure on a member's connection", failure);
-            }
-            end(failure instanceof IOException ? "reset" : "failure", String.valueOf(failure.getMessage()));
+        void failed(Exception failure) {
+            LOG.error("failure on a member's connection", failure);
         }
 
         @Override
-        public void disconnected(IOSession same) {
-            if (counted) {
-                taken.decrementAndGet();
+        void ended() {
+            if (role != null) {
+                taken[role.ordinal()]--;
             }
             if (dialledAs != null && dialledAs.link == this) {
                 dialledAs.link = null;
             }
-            if (dialledAs != null || other != null || reason != null && !reason.equals("left")) {
-                LOG.info("closed member connection {}: {} {}", other == null ? from : other.name(),
-                        reason == null ? "stopping" : reason, about);
+            String why = reason();
+            if (role == Role.SUBSCRIBER) {
+                subscribers.ended(this);
+            } else if (dialledAs != null || other != null || why != null && !why.equals("left")) {
+                LOG.info("closed member connection {}: {} {}", other == null ? from() : other.name(),
+                        why == null ? "stopping" : why, about());
             }
         }
     }
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -64,6 +64,11 @@
         public long started(String replica) {
             return 0;
         }
+
+        @Override
+        public String zone(String replica) {
+            return "";
+        }
     }
 
     /** All figures by name, in their order. */
--- a/src/main/java/rockshift/kit/Relay.java
+++ b/src/main/java/rockshift/kit/Relay.java
@@ -25,6 +25,7 @@
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private volatile int target;
     private volatile boolean cut;
+    private volatile boolean cutBack;
     private volatile double loss;
     private volatile double twice;
     private volatile long delayMs;
@@ -55,6 +56,11 @@
         cut = now;
     }
 
+    /** Cuts one way alone: nothing of what is answered reaches who dialled. */
+    public void cutBack(boolean now) {
+        cutBack = now;
+    }
+
     public void spoil(double lossNow, double twiceNow, long delayNow) {
         loss = lossNow;
         twice = twiceNow;
@@ -114,7 +120,7 @@
                 if (delayMs > 0 && spoils) {
                     LockSupport.parkNanos(delayMs * 1_000_000);
                 }
-                if (cut || spoils && drawn < loss) {
+                if (cut || cutBack && !spoils || spoils && drawn < loss) {
                     continue;
                 }
                 for (int copies = spoils && drawn > 1 - twice ? 2 : 1; copies > 0; copies--) {
--- a/src/main/java/rockshift/net/EventLoop.java
+++ b/src/main/java/rockshift/net/EventLoop.java
@@ -101,10 +101,11 @@
     }
 
     /** What staff agreed is never refused: it comes as it changes, whole. */
-    void agreed(long version, Map<Long, Long> out, Map<String, String> terms) {
+    void agreed(long version, Map<Long, Long> out, Map<String, String> terms, Runnable inForce) {
         queue.add(now -> {
             tables.agreed();
             logic.agreed(now, version, out, terms);
+            inForce.run();
         });
     }
 
--- a/src/main/java/rockshift/net/Inlet.java
+++ b/src/main/java/rockshift/net/Inlet.java
@@ -39,9 +39,14 @@
 
     /** What stands agreed since a version: by replica's name, up to which start (tenths of a ms) it is kept out. */
     public void agreed(long version, Map<String, Long> out, Map<String, String> terms) {
+        agreed(version, out, terms, () -> {});
+    }
+
+    /** The same; runs a task on the module's thread once the module goes by it. */
+    public void agreed(long version, Map<String, Long> out, Map<String, String> terms, Runnable inForce) {
         Map<Long, Long> numbered = new HashMap<>();
         out.forEach((name, start) -> numbered.put(DiscoveryClient.number(name), start));
-        loop.agreed(version, numbered, terms);
+        loop.agreed(version, numbered, terms, inForce);
     }
 
     public void reach(Reach reach) {
--- a/src/main/java/rockshift/net/ProcessSignals.java
+++ b/src/main/java/rockshift/net/ProcessSignals.java
@@ -11,7 +11,7 @@
  */
 public final class ProcessSignals {
     /** Who is told of signals. */
-    interface Listener {
+    public interface Listener {
         void reload();
 
         void stop() throws InterruptedException;
@@ -49,7 +49,7 @@
     }
 
     /** From now on the listener is told; first of a reload that was asked for before. */
-    void tell(Listener told) {
+    public void tell(Listener told) {
         boolean reload;
         synchronized (this) {
             listener = told;
--- a/src/main/java/rockshift/operator/Section.java
+++ b/src/main/java/rockshift/operator/Section.java
@@ -3,8 +3,10 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -58,6 +60,23 @@
         return (String) value;
     }
 
+    /** A list of texts, each once; empty where the field is not there. */
+    public Set<String> texts(String field, int longest) throws Unusable {
+        Object value = take(field);
+        if (value != null && !(value instanceof List<?>)) {
+            throw wrong(field, "must be a list of texts, not " + value);
+        }
+        Set<String> found = new LinkedHashSet<>();
+        for (Object each : value == null ? List.of() : (List<?>) value) {
+            if (!(each instanceof String text) || text.isEmpty() || text.length() > longest) {
+                throw wrong(field, "must list texts of 1 to " + longest + " characters, not " + each);
+            } else if (!found.add(text)) {
+                throw wrong(field, "names '" + text + "' twice");
+            }
+        }
+        return found;
+    }
+
     /** One of a few words. */
     public String word(String field, String otherwise, String... allowed) throws Unusable {
         String value = text(field, otherwise);
--- a/src/test/java/rockshift/cluster/AgreedTest.java
+++ b/src/test/java/rockshift/cluster/AgreedTest.java
@@ -3,10 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import rockshift.distribution.Item;
 
 /** Stories of what staff have agreed. */
 class AgreedTest {
@@ -44,6 +47,54 @@
         assertThat(other.version()).isZero();
     }
 
+    /** Logs and snapshots of before services and zones were told. */
+    @Test
+    void changesOfOldFormatsAreReadAndConcernEveryone() throws IOException {
+        String before = "{\"change\":\"drain\",\"subject\":\"s-1\",\"started\":5,\"reason\":\"disk\"}";
+        Change change = Change.read(before.getBytes(StandardCharsets.UTF_8));
+        assertThat(change).isEqualTo(new Change(Change.Kind.DRAIN, "s-1", 5, 0, "disk", "", ""));
+        assertThat(new String(change.json(), StandardCharsets.UTF_8)).as("written as before")
+                .isEqualTo(before);
+        agreed.restore(("{\"format\":1,\"version\":7,\"out\":[" + before + "],\"terms\":{},\"budgets\":{}}")
+                .getBytes(StandardCharsets.UTF_8));
+        assertThat(agreed.out()).containsEntry("s-1", change);
+    }
+
+    @Test
+    void whomAChangeConcernsComesBackFromAnImage() {
+        apply("{\"change\":\"hold\",\"subject\":\"s-1\",\"service\":\"shop\",\"zone\":\"hall-a\"}");
+        Agreed other = new Agreed();
+        other.restore(agreed.image());
+        assertThat(other.out().get("s-1"))
+                .isEqualTo(new Change(Change.Kind.HOLD, "s-1", 0, 0, "", "shop", "hall-a"));
+    }
+
+    @Test
+    void aZoneThatNoChangeMayNameIsLeftOut() {
+        Change hold = new Change(Change.Kind.HOLD, "s-1", 0, 0, "");
+        assertThat(hold.inZone("hall-a").zone()).isEqualTo("hall-a");
+        assertThat(hold.inZone("hall a").zone()).isEmpty();
+        assertThat(hold.inZone("a".repeat(101)).zone()).isEmpty();
+    }
+
+    @Test
+    void itemsStandForChangesAndBack() throws IOException {
+        apply("{\"change\":\"drain\",\"subject\":\"s-1\",\"started\":5,\"zone\":\"hall-a\"}");
+        apply("{\"change\":\"term\",\"subject\":\"price.crossing\",\"value\":0.25,\"reason\":\"why\"}");
+        List<Item> items = AgreedItems.all(agreed);
+        assertThat(items).extracting(Item::key).containsExactly("out/s-1", "term/price.crossing");
+        assertThat(items.get(0).zone()).isEqualTo("hall-a");
+        assertThat(AgreedItems.change(items.get(0))).isEqualTo(agreed.out().get("s-1"));
+        assertThat(AgreedItems.change(items.get(1)).value()).isEqualTo(0.25);
+        assertThat(items.get(1)).as("alike whether it came by the log or by a snapshot")
+                .isEqualTo(AgreedItems.item(
+                        Change.read(
+                                "{\"change\":\"term\",\"subject\":\"price.crossing\",\"value\":0.25,\"reason\":\"x\"}"
+                                        .getBytes(StandardCharsets.UTF_8))));
+        assertThatThrownBy(() -> AgreedItems.change(new Item("out/s-2", "", "", items.get(0).value())))
+                .hasMessageContaining("does not stand for out/s-2");
+    }
+
     @Test
     void anImageOfAnotherFormatIsNotReadInPart() {
         assertThatThrownBy(() -> agreed.restore("{\"format\":2,\"version\":7}".getBytes()))
@@ -60,6 +111,10 @@
         "{\"change\":\"term\",\"subject\":\"price.crossing\",\"value\":99}|out-of-range",
         "{\"change\":\"drain\",\"subject\":\"s\",\"colour\":1}|field colour: is not known",
         "{\"change\":\"drain\",\"subject\":\"s\",\"started\":-1}|field started",
+        "{\"change\":\"drain\",\"subject\":\"s\",\"zone\":\"a b\"}|field zone: must be letters",
+        "{\"change\":\"drain\",\"subject\":\"s\",\"service\":7}|field service: must be text of at most 100",
+        "{\"change\":\"back\",\"subject\":\"s\",\"zone\":\"a\"}|field zone: has no meaning here",
+        "{\"change\":\"term\",\"subject\":\"price.orders\",\"value\":1,\"service\":\"a\"}|field service: has no meaning",
         "[1]|no JSON object"})
     void whatCanNotBeTakenNamesTheField(String change, String what) {
         assertThat(apply(change)).contains("refused").contains(what);
--- /dev/null
+++ b/src/test/java/rockshift/cluster/ClusterFixture.java
@@ -0,0 +1,162 @@
+package rockshift.cluster;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.io.TempDir;
+import rockshift.kit.Relay;
+import rockshift.raft.Timing;
+
+/** Members on real loopback sockets and real folders, with relays between them that can be cut. */
+abstract class ClusterFixture {
+    static final int LONG = 60_000;
+
+    @TempDir
+    Path folder;
+    final Relay[][] ways = new Relay[4][4];
+    final Relay[] fronts = new Relay[4];
+    final ClusterMember[] members = new ClusterMember[4];
+    final Map<Integer, Long> versions = new ConcurrentHashMap<>();
+    final Map<Integer, Governed.Reach> reaches = new ConcurrentHashMap<>();
+    final SplittableRandom chance = new SplittableRandom(5);
+
+    private final class Governor implements Governed {
+        private final int number;
+
+        Governor(int number) {
+            this.number = number;
+        }
+
+        @Override
+        public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {
+            versions.put(number, version);
+        }
+
+        @Override
+        public void reach(Reach reach) {
+            reaches.put(number, reach);
+        }
+
+        @Override
+        public String objection(Change change, Map<String, Change> out) {
+            return change.subject().equals("s-unknown") ? "unknown-replica" : null;
+        }
+
+        @Override
+        public long started(String replica) {
+            return 77;
+        }
+
+        @Override
+        public String zone(String replica) {
+            return replica.startsWith("a-") ? "hall-a" : "";
+        }
+    }
+
+    @BeforeEach
+    void layWays() throws IOException {
+        for (int i = 0; i < 4; i++) {
+            fronts[i] = new Relay(i);
+            for (int j = 0; j < 4; j++) {
+                ways[i][j] = new Relay(i * 4L + j);
+            }
+        }
+    }
+
+    @AfterEach
+    void close() throws Exception {
+        for (ClusterMember member : members) {
+            if (member != null) {
+                member.close();
+            }
+        }
+        for (int i = 0; i < 4; i++) {
+            fronts[i].close();
+            for (Relay way : ways[i]) {
+                way.close();
+            }
+        }
+    }
+
+    void start(int i, int founders) throws Exception {
+        Map<String, String> named = new LinkedHashMap<>();
+        Map<String, String> routes = new LinkedHashMap<>();
+        for (int k = 0; k < 4; k++) {
+            if (k < founders) {
+                named.put("n" + k, fronts[k].address());
+            }
+            routes.put("n" + k, ways[i][k].address());
+        }
+        members[i] = new ClusterMember(new ClusterCharter("n" + i, new InetSocketAddress("127.0.0.1", 0),
+                fronts[i].address(), folder.resolve("d" + i), named, routes,
+                new Timing(4_000, 800, 0.05, true, 512),
+                new Engine.Compaction(100, 1 << 20), ClusterCharter.Minority.WITHDRAW), new Governor(i));
+        members[i].start();
+        fronts[i].to(members[i].port());
+        for (int k = 0; k < 4; k++) {
+            ways[k][i].to(members[i].port());
+        }
+    }
+
+    void startThree() throws Exception {
+        for (int i = 0; i < 3; i++) {
+            start(i, 3);
+        }
+        until(() -> leader() >= 0);
+    }
+
+    interface Condition {
+        boolean holds() throws Exception;
+    }
+
+    static void until(Condition condition) throws Exception {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONG);
+        while (!condition.holds()) {
+            assertThat(System.nanoTime()).as("in time").isLessThan(end);
+            TimeUnit.MILLISECONDS.sleep(5);
+        }
+    }
+
+    int leader() {
+        for (int i = 0; i < members.length; i++) {
+            if (members[i] != null && members[i].leads()) {
+                return i;
+            }
+        }
+        return -1;
+    }
+
+    Client client(int... first) {
+        List<String> addresses = new ArrayList<>();
+        for (int i : first) {
+            addresses.add(fronts[i].address());
+        }
+        return new Client(addresses, chance, 1_000);
+    }
+
+    static long soon() {
+        return System.nanoTime() / 1_000_000 + LONG;
+    }
+
+    static Change hold(String replica) {
+        return new Change(Change.Kind.HOLD, replica, 0, 0, "");
+    }
+
+    void cut(int member, boolean now) {
+        for (int k = 0; k < 4; k++) {
+            ways[member][k].cut(now);
+            ways[k][member].cut(now);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/rockshift/cluster/CutOffWatchTest.java
@@ -0,0 +1,36 @@
+package rockshift.cluster;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** When a governor says that it is cut off, and that it is back. */
+class CutOffWatchTest {
+    private final List<String> told = new ArrayList<>();
+    private final CutOffWatch watch = new CutOffWatch(3_000, 10_000, age -> told.add("cut off " + age),
+            after -> told.add("back " + after));
+
+    @Test
+    void eachIsToldOnceWithHowLongItWas() {
+        watch.look(11_000, 11_100);
+        watch.look(11_000, 14_000);
+        assertThat(told).isEmpty();
+        watch.look(11_000, 14_001);
+        watch.look(11_000, 14_500);
+        assertThat(told).containsExactly("cut off 3001");
+        watch.look(15_000, 15_010);
+        watch.look(15_100, 15_200);
+        assertThat(told).containsExactly("cut off 3001", "back 4010");
+    }
+
+    @Test
+    void whoNeverHeldAnythingIsCutOffAfterTheSameTime() {
+        watch.look(Long.MIN_VALUE, 13_000);
+        assertThat(told).isEmpty();
+        watch.look(Long.MIN_VALUE, 13_001);
+        watch.look(13_500, 13_600);
+        assertThat(told).containsExactly("cut off 3001", "back 3600");
+    }
+}
--- a/src/test/java/rockshift/net/ProcessTest.java
+++ b/src/test/java/rockshift/net/ProcessTest.java
@@ -212,6 +212,10 @@
         await("the next call", () -> discovery.calls.size() == 2);
         assertThat(governor.said("rockshift.net.DiscoveryClient")).isTrue();
         assertThat(governor.said("sun.security.ssl")).isFalse();
+        assertThat(
+                List.of("rockshift.cluster", "rockshift.distribution", "rockshift.operator", "rockshift.cli",
+                        "rockshift.raft"))
+                .as("what no operator's file asked for").noneMatch(governor::said);
     }
 
     // ---- while it serves ----
--- a/src/test/java/rockshift/operator/OperatorFileTest.java
+++ b/src/test/java/rockshift/operator/OperatorFileTest.java
@@ -7,6 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rockshift.cluster.ClusterCharter;
+import rockshift.cluster.DistributionSettings;
 
 /** Stories of operators' files, right and wrong. */
 class OperatorFileTest {
@@ -63,6 +64,72 @@
                 .hasMessageStartingWith("o.hcl").hasMessageContaining(what);
     }
 
+    private static final String RELAY = """
+            distribution {
+              name = "r1"
+              upstream "n1" { address = "127.0.0.1:7101" }
+              upstream "n2" { address = "127.0.0.1:7102" }
+              scope {
+                services = ["shop", "search"]
+                zones = ["hall-a"]
+              }
+              relay {
+                listen = "127.0.0.1:7201"
+                subscribers = 300
+              }
+            }
+            """;
+
+    private static DistributionSettings readDistribution(String text) throws Unusable {
+        Section file = OperatorFile.parse("o.hcl", text);
+        DistributionSettings settings = DistributionSettings.read(file);
+        file.end();
+        return settings;
+    }
+
+    @Test
+    void aRelaysBlockIsReadWhole() throws Unusable {
+        DistributionSettings relay = readDistribution(RELAY);
+        assertThat(relay.name()).isEqualTo("r1");
+        assertThat(relay.upstreams()).containsOnlyKeys("n1", "n2");
+        assertThat(relay.scope().services()).containsExactly("search", "shop");
+        assertThat(relay.scope().zones()).containsExactly("hall-a");
+        assertThat(relay.relay().listen().getPort()).isEqualTo(7201);
+        assertThat(relay.limits().admission().connections()).isEqualTo(300);
+        assertThat(readDistribution("# nothing\n")).isNull();
+    }
+
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', value = {
+        "name = \"r1\"|nmae = \"r1\"|line 1, field distribution.name: is missing",
+        "name = \"r1\"|name = 7|line 2, field distribution.name: must be text",
+        "address = \"127.0.0.1:7101\"|address = \"here\"|line 3, field distribution.upstream.n1.address: must be an address",
+        "upstream \"n2\"|downstream \"n2\"|field distribution.downstream: is not known here",
+        "zones = [\"hall-a\"]|zones = \"hall-a\"|line 7, field distribution.scope.zones: must be a list of texts",
+        "zones = [\"hall-a\"]|zones = [\"hall-a\", \"hall-a\"]|line 7, field distribution.scope.zones: names 'hall-a' twice",
+        "zones = [\"hall-a\"]|zones = [\"\"]|line 7, field distribution.scope.zones: must list texts of 1 to 200",
+        "zones = [\"hall-a\"]|zoens = [\"hall-a\"]|line 7, field distribution.scope.zoens: is not known here",
+        "listen = \"127.0.0.1:7201\"|#|field distribution.relay.listen: is missing",
+        "subscribers = 300|subscribers = 0|line 11, field distribution.relay.subscribers: must be from 1"})
+    void whatIsWrongWithARelayIsNamedByFileLineAndField(String from, String to, String what) {
+        assertThatThrownBy(() -> readDistribution(RELAY.replace(from, to))).isInstanceOf(Unusable.class)
+                .hasMessageStartingWith("o.hcl").hasMessageContaining(what);
+    }
+
+    @Test
+    void aScopeOfNothingIsRefusedAndAGovernorMustTellIts() {
+        assertThatThrownBy(() -> readDistribution(
+                "distribution {\n name = \"g\"\n upstream \"r\" { address = \"a:1\" }\n"
+                        + " scope {\n }\n}\n"))
+                .hasMessageContaining("field distribution.scope: names no services and no zones");
+        assertThatThrownBy(() -> readDistribution(
+                "distribution {\n name = \"g\"\n upstream \"r\" { address = \"a:1\" }\n"
+                        + "}\n"))
+                .hasMessageContaining("field distribution.scope: is missing");
+        assertThatThrownBy(() -> readDistribution("distribution {\n name = \"g\"\n}\n"))
+                .hasMessageContaining("field distribution.upstream: is missing");
+    }
+
     @Test
     void aBlockThatIsNotClosedAndAFileThatIsNotThereAreNamed() {
         assertThatThrownBy(() -> read("cluster {\n  name = \"n1\"\n")).hasMessageContaining(
