--- a/src/main/java/rockshift/Channel.java
+++ b/src/main/java/rockshift/Channel.java
@@ -60,8 +60,9 @@
     }
 
     /**
-     * Lines that wait: by the usual pace, or as many as nobody has answered but for those on the way. Messages
-     * leave in turn, so none written before one that any proxy answered still waits, however silent its own is.
+     * Lines that wait: by the usual pace, or as many as nobody has answered but for those on the way.
+     * Messages leave in turn, so none written before one that any proxy answered still waits, however silent
+     * its own is.
      */
     double queue(long now, double way, long remembered, Collection<Proxy> proxies) {
         if (now != at) {
--- a/src/main/java/rockshift/Known.java
+++ b/src/main/java/rockshift/Known.java
@@ -12,7 +12,9 @@
 /** What one governor knows: inputs write down what they tell, and {@link Logic} decides what follows. */
 abstract class Known {
     final Map<String, String> terms;
-    /** Terms that staff agreed to change since; and by replica, who is to be kept out if it started no later. */
+    /**
+     * Terms that staff agreed to change since; and by replica, who is to be kept out if it started no later.
+     */
     final TreeMap<String, String> agreedTerms = new TreeMap<>();
     final TreeMap<Long, Long> asked = new TreeMap<>();
     long agreedVersion;
@@ -111,8 +113,8 @@
     }
 
     /**
-     * What staff agreed, as it stands since a version: replicas to keep out, each up to a last start, and changed terms.
-     * One that is older than what is known means nothing.
+     * What staff agreed, as it stands since a version: replicas to keep out, each up to a last start, and
+     * changed terms. One that is older than what is known means nothing.
      */
     public void agreed(long now, long version, Map<Long, Long> out, Map<String, String> changed) {
         this.now = now;
@@ -126,7 +128,9 @@
         }
     }
 
-    /** Whether this governor may order all, or being cut off from the others only what rules owe, or nothing. */
+    /**
+     * Whether this governor may order all, or being cut off from the others only what rules owe, or nothing.
+     */
     public void reach(long now, Reach to) {
         this.now = now;
         urgent |= to != reach;
--- a/src/main/java/rockshift/Orders.java
+++ b/src/main/java/rockshift/Orders.java
@@ -6,9 +6,9 @@
     int line(int table, long replica, double weight);
 
     /**
-     * Shuts a replica out of everything that a joined proxy holds, or lets it in again. Answers how many lines
-     * the proxy is sent for it: none where it was told so before. A host that can tell all proxies at once only
-     * answers for each as it is named.
+     * Shuts a replica out of everything that a joined proxy holds, or lets it in again. Answers how many
+     * lines the proxy is sent for it: none where it was told so before. A host that can tell all proxies at
+     * once only answers for each as it is named.
      */
     int withdraw(long replica, boolean out, int proxy);
 
@@ -27,7 +27,10 @@
     /** Asks to be woken once after a delay in tenths of a millisecond. */
     void wake(long delay);
 
-    /** Tells that a replica left for good: it stands in no table, and is not named again unless it is listed anew. */
+    /**
+     * Tells that a replica left for good: it stands in no table, and is not named again unless it is listed
+     * anew.
+     */
     void forget(long replica);
 
     /** Leaves a line for the staff on call. */
--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -20,7 +20,8 @@
     static void tell(Inlet inlet, long version, Map<String, Change> out, Map<String, Double> terms,
             Runnable inForce) {
         Map<String, Long> until = new HashMap<>();
-        // A drain means the process that ran when it was asked for; a hold means whatever runs under the name.
+        // A drain means the process that ran when it was asked for; a hold means whatever runs under the
+        // name.
         out.forEach(
                 (name, change) -> until.put(name, change.kind() == Change.Kind.DRAIN && change.started() > 0
                         ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1 : Long.MAX_VALUE));
--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -150,7 +150,8 @@
     }
 
     @Command(name = "propose", mixinStandardHelpOptions = true,
-            description = "Has a budget or a term set: price.crossing, price.orders, goal.worst.class, or crossing, moves.")
+            description = "Has a budget or a term set: price.crossing, price.orders, goal.worst.class,"
+                    + " or crossing, moves.")
     static final class Propose implements Callable<Integer> {
         /** What is set. */
         enum What { TERM, BUDGET }
--- a/src/main/java/rockshift/cli/ClusterCompanion.java
+++ b/src/main/java/rockshift/cli/ClusterCompanion.java
@@ -10,7 +10,10 @@
 import rockshift.net.Companion;
 import rockshift.net.Inlet;
 
-/** Joins a member of the agreement to the governor of its process: what was agreed goes in, what is listed comes out. */
+/**
+ * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is listed
+ * comes out.
+ */
 final class ClusterCompanion implements Companion, Governed {
     private static final long TENTHS_PER_MILLI = 10;
 
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -13,7 +13,10 @@
 import rockshift.net.ProcessSignals;
 import rockshift.operator.Unusable;
 
-/** All commands. Exit statuses: 0 all held, 1 something that was checked did not hold, 2 the call or a file can't be used. */
+/**
+ * All commands. Exit statuses: 0 all held, 1 something that was checked did not hold, 2 the call or a file
+ * can't be used.
+ */
 @Command(name = "rockshift", mixinStandardHelpOptions = true, version = "rockshift 0.1.0",
         description = "A central planner behind plain proxies.", synopsisSubcommandLabel = "COMMAND",
         subcommands = {Commands.Serve.class, Commands.Play.class, Commands.Check.class, ClusterCommands.class,
--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -12,7 +12,8 @@
 
 /** Plays the agreement in simulated worlds. */
 @Command(name = "explore", mixinStandardHelpOptions = true,
-        description = "Plays the agreement's own code in simulated worlds full of faults, and checks what it promises.")
+        description = "Plays the agreement's own code in simulated worlds full of faults,"
+                + " and checks what it promises.")
 final class ExploreCommand implements Callable<Integer> {
     /** Seeds between two words of progress. */
     private static final long STEP = 1_000;
--- a/src/main/java/rockshift/cli/MeasureCommands.java
+++ b/src/main/java/rockshift/cli/MeasureCommands.java
@@ -21,7 +21,8 @@
     private MeasureCommands() {}
 
     @Command(name = "trial", mixinStandardHelpOptions = true,
-            description = "Starts governors, kills, stops and cuts them at random while clients propose, and compares them.")
+            description = "Starts governors, kills, stops and cuts them at random while clients propose,"
+                    + " and compares them.")
     static final class TrialCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -32,7 +32,8 @@
 final class ScaleCommands extends CommandGroup {
     /** One real governor before fleets of several sizes. */
     @Command(name = "governor", mixinStandardHelpOptions = true,
-            description = "Runs one real governor before fleets of several sizes, and fits lines through what it used.")
+            description = "Runs one real governor before fleets of several sizes, and fits lines through"
+                    + " what it used.")
     static final class GovernorCommand implements Callable<Integer> {
         private static final String FIT_HEADER =
                 "sweep,figure,runs,from,to,intercept,slope,slope_low,slope_high,residual,"
--- a/src/main/java/rockshift/cluster/Agreed.java
+++ b/src/main/java/rockshift/cluster/Agreed.java
@@ -12,8 +12,9 @@
 import rockshift.raft.Sessions;
 
 /**
- * What all governors agree on: which replicas staff want kept out, budgets, and terms that may change while running. Changes are
- * applied in one order everywhere, and each effective one makes the next version. It knows no replicas but by their names.
+ * What all governors agree on: which replicas staff want kept out, budgets, and terms that may change while
+ * running. Changes are applied in one order everywhere, and each effective one makes the next version. It
+ * knows no replicas but by their names.
  */
 public final class Agreed implements Sessions.Machine {
     /** Replicas that may be kept out at a time: a bound on the snapshot, far above a fleet's drains. */
--- a/src/main/java/rockshift/cluster/AgreedItems.java
+++ b/src/main/java/rockshift/cluster/AgreedItems.java
@@ -6,8 +6,9 @@
 import rockshift.distribution.Item;
 
 /**
- * What is agreed as items of the distribution, and back. An item's value is the change that it stands for, as JSON. It depends on
- * what is agreed alone, so that it is the same on every member, whether that came by the log or by a snapshot.
+ * What is agreed as items of the distribution, and back. An item's value is the change that it stands for, as
+ * JSON. It depends on what is agreed alone, so that it is the same on every member, whether that came by the
+ * log or by a snapshot.
  */
 public final class AgreedItems {
     private static final String OUT = "out/";
--- a/src/main/java/rockshift/cluster/CborReader.java
+++ b/src/main/java/rockshift/cluster/CborReader.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 
 /**
- * Reads CBOR items in a fixed order and takes exactly what {@link CborWriter} gave: a missing, further or ill-typed item, or one
- * out of its range, is an error.
+ * Reads CBOR items in a fixed order and takes exactly what {@link CborWriter} gave: a missing, further or
+ * ill-typed item, or one out of its range, is an error.
  */
 final class CborReader {
     private static final CBORFactory CBOR = new CBORFactory();
--- a/src/main/java/rockshift/cluster/Client.java
+++ b/src/main/java/rockshift/cluster/Client.java
@@ -16,8 +16,8 @@
 import rockshift.operator.Section;
 
 /**
- * Speaks to members as staff's commands do: asks one, goes where it points, and asks again under the same serial until it is
- * told what came of it or its time is up. It waits for answers, and is used by one thread.
+ * Speaks to members as staff's commands do: asks one, goes where it points, and asks again under the same
+ * serial until it is told what came of it or its time is up. It waits for answers, and is used by one thread.
  */
 public final class Client implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -34,8 +34,9 @@
 import rockshift.raft.Snapshot;
 
 /**
- * One member of the agreement, running: the engine on a thread of its own, the disk on another, its connections, and how the
- * cluster is founded. It owns the order in which they meet: time first, then what came, then what follows.
+ * One member of the agreement, running: the engine on a thread of its own, the disk on another, its
+ * connections, and how the cluster is founded. It owns the order in which they meet: time first, then what
+ * came, then what follows.
  */
 public final class ClusterMember implements AutoCloseable, Links.Ear, Engine.Surroundings {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
@@ -289,8 +290,8 @@
     }
 
     /**
-     * Founders begin once each has met all others blank, one that founds alone at once; who is named by a cluster that
-     * exists becomes part of it.
+     * Founders begin once each has met all others blank, one that founds alone at once; who is named by a
+     * cluster that exists becomes part of it.
      *
      * @param hello what another said, or null as this member begins
      */
@@ -304,7 +305,8 @@
                 LOG.info("part of cluster {} by {}", Long.toHexString(cluster), hello.name());
             } else {
                 LOG.warn(
-                        "{} has a cluster that this member is no part of: add it with 'cluster member add {} {}'",
+                        "{} has a cluster that this member is no part of:"
+                                + " add it with 'cluster member add {} {}'",
                         hello.name(), charter.name(), charter.address());
             }
         } catch (IOException failure) {
@@ -557,7 +559,8 @@
         if (change.scoped() && change.zone().isEmpty()) {
             change = change.inZone(governed.zone(change.subject()));
         }
-        // A change sent again must meet its own first time, not this check: only the state can tell which it is.
+        // A change sent again must meet its own first time, not this check: only the state can tell which it
+        // is.
         boolean first = engine.raft().leads() && !Boolean.parseBoolean(call.get("again"));
         String objection = first ? agreed.check(change) : null;
         if (first && objection == null && !Boolean.parseBoolean(call.get("force"))) {
--- a/src/main/java/rockshift/cluster/Codec.java
+++ b/src/main/java/rockshift/cluster/Codec.java
@@ -12,8 +12,9 @@
 import rockshift.raft.Snapshot;
 
 /**
- * Entries, messages and snapshots as bytes: CBOR arrays of a fixed order, told in docs/raft.md. A reader takes exactly what
- * a writer gave: a missing, further or ill-typed item is an error, and nothing of a spoilt one is used.
+ * Entries, messages and snapshots as bytes: CBOR arrays of a fixed order, told in docs/raft.md. A reader
+ * takes exactly what a writer gave: a missing, further or ill-typed item is an error, and nothing of a spoilt
+ * one is used.
  */
 public final class Codec {
     private Codec() {}
--- a/src/main/java/rockshift/cluster/DistributionClient.java
+++ b/src/main/java/rockshift/cluster/DistributionClient.java
@@ -15,8 +15,9 @@
 import rockshift.distribution.Update;
 
 /**
- * A subscriber on sockets: it keeps what concerns a governor up to date and hands it to a listener. Any number of clients share the
- * two threads of one {@link DistributionReactor}. Each decision is the {@link Subscriber}'s; its steps run one at a time.
+ * A subscriber on sockets: it keeps what concerns a governor up to date and hands it to a listener. Any
+ * number of clients share the two threads of one {@link DistributionReactor}. Each decision is the {@link
+ * Subscriber}'s; its steps run one at a time.
  */
 public final class DistributionClient implements AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -100,7 +101,9 @@
         return subscriber.rejections();
     }
 
-    /** What the listener was handed is in force; a listener's own thread must not wait for the client's steps. */
+    /**
+     * What the listener was handed is in force; a listener's own thread must not wait for the client's steps.
+     */
     private void inForce(Revision revision) {
         if (Thread.holdsLock(this)) {
             subscriber.acknowledged(revision, now());
--- a/src/main/java/rockshift/cluster/DistributionCodec.java
+++ b/src/main/java/rockshift/cluster/DistributionCodec.java
@@ -15,8 +15,9 @@
 import rockshift.distribution.Update;
 
 /**
- * Messages of the distribution as bytes: one CBOR array each, its kind first, told in docs/raft.md. A reader takes exactly what a
- * writer gave. What is missing, follows, has the wrong type or goes beyond a bound is an error that names the field.
+ * Messages of the distribution as bytes: one CBOR array each, its kind first, told in docs/raft.md. A reader
+ * takes exactly what a writer gave. What is missing, follows, has the wrong type or goes beyond a bound is an
+ * error that names the field.
  */
 final class DistributionCodec {
     private static final Limits.Sizes SIZES = Limits.standard().sizes();
--- a/src/main/java/rockshift/cluster/DistributionReactor.java
+++ b/src/main/java/rockshift/cluster/DistributionReactor.java
@@ -23,8 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The threads of distribution in a process: one for all connections and one for all timers, however many clients and relays
- * share it. It decides nothing and knows no messages.
+ * The threads of distribution in a process: one for all connections and one for all timers, however many
+ * clients and relays share it. It decides nothing and knows no messages.
  */
 public final class DistributionReactor implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionReactor.class);
@@ -109,7 +109,10 @@
                 });
     }
 
-    /** Has a task run every 50 ms on the timer's thread; a failure is logged and the next run comes all the same. */
+    /**
+     * Has a task run every 50 ms on the timer's thread; a failure is logged and the next run comes all the
+     * same.
+     */
     void tick(Runnable task) {
         ticking.add(task);
     }
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -26,12 +26,15 @@
 import rockshift.raft.Raft;
 
 /**
- * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a thread of its own, so that the
- * agreement waits for none of it. The member's thread hands in what is agreed; subscribers' messages come from the connections.
+ * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a thread of its
+ * own, so that the agreement waits for none of it. The member's thread hands in what is agreed; subscribers'
+ * messages come from the connections.
  */
 final class DistributionService implements SubscriberPort.Owner, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
-    /** Changes that may wait to be published; beyond them the whole state is handed over once there is room. */
+    /**
+     * Changes that may wait to be published; beyond them the whole state is handed over once there is room.
+     */
     private static final int MOST_CHANGES_WAITING = 10_000;
     /** Ms between two looks at what is due, with subscribers and without. */
     private static final long TICK_MS = 50;
@@ -104,7 +107,9 @@
         freshness.heard(message, raft, now());
     }
 
-    /** To be called again and again: hands over what is agreed where it could not be told change by change. */
+    /**
+     * To be called again and again: hands over what is agreed where it could not be told change by change.
+     */
     void tend(long cluster, Agreed agreed, Raft raft) {
         if (cluster != handedOverAt.cluster() || behind && changesWaiting.get() == 0) {
             restored(cluster, agreed);
--- a/src/main/java/rockshift/cluster/DistributionSettings.java
+++ b/src/main/java/rockshift/cluster/DistributionSettings.java
@@ -10,8 +10,8 @@
 import rockshift.operator.Unusable;
 
 /**
- * What a governor or relay is told in the block {@code distribution} of the operator's file. It is what one reading found and never
- * changes.
+ * What a governor or relay is told in the block {@code distribution} of the operator's file. It is what one
+ * reading found and never changes.
  *
  * @param name by which publishers know it; each governor and relay has its own
  * @param upstreams by label, in the order in which they are tried: relays, or members
--- a/src/main/java/rockshift/cluster/DurableLog.java
+++ b/src/main/java/rockshift/cluster/DurableLog.java
@@ -16,9 +16,10 @@
 import rockshift.raft.Snapshot;
 
 /**
- * What a member must not forget, on its disk: who it is, its ballot, its entries in segments, and two generations of
- * snapshots. A save is one batch and one sync. After a crash a torn tail is cut; damage to what was durable is refused and
- * named, never passed over. The format is told in docs/raft.md. It must be used by one thread.
+ * What a member must not forget, on its disk: who it is, its ballot, its entries in segments, and two
+ * generations of snapshots. A save is one batch and one sync. After a crash a torn tail is cut; damage to
+ * what was durable is refused and named, never passed over. The format is told in docs/raft.md. It must be
+ * used by one thread.
  */
 public final class DurableLog {
     /** Bytes after which a new segment begins: small enough to read whole, large enough to be rare. */
@@ -298,7 +299,10 @@
         replace(IDENTITY_FILE, IDENTITY, Codec.numbers(FORMAT, id, cluster));
     }
 
-    /** Becomes part of a cluster: as one of its founders, or (without members) as one that will be brought up to date. */
+    /**
+     * Becomes part of a cluster: as one of its founders, or (without members) as one that will be brought up
+     * to date.
+     */
     public Snapshot found(long newCluster, List<Member> founders) throws IOException {
         Snapshot first = new Snapshot(0, 0, new Membership(founders), new byte[0]);
         if (!founders.isEmpty()) {
@@ -322,7 +326,10 @@
         size = bytes.size();
     }
 
-    /** Makes one save durable, or fails and leaves what was durable as it was: the same save can be tried again. */
+    /**
+     * Makes one save durable, or fails and leaves what was durable as it was: the same save can be tried
+     * again.
+     */
     public void save(Ballot newBallot, long from, List<Entry> entries, Snapshot snapshot) throws IOException {
         long number = segments.lastKey();
         String name = segment(number);
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -19,9 +19,9 @@
 import rockshift.raft.Timing;
 
 /**
- * One member put together: the protocol, the sessions, and who waits for what. It does no I/O, reads no clock and starts no
- * thread: it is used by one thread, which hands in the time first, then what came, and then has it {@link #run}. The
- * rehearsed world and the real one use this same class.
+ * One member put together: the protocol, the sessions, and who waits for what. It does no I/O, reads no clock
+ * and starts no thread: it is used by one thread, which hands in the time first, then what came, and then has
+ * it {@link #run}. The rehearsed world and the real one use this same class.
  */
 public final class Engine implements Effects {
     /** Requests that may wait for an answer: more are told to come again. */
@@ -51,7 +51,8 @@
     /**
      * What a request is told.
      *
-     * @param refused null, or why it had no effect; {@code unknown} where that can't be told: ask again, with the same serial
+     * @param refused null, or why it had no effect; {@code unknown} where that can't be told: ask again, with
+     * the same serial
      * @param leader the address to ask, if another one leads
      */
     public record Answer(String refused, byte[] body, long index, String leader) {
@@ -185,7 +186,8 @@
             continue;
         }
         if (!raft.leads() && !proposals.isEmpty()) {
-            // Another leads now: whether these will be agreed is not known here, and nobody is kept waiting for it.
+            // Another leads now: whether these will be agreed is not known here, and nobody is kept waiting
+            // for it.
             Member leader = raft.members().get(raft.leader());
             proposals.values()
                     .forEach(waiting -> around.answer(waiting.request, new Answer(Answer.UNKNOWN, new byte[0],
--- a/src/main/java/rockshift/cluster/FramedConnection.java
+++ b/src/main/java/rockshift/cluster/FramedConnection.java
@@ -12,9 +12,9 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection that carries {@link Frames} both ways. It owns the socket, the bytes that came and those that wait to be sent,
- * and why it ended: the first reason that is given counts. Events come on the reactor's thread; {@link #send} and {@link #end}
- * may be called from any.
+ * One connection that carries {@link Frames} both ways. It owns the socket, the bytes that came and those
+ * that wait to be sent, and why it ended: the first reason that is given counts. Events come on the reactor's
+ * thread; {@link #send} and {@link #end} may be called from any.
  */
 abstract class FramedConnection implements IOEventHandler {
     /** For how long the other side may read nothing while frames wait for it. */
@@ -47,7 +47,10 @@
         this.mostUnsent = mostUnsent;
     }
 
-    /** Takes a frame. A thrown {@link Frames.Broken} ends the connection with its code, another failure as malformed. */
+    /**
+     * Takes a frame. A thrown {@link Frames.Broken} ends the connection with its code, another failure as
+     * malformed.
+     */
     abstract void take(Frames.Frame frame) throws IOException;
 
     /** The connection has ended, for the reason that {@link #reason} gives. */
@@ -102,7 +105,8 @@
     /**
      * Sends a frame, from the caller's thread where nothing waits before it.
      *
-     * @return whether it was sent or waits; false where it was dropped, since too much waits already or the connection ends
+     * @return whether it was sent or waits; false where it was dropped, since too much waits already or the
+     * connection ends
      */
     final boolean send(byte kind, byte[] payload) {
         ByteBuffer frame = ByteBuffer.wrap(Frames.frame(kind, payload));
--- a/src/main/java/rockshift/cluster/Frames.java
+++ b/src/main/java/rockshift/cluster/Frames.java
@@ -7,13 +7,16 @@
 import rockshift.raft.Checksum;
 
 /**
- * What goes over a member's connections: a length, a checksum, a kind and a payload. Pieces are put together here; what is too
- * long, garbled or of an unknown version ends the connection before anything of it is used.
+ * What goes over a member's connections: a length, a checksum, a kind and a payload. Pieces are put together
+ * here; what is too long, garbled or of an unknown version ends the connection before anything of it is used.
  */
 final class Frames {
     /** Bytes of the longest frame: a message's entries or a snapshot's piece, and room. */
     static final int LONGEST = 1 << 20;
-    /** Told by a member's hello. 2: changes may name a service and a zone, which members of version 1 refuse to apply. */
+    /**
+     * Told by a member's hello. 2: changes may name a service and a zone, which members of version 1 refuse
+     * to apply.
+     */
     static final int VERSION = 2;
     static final byte HELLO = 1;
     static final byte MESSAGE = 2;
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -4,15 +4,18 @@
 import rockshift.raft.Raft;
 
 /**
- * Tells up to when what a member has applied was the newest that was agreed. A leader that most answered within an election time was
- * the leader then; a follower is as fresh as its leader was when it last told how far entries are agreed, once these are applied.
+ * Tells up to when what a member has applied was the newest that was agreed. A leader that most answered
+ * within an election time was the leader then; a follower is as fresh as its leader was when it last told how
+ * far entries are agreed, once these are applied.
  */
 final class Freshness {
     private static final int TENTHS_PER_MILLI = 10;
 
     private final long electionMs;
     private long freshAt = Long.MIN_VALUE;
-    /** Up to where the leader said that entries are agreed, and when that came; 0 where nothing is waited for. */
+    /**
+     * Up to where the leader said that entries are agreed, and when that came; 0 where nothing is waited for.
+     */
     private long announced;
     private long announcedAt;
 
@@ -29,7 +32,10 @@
         }
     }
 
-    /** Ms of the time up to which all that was agreed is known to be applied here; the lowest long if it never was. */
+    /**
+     * Ms of the time up to which all that was agreed is known to be applied here; the lowest long if it never
+     * was.
+     */
     long freshAt(Raft raft, long nowMs) {
         if (raft.leads()) {
             announced = 0;
--- a/src/main/java/rockshift/cluster/Governed.java
+++ b/src/main/java/rockshift/cluster/Governed.java
@@ -2,7 +2,10 @@
 
 import java.util.Map;
 
-/** The governor that a member belongs to, as far as the agreement concerns it. Calls come on the member's thread. */
+/**
+ * The governor that a member belongs to, as far as the agreement concerns it. Calls come on the member's
+ * thread.
+ */
 public interface Governed {
     /** Whether a governor is in touch with a leader that most hear, or what it still may order if not. */
     enum Reach {
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -22,15 +22,19 @@
 import rockshift.operator.Section;
 
 /**
- * A member's connections: a listener of its own, and one outgoing connection to each other member. It owns the sockets and the
- * bytes that wait for them. What does not fit is dropped, as the protocol bears any loss; it must never wait for anyone.
+ * A member's connections: a listener of its own, and one outgoing connection to each other member. It owns
+ * the sockets and the bytes that wait for them. What does not fit is dropped, as the protocol bears any loss;
+ * it must never wait for anyone.
  */
 final class Links {
     private static final Logger LOG = LoggerFactory.getLogger(Links.class);
     /** Bytes read at a time, and that may wait for one connection: a flight of full messages. */
     private static final int PIECE = 64 << 10;
     private static final int UNSENT = 8 << 20;
-    /** Connections taken of members and commands. Subscribers have a bound of their own, strangers that of both. */
+    /**
+     * Connections taken of members and commands. Subscribers have a bound of their own, strangers that of
+     * both.
+     */
     private static final int MOST = 64;
     /** Connections that may wait to be taken: all subscribers dialling at once. */
     private static final int BACKLOG = 1_024;
--- a/src/main/java/rockshift/cluster/RelayProcess.java
+++ b/src/main/java/rockshift/cluster/RelayProcess.java
@@ -17,8 +17,8 @@
 import rockshift.distribution.Summary;
 
 /**
- * A relay on sockets: it subscribes upstream and serves subscribers of its own. Each decision is the {@link Relay}'s; its steps run
- * one at a time, on the threads of the reactor.
+ * A relay on sockets: it subscribes upstream and serves subscribers of its own. Each decision is the {@link
+ * Relay}'s; its steps run one at a time, on the threads of the reactor.
  */
 public final class RelayProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RelayProcess.class);
--- a/src/main/java/rockshift/cluster/SubscriberPort.java
+++ b/src/main/java/rockshift/cluster/SubscriberPort.java
@@ -12,8 +12,8 @@
 import rockshift.distribution.RejectionReason;
 
 /**
- * The connections of a publisher's subscribers: it numbers them, turns frames into messages and back, and bounds what waits on the
- * way in and out. Whom to take and what to send decides the publisher.
+ * The connections of a publisher's subscribers: it numbers them, turns frames into messages and back, and
+ * bounds what waits on the way in and out. Whom to take and what to send decides the publisher.
  */
 final class SubscriberPort implements Publisher.Effects {
     private static final Logger LOG = LoggerFactory.getLogger(SubscriberPort.class);
@@ -23,7 +23,10 @@
     private static final int MOST_WAITING_OF_ONE = 128;
     private static final int MOST_WAITING = 20_000;
 
-    /** The publisher's owner, which hands events on in the order in which they came, on whatever thread it likes. */
+    /**
+     * The publisher's owner, which hands events on in the order in which they came, on whatever thread it
+     * likes.
+     */
     interface Owner {
         /** Runs a step of the publisher, now or later. */
         void execute(Runnable step);
--- a/src/main/java/rockshift/cluster/UpstreamPort.java
+++ b/src/main/java/rockshift/cluster/UpstreamPort.java
@@ -12,8 +12,9 @@
 import rockshift.distribution.RejectionReason;
 
 /**
- * A subscriber's connection to one upstream at a time: it dials, turns messages into frames and back, and tells of nothing that
- * belongs to a connection which was given up. Where to dial, and when, decides the subscriber.
+ * A subscriber's connection to one upstream at a time: it dials, turns messages into frames and back, and
+ * tells of nothing that belongs to a connection which was given up. Where to dial, and when, decides the
+ * subscriber.
  */
 final class UpstreamPort {
     private static final Logger LOG = LoggerFactory.getLogger(UpstreamPort.class);
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -29,8 +29,9 @@
 import rockshift.raft.Timing;
 
 /**
- * What agreement costs on this machine, each figure beside what bounds it in the same run: a change beside one sync and one round
- * trip, many changes beside the same log written without agreement, an election beside its time-out.
+ * What agreement costs on this machine, each figure beside what bounds it in the same run: a change beside
+ * one sync and one round trip, many changes beside the same log written without agreement, an election beside
+ * its time-out.
  */
 public final class ClusterBench {
     private static final long ELECTION_MS = 300;
@@ -258,7 +259,10 @@
         figures.put("agreed changes a second", done.get() / 5.0);
     }
 
-    /** What three processes hold of memory as so many changes are agreed, by changes: the most of the three, in MB. */
+    /**
+     * What three processes hold of memory as so many changes are agreed, by changes: the most of the three,
+     * in MB.
+     */
     public Map<Long, Double> memory(long changes) throws IOException, InterruptedException {
         Map<Long, Double> held = new LinkedHashMap<>();
         AtomicLong done = new AtomicLong();
--- a/src/main/java/rockshift/kit/DiscoveryStandIn.java
+++ b/src/main/java/rockshift/kit/DiscoveryStandIn.java
@@ -46,7 +46,8 @@
 
     private static String entry(int number, String zone) {
         return "{\"instanceId\":\"" + replica(number) + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"" + zone
-                + "\",\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"Ready\",\"weight\":1.0,\"startedAtMs\":0}";
+                + "\",\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"Ready\",\"weight\":1.0,"
+                + "\"startedAtMs\":0}";
     }
 
     private static byte[] response(String body) {
--- a/src/main/java/rockshift/kit/Farm.java
+++ b/src/main/java/rockshift/kit/Farm.java
@@ -10,8 +10,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Governors that agree, as processes on loopback, with a relay on each way between two of them and one before each for
- * commands, and a stand-in for discovery. It owns the processes that it starts and ends them all, also when it is ended itself.
+ * Governors that agree, as processes on loopback, with a relay on each way between two of them and one before
+ * each for commands, and a stand-in for discovery. It owns the processes that it starts and ends them all,
+ * also when it is ended itself.
  */
 public final class Farm implements AutoCloseable {
     private static final int REPLICAS = 6;
@@ -92,8 +93,10 @@
                 + (member + 1)
                 + "\",\"limits\":{\"sockets\":512},\"known\":" + discovery.list()
                 + ",\"settings\":{\"dcs\":[\"hall-a\"],"
-                + "\"granularity_us\":5000,\"report\":{\"names\":[\"util\"]},\"classes\":[{\"name\":\"subset\",\"worth\":1.0}],"
-                + "\"domain\":{\"proxy_count\":8,\"channel_rate\":5000,\"backlog\":5000.0,\"fixed_cost\":3.0}}}");
+                + "\"granularity_us\":5000,\"report\":{\"names\":[\"util\"]},"
+                + "\"classes\":[{\"name\":\"subset\",\"worth\":1.0}],"
+                + "\"domain\":{\"proxy_count\":8,\"channel_rate\":5000,\"backlog\":5000.0,"
+                + "\"fixed_cost\":3.0}}}");
         return Files.writeString(folder.resolve("operator" + member + ".hcl"), text.append("}\n"));
     }
 
--- a/src/main/java/rockshift/kit/History.java
+++ b/src/main/java/rockshift/kit/History.java
@@ -12,8 +12,8 @@
 import rockshift.raft.Raft;
 
 /**
- * What has happened in a world, held against what the protocol promises. It sees every member from outside, and every client
- * only by what it asked and was told. The first breach ends the seed.
+ * What has happened in a world, held against what the protocol promises. It sees every member from outside,
+ * and every client only by what it asked and was told. The first breach ends the seed.
  */
 final class History {
     /** Something that must never happen did. */
--- a/src/main/java/rockshift/kit/Plant.java
+++ b/src/main/java/rockshift/kit/Plant.java
@@ -6,7 +6,9 @@
 import rockshift.raft.Rules;
 import rockshift.raft.Sessions;
 
-/** What a world does as it should. A check of the checks overrides one method, and the explorer must find it. */
+/**
+ * What a world does as it should. A check of the checks overrides one method, and the explorer must find it.
+ */
 public class Plant {
     public Rules rules() {
         return new Rules();
--- a/src/main/java/rockshift/kit/ProcessUsage.java
+++ b/src/main/java/rockshift/kit/ProcessUsage.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * What a process has used so far, as the kernel counts it. Seconds of threads are by the thread's name, cut by the kernel at 15
- * characters; threads that ended are in the process's seconds alone.
+ * What a process has used so far, as the kernel counts it. Seconds of threads are by the thread's name, cut
+ * by the kernel at 15 characters; threads that ended are in the process's seconds alone.
  */
 public record ProcessUsage(long takenNanos, double processorSeconds, Map<String, Double> secondsByThread,
         double residentMegabytes, double peakMegabytes) {
--- a/src/main/java/rockshift/kit/Relay.java
+++ b/src/main/java/rockshift/kit/Relay.java
@@ -13,8 +13,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A way from one member to another on loopback, which can be cut, slowed, or made to lose and double whole frames. What it does
- * to a frame comes from its seed. A cut says nothing: the connection stays open and silent, as when a machine is cut off.
+ * A way from one member to another on loopback, which can be cut, slowed, or made to lose and double whole
+ * frames. What it does to a frame comes from its seed. A cut says nothing: the connection stays open and
+ * silent, as when a machine is cut off.
  */
 public final class Relay implements AutoCloseable {
     private static final int LONGEST = 1 << 21;
--- a/src/main/java/rockshift/kit/SimDisk.java
+++ b/src/main/java/rockshift/kit/SimDisk.java
@@ -9,7 +9,9 @@
 import java.util.random.RandomGenerator;
 import rockshift.cluster.Disk;
 
-/** A folder in memory whose crashes lose what was not synced, in whole or from some byte on, perhaps garbled. */
+/**
+ * A folder in memory whose crashes lose what was not synced, in whole or from some byte on, perhaps garbled.
+ */
 final class SimDisk implements Disk {
     /** A crash in the middle of what the disk was asked to do. */
     static final class Crashed extends IOException {
--- a/src/main/java/rockshift/kit/Trial.java
+++ b/src/main/java/rockshift/kit/Trial.java
@@ -27,12 +27,16 @@
 import rockshift.cluster.Client;
 
 /**
- * Governors as processes, killed, stopped and cut at random while clients propose; then what each applied is compared. Every
- * change must be there once, in one order, and a governor cut off from most must order nothing but what rules owe.
+ * Governors as processes, killed, stopped and cut at random while clients propose; then what each applied is
+ * compared. Every change must be there once, in one order, and a governor cut off from most must order
+ * nothing but what rules owe.
  */
 public final class Trial {
     private static final long ELECTION = 300;
-    /** Ms after which a governor that is cut off must know it: what it heard last, twice an election, and a turn. */
+    /**
+     * Ms after which a governor that is cut off must know it: what it heard last, twice an election, and a
+     * turn.
+     */
     private static final long KNOWS = 3 * ELECTION;
     private static final int CLIENTS = 4;
     private static final Pattern AGREED = Pattern.compile("agreed (\\d+): (\\{.*\\}) (\\{\"version\".*\\})$");
--- a/src/main/java/rockshift/kit/World.java
+++ b/src/main/java/rockshift/kit/World.java
@@ -25,8 +25,8 @@
 import rockshift.raft.Timing;
 
 /**
- * Members, disks, a network and clients in simulated time, all from one seed. The members are the code that ships; everything
- * around them is worse than any real day. {@link History} is told of all that happens.
+ * Members, disks, a network and clients in simulated time, all from one seed. The members are the code that
+ * ships; everything around them is worse than any real day. {@link History} is told of all that happens.
  */
 public final class World {
     /** Tenths of a ms: how long faults go on, and how long all may take to come to rest after it. */
@@ -35,7 +35,10 @@
     private static final long TICK = 150;
     private static final int LINES = 4_000;
 
-    /** What most of a seed's faults are about: anything; who leads and who reads; leaders that die one after the other. */
+    /**
+     * What most of a seed's faults are about: anything; who leads and who reads; leaders that die one after
+     * the other.
+     */
     private enum Theme {
         ANYTHING, READS, LEADERS
     }
@@ -688,8 +691,8 @@
     // ---- a client -------------------------------------------------------------------------------
 
     /**
-     * Asks for one thing at a time, and again elsewhere, under the same serial, until it is told. One that only watches
-     * reads wherever it comes, and so from who no longer leads.
+     * Asks for one thing at a time, and again elsewhere, under the same serial, until it is told. One that
+     * only watches reads wherever it comes, and so from who no longer leads.
      */
     private final class Client {
         private final long patience;
--- a/src/main/java/rockshift/net/Configuration.java
+++ b/src/main/java/rockshift/net/Configuration.java
@@ -17,8 +17,8 @@
 import rockshift.Terms;
 
 /**
- * What a governor is told in its file: where it is, where discovery is, what it may use, the list that it last
- * had, and its terms. It is what one reading found and never changes, and what is missing is named.
+ * What a governor is told in its file: where it is, where discovery is, what it may use, the list that it
+ * last had, and its terms. It is what one reading found and never changes, and what is missing is named.
  */
 record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
         int descriptors,
@@ -91,8 +91,8 @@
     }
 
     /**
-     * What is told of the channel that could not be kept if all proxies told were here, a line for each field. The least
-     * that all of them can be sent is one line each, with its head and its mark.
+     * What is told of the channel that could not be kept if all proxies told were here, a line for each
+     * field. The least that all of them can be sent is one line each, with its head and its mark.
      */
     List<String> beyondChannel() {
         double proxies = number("proxies", 0);
--- a/src/main/java/rockshift/net/DiscoveryClient.java
+++ b/src/main/java/rockshift/net/DiscoveryClient.java
@@ -44,21 +44,24 @@
 import rockshift.Terms;
 
 /**
- * The client of discovery: it keeps the list of replicas by watching where the file in force says discovery is, and has the
- * numbers under which the module knows them. It owns the connection there and the version of the list that is held. Whatever
- * discovery does, it must never lose the list that it has, and never wait longer than the limits here.
+ * The client of discovery: it keeps the list of replicas by watching where the file in force says discovery
+ * is, and has the numbers under which the module knows them. It owns the connection there and the version of
+ * the list that is held. Whatever discovery does, it must never lose the list that it has, and never wait
+ * longer than the limits here.
  */
 final class DiscoveryClient implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
     /**
-     * Ms that a watch may be held. One that fell silent shows it only when this is over, and the grace of whoever
-     * drains meanwhile runs: a third of the grace that is usual. A call costs the agent beside nothing.
+     * Ms that a watch may be held. One that fell silent shows it only when this is over, and the grace of
+     * whoever drains meanwhile runs: a third of the grace that is usual. A call costs the agent beside
+     * nothing.
      */
     private static final int HELD = 1_000;
     /**
-     * Ms beyond that until a call counts as lost, and until a connection does: the agent is on this machine and
-     * answers at once. Each loss doubles it, as the loss may be ours on a busy core, up to what the protocol leaves.
-     * The first call, for the whole list, has the same time, as what it would say is told all the while.
+     * Ms beyond that until a call counts as lost, and until a connection does: the agent is on this machine
+     * and answers at once. Each loss doubles it, as the loss may be ours on a busy core, up to what the
+     * protocol leaves. The first call, for the whole list, has the same time, as what it would say is told
+     * all the while.
      */
     private static final int LATE = 500;
     private static final int LATEST = 2_000;
@@ -77,7 +80,9 @@
 
     private final Thread thread = new Thread(this, "discovery-client");
     private final EventLoop loop;
-    /** Where discovery is from now on, as told last. An interrupt only hurries the thread, and may be lost. */
+    /**
+     * Where discovery is from now on, as told last. An interrupt only hurries the thread, and may be lost.
+     */
     private volatile HttpHost told;
     private volatile boolean closed;
     // Used by the client's thread alone: the address that is watched, and how it stands there.
@@ -173,9 +178,9 @@
     }
 
     /**
-     * Whether a list can be added to the one that is held. One that is older, or that tells what changed since nobody
-     * knows when, is not taken: all is asked for instead. What comes then counts, however low its version: discovery
-     * may have begun anew, and its lists would be refused for good.
+     * Whether a list can be added to the one that is held. One that is older, or that tells what changed
+     * since nobody knows when, is not taken: all is asked for instead. What comes then counts, however low
+     * its version: discovery may have begun anew, and its lists would be refused for good.
      */
     private void follows(Listing listing) throws IOException {
         if (version == NONE ? !listing.whole : listing.version < version) {
@@ -203,8 +208,9 @@
     }
 
     /**
-     * The client's own limit also holds for what is read later, so that it leaves room for a watch. A connection that comes
-     * up after it was given up is ended then: the client would count it as in use for good, and has room for few.
+     * The client's own limit also holds for what is read later, so that it leaves room for a watch. A
+     * connection that comes up after it was given up is ended then: the client would count it as in use for
+     * good, and has room for few.
      */
     private AsyncClientEndpoint connect() throws ExecutionException, TimeoutException, InterruptedException {
         if (client == null || client.getStatus() != IOReactorStatus.ACTIVE) {
@@ -331,7 +337,10 @@
         }
     }
 
-    /** Discovery is asked in plain HTTP: else the client loads all that TLS needs, a fifth of a start's classes. */
+    /**
+     * Discovery is asked in plain HTTP: else the client loads all that TLS needs, a fifth of a start's
+     * classes.
+     */
     private static final class NoTls implements TlsStrategy {
         @Override
         public boolean upgrade(TransportSecurityLayer session, HttpHost host, SocketAddress local,
--- a/src/main/java/rockshift/net/EventLoop.java
+++ b/src/main/java/rockshift/net/EventLoop.java
@@ -122,7 +122,10 @@
         });
     }
 
-    /** Nothing more is decided than the turn in hand, whatever comes; interrupt the thread to have it end at once. */
+    /**
+     * Nothing more is decided than the turn in hand, whatever comes; interrupt the thread to have it end at
+     * once.
+     */
     void close() {
         closed = true;
     }
--- a/src/main/java/rockshift/net/Inlet.java
+++ b/src/main/java/rockshift/net/Inlet.java
@@ -6,8 +6,9 @@
 import rockshift.Reach;
 
 /**
- * How what governors agree among themselves comes into one of them: by the same queue as all else that the module learns. It
- * owns the view of the list that is needed before a change is asked for; it decides nothing of what follows from one.
+ * How what governors agree among themselves comes into one of them: by the same queue as all else that the
+ * module learns. It owns the view of the list that is needed before a change is asked for; it decides nothing
+ * of what follows from one.
  */
 public final class Inlet {
     private final EventLoop loop;
@@ -37,7 +38,10 @@
         return new HashMap<>(listed);
     }
 
-    /** What stands agreed since a version: by replica's name, up to which start (tenths of a ms) it is kept out. */
+    /**
+     * What stands agreed since a version: by replica's name, up to which start (tenths of a ms) it is kept
+     * out.
+     */
     public void agreed(long version, Map<String, Long> out, Map<String, String> terms) {
         agreed(version, out, terms, () -> {});
     }
--- a/src/main/java/rockshift/net/RespCodec.java
+++ b/src/main/java/rockshift/net/RespCodec.java
@@ -68,7 +68,9 @@
         }
     }
 
-    /** A message that can be read and not be used; the next one may be good. It keeps no trace: many may come. */
+    /**
+     * A message that can be read and not be used; the next one may be good. It keeps no trace: many may come.
+     */
     public static final class Spoilt extends Exception {
         private static final long serialVersionUID = 1L;
         final String code;
--- a/src/main/java/rockshift/net/Serve.java
+++ b/src/main/java/rockshift/net/Serve.java
@@ -9,16 +9,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A governor on sockets, put together from its parts: the configuration, the module's thread, the client of discovery and the
- * streams. It owns their start and their end, in whatever order these are asked for, and what a reload changes. It must
- * never take part in what the parts do, and no file may end what serves.
+ * A governor on sockets, put together from its parts: the configuration, the module's thread, the client of
+ * discovery and the streams. It owns their start and their end, in whatever order these are asked for, and
+ * what a reload changes. It must never take part in what the parts do, and no file may end what serves.
  */
 public final class Serve implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
     /** Exit statuses: a file that can't be used, and all else that keeps it from serving. */
     private static final int UNUSABLE = 2;
     private static final int FAILED = 1;
-    /** Ms between two looks at a file that nobody can be told of: a drain's grace is longer, and a look costs nothing. */
+    /**
+     * Ms between two looks at a file that nobody can be told of: a drain's grace is longer, and a look costs
+     * nothing.
+     */
     private static final long LOOK = 1_000;
 
     private final Configuration configuration;
@@ -85,7 +88,8 @@
      * is named and left, and a file that can't be used changes nothing. No stream notices any of it.
      */
     void reload(String file) {
-        // One after the other, so that the file that was written last counts; a file that is slow to read holds up nobody else.
+        // One after the other, so that the file that was written last counts; a file that is slow to read
+        // holds up nobody else.
         synchronized (reloading) {
             try {
                 Configuration anew = Configuration.read(file);
@@ -105,8 +109,8 @@
     }
 
     /**
-     * Ends the parts, and waits for none but, for a moment, the sockets. The module comes first: it would take the
-     * ends of streams that are ended here for proxies that left, and tell the others so.
+     * Ends the parts, and waits for none but, for a moment, the sockets. The module comes first: it would
+     * take the ends of streams that are ended here for proxies that left, and tell the others so.
      */
     @Override
     public void close() throws InterruptedException {
@@ -139,8 +143,8 @@
     }
 
     /**
-     * Serves until the process is told to end; answers an exit status where it can't begin or go on. A companion is
-     * what runs beside it, or null.
+     * Serves until the process is told to end; answers an exit status where it can't begin or go on. A
+     * companion is what runs beside it, or null.
      */
     public static int run(Map<String, String> environment, ProcessSignals signals, Companion companion)
             throws InterruptedException {
@@ -169,8 +173,8 @@
     }
 
     /**
-     * Where whoever started the process has SIGHUP ignored, a Java process can't hear of it, and the file is looked at
-     * instead: one that is another than was seen before is read.
+     * Where whoever started the process has SIGHUP ignored, a Java process can't hear of it, and the file is
+     * looked at instead: one that is another than was seen before is read.
      */
     private void watch(String file, String before) throws InterruptedException {
         LOG.warn("SIGHUP is ignored by whoever started this process: {} is looked at every second instead",
--- a/src/main/java/rockshift/net/Streams.java
+++ b/src/main/java/rockshift/net/Streams.java
@@ -47,7 +47,10 @@
     private static final int UNREAD_PONGS = 2 << 10;
     /** Bytes of all unfinished long messages together: a third of the heap. */
     private static final int UNFINISHED = 20 << 20;
-    /** Ms: the longest span or mean time that a report may tell of, far more than waits behind a broken stream. */
+    /**
+     * Ms: the longest span or mean time that a report may tell of, far more than waits behind a broken
+     * stream.
+     */
     private static final int LONGEST = 600_000;
     /** Transactions a ms: more than a zone's proxies could bring. */
     private static final int MOST_A_MILLI = 1_000;
@@ -63,7 +66,9 @@
     private static final int PASSING = 16;
     /** Ms that a stranger has to say who it is: the protocol leaves it 1 s and wants it told within 3 s. */
     private static final int TO_JOIN = 1_500;
-    /** Ms that it has where room is short, and between looks at one that is idle: a party speaks as it dials. */
+    /**
+     * Ms that it has where room is short, and between looks at one that is idle: a party speaks as it dials.
+     */
     private static final int TO_JOIN_CROWDED = 300;
     /** Ms between two looks at who says nothing. */
     private static final int LOOK = 100;
@@ -178,7 +183,9 @@
         private final AtomicInteger unread = new AtomicInteger();
         /** Its messages that the module has not taken in yet. */
         private final AtomicInteger queued = new AtomicInteger();
-        /** Why it ended, once: by the reactor's thread, or by the module's where it leaves too much unread. */
+        /**
+         * Why it ended, once: by the reactor's thread, or by the module's where it leaves too much unread.
+         */
         private final AtomicReference<Ending> ending = new AtomicReference<>();
         private String name = "stranger";
         /** The zone of a collector; the number of a proxy. */
@@ -223,7 +230,9 @@
             return zone == null && proxy < 0;
         }
 
-        /** A party has one connection, the newest: of a machine that vanished nothing else ends the old one. */
+        /**
+         * A party has one connection, the newest: of a machine that vanished nothing else ends the old one.
+         */
         private void named(String name) {
             this.name = name;
             session.setSocketTimeout(Timeout.DISABLED);
@@ -261,8 +270,9 @@
         }
 
         /**
-         * Takes in one message; false where too many of this party wait for the module already. One that can't
-         * be used ends a stranger. A known party loses the message alone, as those around it may be good.
+         * Takes in one message; false where too many of this party wait for the module already. One that
+         * can't be used ends a stranger. A known party loses the message alone, as those around it may be
+         * good.
          */
         private boolean taken() {
             try {
@@ -372,7 +382,9 @@
             return (long) (millis * EventLoop.TENTHS_PER_MILLI);
         }
 
-        /** A replica's load where one is told; a report of load without it is spoilt where the terms have it. */
+        /**
+         * A replica's load where one is told; a report of load without it is spoilt where the terms have it.
+         */
         private Double busy() throws RespCodec.Spoilt {
             Double busy = resp.paired(RespCodec.LOAD, RespCodec.BUSY);
             field(busy == null ? !loads || !resp.has(RespCodec.LOAD) : busy <= MOST_BUSY, RespCodec.LOAD);
--- a/src/main/java/rockshift/net/Tables.java
+++ b/src/main/java/rockshift/net/Tables.java
@@ -27,7 +27,9 @@
 final class Tables implements Orders {
     private static final Logger LOG = LoggerFactory.getLogger(Tables.class);
     private static final Pattern NUMBERED = Pattern.compile("replica (\\d+)");
-    /** Suspects that are kept, those gone among them: under a megabyte. With more, all replicas are suspect. */
+    /**
+     * Suspects that are kept, those gone among them: under a megabyte. With more, all replicas are suspect.
+     */
     private static final int MOST_SUSPECT = 10_000;
 
     /** Where a proxy's messages go. */
--- a/src/main/java/rockshift/operator/Lines.java
+++ b/src/main/java/rockshift/operator/Lines.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Where fields and blocks stand in a text, by their path: the parser keeps no lines, and takes unclosed braces and missing
- * values without a word. Knows words, strings, comments and brackets, and no more of the language.
+ * Where fields and blocks stand in a text, by their path: the parser keeps no lines, and takes unclosed
+ * braces and missing values without a word. Knows words, strings, comments and brackets, and no more of the
+ * language.
  */
 final class Lines {
     private final Map<String, Integer> byPath = new HashMap<>();
@@ -37,18 +38,15 @@
         int brackets = 0;
         boolean valued = false;
         boolean empty = false;
-        for (int i = 0; i < text.length(); i++) {
+        int next;
+        for (int i = 0; i < text.length(); i = next) {
             char c = text.charAt(i);
+            next = i + 1;
             boolean comment = c == '#' || c == '/' && i + 1 < text.length() && text.charAt(i + 1) == '/';
             if (comment) {
-                while (i + 1 < text.length() && text.charAt(i + 1) != '\n') {
-                    i++;
-                }
+                next = endOfLine(text, i);
             } else if (c == '"') {
-                int end = i + 1;
-                while (end < text.length() && text.charAt(end) != '"' && text.charAt(end) != '\n') {
-                    end += text.charAt(end) == '\\' ? 2 : 1;
-                }
+                int end = endOfString(text, i + 1);
                 if (end >= text.length() || text.charAt(end) == '\n') {
                     throw new Unusable(file, line, "", "a string that does not end");
                 }
@@ -56,7 +54,7 @@
                     words.append(words.isEmpty() ? "" : ".").append(text, i + 1, end);
                 }
                 empty = false;
-                i = end;
+                next = end + 1;
             } else if (c == '\n') {
                 if (valued && empty) {
                     throw new Unusable(file, since, path(blocks, words.toString()), "no value");
@@ -92,8 +90,8 @@
             } else if (!Character.isWhitespace(c)) {
                 empty = false;
                 if (!valued) {
-                    boolean next = !words.isEmpty() && Character.isWhitespace(text.charAt(i - 1));
-                    words.append(next ? "." : "").append(c);
+                    boolean separate = !words.isEmpty() && Character.isWhitespace(text.charAt(i - 1));
+                    words.append(separate ? "." : "").append(c);
                 }
             }
         }
@@ -106,6 +104,21 @@
         }
     }
 
+    /** Where the line ends that goes on here. */
+    private static int endOfLine(String text, int from) {
+        int end = text.indexOf('\n', from);
+        return end < 0 ? text.length() : end;
+    }
+
+    /** Where the quote stands that closes a string, or the end of the line or text that cuts it off. */
+    private static int endOfString(String text, int from) {
+        int end = from;
+        while (end < text.length() && text.charAt(end) != '"' && text.charAt(end) != '\n') {
+            end += text.charAt(end) == '\\' ? 2 : 1;
+        }
+        return end;
+    }
+
     private static String path(ArrayDeque<String> blocks, String last) {
         return blocks.isEmpty() ? last : String.join(".", blocks) + "." + last;
     }
--- a/src/main/java/rockshift/operator/Section.java
+++ b/src/main/java/rockshift/operator/Section.java
@@ -11,7 +11,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One block of the operator's file. Each field is read as what it must be; what nobody reads is refused at the end. */
+/**
+ * One block of the operator's file. Each field is read as what it must be; what nobody reads is refused at
+ * the end.
+ */
 public final class Section {
     private static final Pattern SPAN = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m|h)");
     private static final Pattern BYTES = Pattern.compile("(\\d+)(B|KB|MB)");
--- a/src/main/java/rockshift/raft/ClockWatch.java
+++ b/src/main/java/rockshift/raft/ClockWatch.java
@@ -1,11 +1,14 @@
 package rockshift.raft;
 
 /**
- * Compares how fast another member's clock runs with our own, by the times that its answers bring. Each answer tells that
- * its clock stood there at some time between our sending and our hearing; two such, far apart, bound its rate.
+ * Compares how fast another member's clock runs with our own, by the times that its answers bring. Each
+ * answer tells that its clock stood there at some time between our sending and our hearing; two such, far
+ * apart, bound its rate.
  */
 final class ClockWatch {
-    /** Tenths of a ms between two compared answers: long, so that the way there and back counts for little. */
+    /**
+     * Tenths of a ms between two compared answers: long, so that the way there and back counts for little.
+     */
     private static final long SPAN = 100_000;
 
     private long sent;
--- a/src/main/java/rockshift/raft/Entry.java
+++ b/src/main/java/rockshift/raft/Entry.java
@@ -9,7 +9,9 @@
  */
 public record Entry(long index, long term, Kind kind, long session, long serial, byte[] body,
         Membership members) {
-    /** What an entry does: begin a leader's term, open a session, change what is agreed, change who agrees. */
+    /**
+     * What an entry does: begin a leader's term, open a session, change what is agreed, change who agrees.
+     */
     public enum Kind {
         START, OPEN, CHANGE, MEMBERS
     }
--- a/src/main/java/rockshift/raft/Log.java
+++ b/src/main/java/rockshift/raft/Log.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The entries that a member holds, above a base that a snapshot stands for. It knows nothing of what is durable. */
+/**
+ * The entries that a member holds, above a base that a snapshot stands for. It knows nothing of what is
+ * durable.
+ */
 public final class Log {
     private final List<Entry> entries = new ArrayList<>();
     private long baseIndex;
--- a/src/main/java/rockshift/raft/Member.java
+++ b/src/main/java/rockshift/raft/Member.java
@@ -3,7 +3,8 @@
 /**
  * One instance that takes part.
  *
- * @param id drawn when the instance's disk is first used and never used again, so that one wiped of its disk is another
+ * @param id drawn when the instance's disk is first used and never used again, so that one wiped of its disk
+ * is another
  * @param name what staff call it
  * @param address where the others reach it
  */
--- a/src/main/java/rockshift/raft/Message.java
+++ b/src/main/java/rockshift/raft/Message.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** What members tell each other. Every message names who sends it, who it is meant for and the sender's term. */
+/**
+ * What members tell each other. Every message names who sends it, who it is meant for and the sender's term.
+ */
 public sealed interface Message {
     long from();
 
@@ -13,7 +15,8 @@
     /**
      * Asks for a vote.
      *
-     * @param trial only asks whether the vote would be given, and binds nobody; its term is the one that would come
+     * @param trial only asks whether the vote would be given, and binds nobody; its term is the one that
+     * would come
      * @param forced the leader itself handed over, so that hearing from it is no reason to refuse
      */
     record Ask(long from, long to, long term, long lastIndex, long lastTerm, boolean trial, boolean forced)
--- a/src/main/java/rockshift/raft/Progress.java
+++ b/src/main/java/rockshift/raft/Progress.java
@@ -20,7 +20,10 @@
     /** The newest round that it answered, and when that was begun. */
     long round;
     long sentAt = Long.MIN_VALUE;
-    /** While a snapshot is sent: which one and its checksum, up to where it is held, when a piece was sent last. */
+    /**
+     * While a snapshot is sent: which one and its checksum, up to where it is held, when a piece was sent
+     * last.
+     */
     Snapshot sending;
     int checksum;
     int offset;
--- a/src/main/java/rockshift/raft/Raft.java
+++ b/src/main/java/rockshift/raft/Raft.java
@@ -14,14 +14,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member's part in the protocol. The host calls an input method for each thing that happens, then {@link #decide}
- * until that answers false; what is decided comes out through {@link Effects}. Inputs only update what is known. Times are
- * tenths of a millisecond on the host's even clock; the host hands in the time before anything else, so that a member that
- * stood still notices first. The conditions on which safety rests stand in {@link Rules}; docs/raft.md tells the rest.
+ * One member's part in the protocol. The host calls an input method for each thing that happens, then {@link
+ * #decide} until that answers false; what is decided comes out through {@link Effects}. Inputs only update
+ * what is known. Times are tenths of a millisecond on the host's even clock; the host hands in the time
+ * before anything else, so that a member that stood still notices first. The conditions on which safety rests
+ * stand in {@link Rules}; docs/raft.md tells the rest.
  */
 public final class Raft {
     // ---- constants: unit, and the reason for the size -------------------------------------------
-    /** Messages in flight to one follower: a few round trips of a slow link, and a bound on what a dead one is owed. */
+    /**
+     * Messages in flight to one follower: a few round trips of a slow link, and a bound on what a dead one is
+     * owed.
+     */
     private static final int FLIGHT = 32;
     /** Bytes of entries in one message: a part of the largest frame, and little to send again. */
     private static final int MOST_BYTES = 128 << 10;
@@ -41,7 +45,10 @@
     /** Entries kept below a snapshot, so that who is a little behind needs no snapshot. */
     private static final int TAIL = 2_000;
 
-    public enum Role { FOLLOWER, TRIAL, CANDIDATE, LEADER }
+    /** What a member is in the current term; one on trial asks whether it would be elected. */
+    public enum Role {
+        FOLLOWER, TRIAL, CANDIDATE, LEADER
+    }
 
     private record Read(long token, long round, long index) {}
 
@@ -239,7 +246,10 @@
         }
     }
 
-    /** Whether the disk takes what it is given. One whose disk does not works on, but neither leads nor campaigns. */
+    /**
+     * Whether the disk takes what it is given. One whose disk does not works on, but neither leads nor
+     * campaigns.
+     */
     public void disk(boolean works) {
         if (diskWorks != works) {
             notes.add(works ? "disk takes entries again"
@@ -857,7 +867,8 @@
         } else if (role == Role.LEADER
                 && (!reads.isEmpty() && reads.getLast().round > round || tellFrom <= commit
                         && commit == log.last())) {
-            // Followers hear at once of what was agreed, where nothing is on the way that would tell them later.
+            // Followers hear at once of what was agreed, where nothing is on the way that would tell them
+            // later.
             speak();
         } else if (role == Role.LEADER && sendAll()) {
             return true;
--- a/src/main/java/rockshift/raft/Sessions.java
+++ b/src/main/java/rockshift/raft/Sessions.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Applies agreed entries to a machine, each change of a session once however often it was proposed. What a session was
- * answered last is kept with it, and all of it is part of the snapshot. The same entries leave the same state everywhere.
+ * Applies agreed entries to a machine, each change of a session once however often it was proposed. What a
+ * session was answered last is kept with it, and all of it is part of the snapshot. The same entries leave
+ * the same state everywhere.
  */
 public final class Sessions {
     /** Sessions kept; one more drops the one that was unused longest, whose client must open another. */
@@ -24,7 +25,10 @@
         void restore(byte[] image);
     }
 
-    /** How an entry ended: whether it took effect now, and what the client is told; a reason if it was refused. */
+    /**
+     * How an entry ended: whether it took effect now, and what the client is told; a reason if it was
+     * refused.
+     */
     public record Outcome(boolean applied, byte[] answer, String refused) {}
 
     /** A client's session: its number, its last change and what that was answered. */
--- a/src/main/java/rockshift/scale/FleetStandIn.java
+++ b/src/main/java/rockshift/scale/FleetStandIn.java
@@ -20,8 +20,9 @@
 import rockshift.net.RespCodec;
 
 /**
- * The proxies and collectors of one governor, on one thread: each proxy joins, answers marks and reports what came to it; each
- * zone's collector reports what was met at the replicas there. The figures reported are drawn from a seed; nothing is served.
+ * The proxies and collectors of one governor, on one thread: each proxy joins, answers marks and reports what
+ * came to it; each zone's collector reports what was met at the replicas there. The figures reported are
+ * drawn from a seed; nothing is served.
  */
 public final class FleetStandIn implements AutoCloseable {
     /** Ms between two reports on the same replica or by the same proxy. */
@@ -120,7 +121,9 @@
         return dropped.get();
     }
 
-    /** How late a round of reports began at most, in ms: this thread, not the governor, was the limit then. */
+    /**
+     * How late a round of reports began at most, in ms: this thread, not the governor, was the limit then.
+     */
     public long latestMillis() {
         return latestMillis.get();
     }
--- a/src/main/java/rockshift/scale/GovernorRun.java
+++ b/src/main/java/rockshift/scale/GovernorRun.java
@@ -17,8 +17,9 @@
 import rockshift.kit.ProcessUsage;
 
 /**
- * One real governor as a process of its own, with a fleet of some shape before it, watched for a while once all proxies have
- * tables or the wait for them is over. It owns the process and everything it talks to, and ends them also when it is ended.
+ * One real governor as a process of its own, with a fleet of some shape before it, watched for a while once
+ * all proxies have tables or the wait for them is over. It owns the process and everything it talks to, and
+ * ends them also when it is ended.
  */
 public final class GovernorRun implements AutoCloseable {
     private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
@@ -57,8 +58,9 @@
     }
 
     /**
-     * Runs once, with its files in a folder of its own under another while it runs. A run that watches the heap has the
-     * collector's log on, and its other figures are not for slopes. The run's number is the seed of its reports.
+     * Runs once, with its files in a folder of its own under another while it runs. A run that watches the
+     * heap has the collector's log on, and its other figures are not for slopes. The run's number is the seed
+     * of its reports.
      */
     public static GovernorSample measure(FleetShape shape, int run, boolean watchHeap, Times times,
             Path under)
--- a/src/main/java/rockshift/scale/GovernorSweep.java
+++ b/src/main/java/rockshift/scale/GovernorSweep.java
@@ -52,7 +52,10 @@
         }
     }
 
-    /** What the size is: the one dimension that a sweep varies, or replicas times classes where it varies both. */
+    /**
+     * What the size is: the one dimension that a sweep varies, or replicas times classes where it varies
+     * both.
+     */
     public enum Size {
         REPLICAS(shape -> shape.replicas()),
         CLASSES(shape -> shape.classes()),
@@ -101,8 +104,9 @@
     private final List<GovernorSample> samples = new ArrayList<>();
 
     /**
-     * Runs each shape some times, and once more with the heap watched. The runs of one shape go side by side, each with a process
-     * and a fleet of its own, as each takes half a minute until what starting costs is over.
+     * Runs each shape some times, and once more with the heap watched. The runs of one shape go side by side,
+     * each with a process and a fleet of its own, as each takes half a minute until what starting costs is
+     * over.
      */
     public void run(List<FleetShape> shapes, int runs, GovernorRun.Times times, Path under,
             Consumer<String> progress) throws IOException, InterruptedException {
--- a/src/main/java/rockshift/scale/Observation.java
+++ b/src/main/java/rockshift/scale/Observation.java
@@ -6,7 +6,9 @@
 import rockshift.distribution.Scope;
 import rockshift.distribution.Update;
 
-/** Something that a run of many governors saw, with the ms at which it happened on the one clock of the run. */
+/**
+ * Something that a run of many governors saw, with the ms at which it happened on the one clock of the run.
+ */
 public sealed interface Observation {
     long atMillis();
 
--- a/src/main/java/rockshift/scale/ScaleChecker.java
+++ b/src/main/java/rockshift/scale/ScaleChecker.java
@@ -13,9 +13,9 @@
 import rockshift.distribution.Update;
 
 /**
- * Judges what a run of many governors saw. The truth is the changes that members agreed, in the order of their revisions; all
- * that governors took is compared with it. Observations of one governor come in their order; all else may come in any.
- * It does no I/O, reads no clock and takes part in nothing.
+ * Judges what a run of many governors saw. The truth is the changes that members agreed, in the order of
+ * their revisions; all that governors took is compared with it. Observations of one governor come in their
+ * order; all else may come in any. It does no I/O, reads no clock and takes part in nothing.
  */
 public final class ScaleChecker {
     /** Ms after a cut within which a governor is to be up to date again. */
@@ -126,7 +126,9 @@
             }
         }
 
-        /** The newest change that concerns this governor and was asked for before a time; 0 if there is none. */
+        /**
+         * The newest change that concerns this governor and was asked for before a time; 0 if there is none.
+         */
         private long newestBefore(long atMillis) {
             for (Observation.Agreed change : agreed.descendingMap().values()) {
                 if (change.atMillis() <= atMillis && scope.matches(change.update())) {
@@ -186,7 +188,9 @@
             reach(advanced.to(), advanced.atMillis());
         }
 
-        /** What is held now; changes asked for while this life ran outside a cut count for how long they took. */
+        /**
+         * What is held now; changes asked for while this life ran outside a cut count for how long they took.
+         */
         private void reach(Revision revision, long atMillis) {
             boolean counts = !held.isNone();
             for (Observation.Agreed change : agreed
--- a/src/main/java/rockshift/scale/ScaleVerdict.java
+++ b/src/main/java/rockshift/scale/ScaleVerdict.java
@@ -9,7 +9,8 @@
  *
  * @param governors governors seen
  * @param changes changes agreed
- * @param everywhere ms from the asking of a change until it was in force at every governor that it concerns, outside cuts
+ * @param everywhere ms from the asking of a change until it was in force at every governor that it concerns,
+ * outside cuts
  * @param restarts ms from the start of a governor until its first snapshot was in force
  * @param lost changes missing at a governor that should have them
  * @param disordered revisions that went back, came twice, or came without having been agreed or asked for
@@ -29,8 +30,10 @@
     /** The last line of a run, with what it measured beside. */
     public String line(double busiestMemberShare, double governorBytesPerSecond) {
         return String.format(Locale.ROOT,
-                "scale: %d governors, %d changes, in force everywhere p50 %.2f s p99 %.2f s max %.2f s, %d lost, "
-                        + "%d out of order, %d stale after heal, busiest member %.1f%% of a core, governor %.0f B/s",
+                "scale: %d governors, %d changes, in force everywhere p50 %.2f s p99 %.2f s max %.2f s,"
+                        + " %d lost, "
+                        + "%d out of order, %d stale after heal, busiest member %.1f%% of a core,"
+                        + " governor %.0f B/s",
                 governors, changes, seconds(50), seconds(99), seconds(100), lost, disordered, stale,
                 100 * busiestMemberShare, governorBytesPerSecond);
     }
--- a/src/main/java/rockshift/scale/SlopeFit.java
+++ b/src/main/java/rockshift/scale/SlopeFit.java
@@ -5,8 +5,8 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measurements by least squares, with the 95% interval of its slope and the range that was measured.
- * Residual is the standard error around the line, in the unit of what was measured.
+ * A straight line through measurements by least squares, with the 95% interval of its slope and the range
+ * that was measured. Residual is the standard error around the line, in the unit of what was measured.
  */
 public record SlopeFit(int points, double least, double most, double intercept, double slope, double slopeLow,
         double slopeHigh, double residual, double determination, double mean, double squares) {
@@ -14,7 +14,10 @@
     /** Times the measured range beyond which an extrapolation is marked. */
     public static final double FAR = 2;
 
-    /** What a line says at a size, with the 95% interval of one measurement there, and how many times the range it lies. */
+    /**
+     * What a line says at a size, with the 95% interval of one measurement there, and how many times the
+     * range it lies.
+     */
     public record Estimate(double value, double low, double high, double reach) {
         /** Whether it lies more than twice as far as was measured. */
         public boolean marked() {
--- a/src/test/java/rockshift/raft/ExhaustiveTest.java
+++ b/src/test/java/rockshift/raft/ExhaustiveTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A small model played in every order: three members, two campaigns, one change and one crash, every message arriving at any
- * time or never. It runs the code that ships; a state is reached by doing its steps anew.
+ * A small model played in every order: three members, two campaigns, one change and one crash, every message
+ * arriving at any time or never. It runs the code that ships; a state is reached by doing its steps anew.
  */
 class ExhaustiveTest {
     /** Steps that a path has at most, and campaigns, changes and crashes among them. */
