--- a/src/test/java/rockshift/distribution/PublisherHarness.java
+++ b/src/test/java/rockshift/distribution/PublisherHarness.java
@@ -42,6 +42,7 @@
         }
         store.apply(AgreedHistory.revision(next), updates);
         publisher.published(now);
+        publisher.freshAt(now);
     }
 
     /** Connects and subscribes, and answers what was sent back. */
