--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Spec;
 import rockshift.cluster.Change;
 import rockshift.cluster.Client;
-import rockshift.cluster.ClusterCharter;
+import rockshift.cluster.ClusterSettings;
 import rockshift.operator.OperatorFile;
 import rockshift.operator.Section;
 import rockshift.operator.Unusable;
@@ -53,9 +53,9 @@
             List<String> all = new ArrayList<>(at);
             if (operator != null) {
                 Section file = OperatorFile.read(operator);
-                ClusterCharter charter = ClusterCharter.read(file);
-                all.add(charter.address());
-                charter.founders().values().stream().filter(address -> !all.contains(address))
+                ClusterSettings settings = ClusterSettings.read(file);
+                all.add(settings.address());
+                settings.founders().values().stream().filter(address -> !all.contains(address))
                         .forEach(all::add);
             }
             if (all.isEmpty()) {
--- a/src/main/java/rockshift/cli/ClusterCompanion.java
+++ b/src/main/java/rockshift/cli/ClusterCompanion.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import rockshift.Listed;
 import rockshift.cluster.Change;
-import rockshift.cluster.ClusterCharter;
+import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.ClusterMember;
 import rockshift.cluster.Governed;
 import rockshift.net.Companion;
@@ -17,18 +17,18 @@
 final class ClusterCompanion implements Companion, Governed {
     private static final long TENTHS_PER_MILLI = 10;
 
-    private final ClusterCharter charter;
+    private final ClusterSettings settings;
     private Inlet inlet;
     private ClusterMember member;
 
-    ClusterCompanion(ClusterCharter charter) {
-        this.charter = charter;
+    ClusterCompanion(ClusterSettings settings) {
+        this.settings = settings;
     }
 
     @Override
     public void begin(Inlet into) throws IOException, InterruptedException {
         inlet = into;
-        member = new ClusterMember(charter, this);
+        member = new ClusterMember(settings, this);
         member.start();
     }
 
--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -1,6 +1,6 @@
 package rockshift.cli;
 
-import rockshift.cluster.ClusterCharter;
+import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.DistributionSettings;
 import rockshift.operator.OperatorFile;
 import rockshift.operator.Section;
@@ -12,7 +12,7 @@
  * @param cluster the member that it makes of a governor; null for none
  * @param distribution what a governor or relay subscribes to; null for nothing
  */
-record OperatorSettings(ClusterCharter cluster, DistributionSettings distribution) {
+record OperatorSettings(ClusterSettings cluster, DistributionSettings distribution) {
     /** Reads a file, and refuses what does not fit together. */
     static OperatorSettings read(String name) throws Unusable {
         return read(OperatorFile.read(name));
@@ -20,8 +20,8 @@
 
     private static OperatorSettings read(Section file) throws Unusable {
         DistributionSettings distribution = DistributionSettings.read(file);
-        ClusterCharter cluster =
-                file.has("cluster") || distribution == null ? ClusterCharter.read(file) : null;
+        ClusterSettings cluster =
+                file.has("cluster") || distribution == null ? ClusterSettings.read(file) : null;
         file.end();
         if (cluster != null && distribution != null && distribution.relay() == null) {
             throw file.wrong("distribution", "has no meaning beside cluster: a member knows what is agreed");
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -54,7 +54,7 @@
 
     private record Asked(Links.Link link, long number) {}
 
-    private final ClusterCharter charter;
+    private final ClusterSettings settings;
     private final Governed governed;
     private final Agreed agreed = new Agreed();
     private final FileDisk disk;
@@ -85,22 +85,23 @@
     private String diskTrouble = "";
     private int port;
 
-    public ClusterMember(ClusterCharter charter, Governed governed) throws IOException {
-        this.charter = charter;
+    public ClusterMember(ClusterSettings settings, Governed governed) throws IOException {
+        this.settings = settings;
         this.governed = governed;
-        disk = new FileDisk(charter.folder());
+        disk = new FileDisk(settings.folder());
         try {
             SecureRandom source = new SecureRandom();
             log = new DurableLog(disk, line -> LOG.warn("{}", line));
             DurableLog.Recovered found = log.open(source.nextLong() >>> 1 | 1);
             id = found.id();
             cluster = found.cluster();
-            distribution = new DistributionService(charter.subscribers(), charter.timing().election(),
+            distribution = new DistributionService(settings.subscribers(), settings.timing().election(),
                     new SplittableRandom(source.nextLong()));
             links = new Links(this, distribution.port(), new SplittableRandom(source.nextLong()));
-            engine = new Engine(found, charter.timing(), new Rules(), new SplittableRandom(source.nextLong()),
+            engine = new Engine(found, settings.timing(), new Rules(),
+                    new SplittableRandom(source.nextLong()),
                     now(), agreed,
-                    charter.compaction(), this);
+                    settings.compaction(), this);
         } catch (IOException | RuntimeException failure) {
             disk.close();
             throw failure;
@@ -110,15 +111,15 @@
 
     /** Listens and takes part. */
     public void start() throws IOException, InterruptedException {
-        port = links.listen(charter.listen());
+        port = links.listen(settings.listen());
         thread.setDaemon(true);
         diskThread.setDaemon(true);
         tellAgreed();
         distribution.start();
         diskThread.start();
         thread.start();
-        LOG.info("member {} ({}) listens on {}, port {}, {} entries, agreed version {}", charter.name(),
-                Long.toHexString(id), charter.listen().getHostString(), port, engine.raft().log().last(),
+        LOG.info("member {} ({}) listens on {}, port {}, {} entries, agreed version {}", settings.name(),
+                Long.toHexString(id), settings.listen().getHostString(), port, engine.raft().log().last(),
                 agreed.version());
     }
 
@@ -143,7 +144,7 @@
         try {
             disk.close();
         } catch (IOException ignored) {
-            LOG.info("folder {} was already let go", charter.folder());
+            LOG.info("folder {} was already let go", settings.folder());
         }
     }
 
@@ -185,7 +186,7 @@
     }
 
     private Governed.Reach cutOff() {
-        return switch (charter.minority()) {
+        return switch (settings.minority()) {
             case SERVE -> Governed.Reach.FULL;
             case WITHDRAW -> Governed.Reach.WITHDRAW;
             case HOLD -> Governed.Reach.HOLD;
@@ -208,7 +209,7 @@
                 LOG.info("in touch with most members, leader {}", name(engine.raft().leader()));
             } else if (before) {
                 LOG.warn("cut off from most members: nothing new is agreed here, orders by minority = {}",
-                        charter.minority().name().toLowerCase(Locale.ROOT));
+                        settings.minority().name().toLowerCase(Locale.ROOT));
             }
         }
         if (others == null) {
@@ -225,8 +226,8 @@
             }
         }
         if (cluster == 0) {
-            charter.founders().forEach((name, address) -> {
-                if (!name.equals(charter.name())) {
+            settings.founders().forEach((name, address) -> {
+                if (!name.equals(settings.name())) {
                     all.add(route(name, address));
                 }
             });
@@ -241,7 +242,7 @@
     }
 
     private String route(String name, String address) {
-        return charter.routes().getOrDefault(name, address);
+        return settings.routes().getOrDefault(name, address);
     }
 
     private String name(long member) {
@@ -260,7 +261,7 @@
         try {
             shownMembers = engine.raft().members();
             others = null;
-            shown = Codec.hello(new Codec.Hello(Frames.VERSION, cluster, id, charter.name(), shownMembers));
+            shown = Codec.hello(new Codec.Hello(Frames.VERSION, cluster, id, settings.name(), shownMembers));
         } catch (IOException impossible) {
             throw new UncheckedIOException(impossible);
         }
@@ -307,7 +308,7 @@
                 LOG.warn(
                         "{} has a cluster that this member is no part of:"
                                 + " add it with 'cluster member add {} {}'",
-                        hello.name(), charter.name(), charter.address());
+                        hello.name(), settings.name(), settings.address());
             }
         } catch (IOException failure) {
             LOG.error("can't found the cluster: {}", failure.getMessage());
@@ -319,15 +320,15 @@
     }
 
     private void foundTogether() throws IOException {
-        if (!charter.founders().containsKey(charter.name())) {
+        if (!settings.founders().containsKey(settings.name())) {
             return;
         }
         List<Member> founders = new ArrayList<>();
         long sum = 1;
-        TreeMap<String, String> sorted = new TreeMap<>(charter.founders());
+        TreeMap<String, String> sorted = new TreeMap<>(settings.founders());
         for (Map.Entry<String, String> each : sorted.entrySet()) {
             Codec.Hello other = met.get(each.getKey());
-            boolean self = each.getKey().equals(charter.name());
+            boolean self = each.getKey().equals(settings.name());
             if (!self && (other == null || other.cluster() != 0)) {
                 return;
             }
@@ -384,7 +385,7 @@
             try {
                 work.run();
                 if (!diskTrouble.isEmpty()) {
-                    LOG.info("folder {} takes entries again", charter.folder());
+                    LOG.info("folder {} takes entries again", settings.folder());
                     diskTrouble = "";
                 }
                 inputs.put(() -> {
@@ -396,7 +397,7 @@
                 String trouble = String.valueOf(failure.getMessage());
                 if (!trouble.equals(diskTrouble)) {
                     LOG.error("folder {} takes nothing: {}; no votes and no entries until it does",
-                            charter.folder(),
+                            settings.folder(),
                             trouble);
                     diskTrouble = trouble;
                 }
@@ -627,7 +628,7 @@
 
     private void status(JsonGenerator json) throws IOException {
         Raft.Standing standing = engine.raft().standing();
-        json.writeStringField("name", charter.name());
+        json.writeStringField("name", settings.name());
         json.writeStringField("id", Long.toHexString(id));
         json.writeNumberField("number", id);
         json.writeStringField("cluster", Long.toHexString(cluster));
--- a/src/main/java/rockshift/cluster/ClusterCharter.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -17,7 +17,7 @@
  * @param routes by name: where this member reaches another, if not at the address that all were told
  * @param subscribers relays and governors that may subscribe here at a time
  */
-public record ClusterCharter(String name, InetSocketAddress listen, String address, Path folder,
+public record ClusterSettings(String name, InetSocketAddress listen, String address, Path folder,
         Map<String, String> founders, Map<String, String> routes, Timing timing, Engine.Compaction compaction,
         Minority minority, int subscribers) {
     /** What a governor still orders when it is cut off from most: all, what rules owe, or nothing. */
@@ -29,7 +29,7 @@
     private static final int MOST_FOUNDERS = 5;
 
     /** A member that serves as many subscribers as is usual. */
-    public ClusterCharter(String name, InetSocketAddress listen, String address, Path folder,
+    public ClusterSettings(String name, InetSocketAddress listen, String address, Path folder,
             Map<String, String> founders,
             Map<String, String> routes, Timing timing, Engine.Compaction compaction, Minority minority) {
         this(name, listen, address, folder, founders, routes, timing, compaction, minority,
@@ -37,7 +37,7 @@
     }
 
     /** Reads the block, and refuses what it does not know. */
-    public static ClusterCharter read(Section file) throws Unusable {
+    public static ClusterSettings read(Section file) throws Unusable {
         Section cluster = file.block("cluster");
         if (cluster == null) {
             throw file.wrong("cluster", "is missing");
@@ -69,7 +69,7 @@
         int subscribers = cluster.whole("subscribers", DistributionSettings.USUAL_SUBSCRIBERS, 1,
                 DistributionSettings.MOST_SUBSCRIBERS);
         cluster.end();
-        return new ClusterCharter(name, listen, address, folder, founders, routes,
+        return new ClusterSettings(name, listen, address, folder, founders, routes,
                 new Timing(election, heartbeat, drift, leases, batch), compaction, minority, subscribers);
     }
 
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -18,7 +18,7 @@
 import org.HdrHistogram.Histogram;
 import rockshift.cluster.Change;
 import rockshift.cluster.Client;
-import rockshift.cluster.ClusterCharter;
+import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.ClusterMember;
 import rockshift.cluster.DurableLog;
 import rockshift.cluster.Engine;
@@ -193,11 +193,11 @@
             founders.put("n" + k, address(k));
         }
         members[i] =
-                new ClusterMember(new ClusterCharter("n" + i, new InetSocketAddress("127.0.0.1", ports[i]),
+                new ClusterMember(new ClusterSettings("n" + i, new InetSocketAddress("127.0.0.1", ports[i]),
                         address(i), folder.resolve("member" + i), founders, Map.of(),
                         new Timing(ELECTION_MS * 10, ELECTION_MS * 2, 0.05, true, 512),
                         new Engine.Compaction(10_000, 4 << 20),
-                        ClusterCharter.Minority.WITHDRAW), new Nobody());
+                        ClusterSettings.Minority.WITHDRAW), new Nobody());
         members[i].start();
     }
 
