--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import rockshift.cluster.Change;
-import rockshift.net.Inlet;
+import rockshift.net.AgreedChangesReceiver;
 
 /** Hands what is agreed to the module of a governor, in the module's units. */
 final class AgreedInput {
@@ -17,7 +17,8 @@
      * @param out drains and holds in force, by replica
      * @param inForce is run on the module's thread once it has taken effect
      */
-    static void tell(Inlet inlet, long version, Map<String, Change> out, Map<String, Double> terms,
+    static void tell(AgreedChangesReceiver receiver, long version, Map<String, Change> out,
+            Map<String, Double> terms,
             Runnable inForce) {
         Map<String, Long> until = new HashMap<>();
         // A drain means the process that ran when it was asked for; a hold means whatever runs under the
@@ -27,6 +28,6 @@
                         ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1 : Long.MAX_VALUE));
         Map<String, String> values = new HashMap<>();
         terms.forEach((name, value) -> values.put(name, value.toString()));
-        inlet.agreed(version, until, values, inForce);
+        receiver.agreed(version, until, values, inForce);
     }
 }
--- a/src/main/java/rockshift/cli/ClusterCompanion.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -7,27 +7,27 @@
 import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.ClusterMember;
 import rockshift.cluster.Governed;
-import rockshift.net.Companion;
-import rockshift.net.Inlet;
+import rockshift.net.AgreedChangesSource;
+import rockshift.net.AgreedChangesReceiver;
 
 /**
  * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is listed
  * comes out.
  */
-final class ClusterCompanion implements Companion, Governed {
+final class ClusterChangesSource implements AgreedChangesSource, Governed {
     private static final long TENTHS_PER_MILLI = 10;
 
     private final ClusterSettings settings;
-    private Inlet inlet;
+    private AgreedChangesReceiver receiver;
     private ClusterMember member;
 
-    ClusterCompanion(ClusterSettings settings) {
+    ClusterChangesSource(ClusterSettings settings) {
         this.settings = settings;
     }
 
     @Override
-    public void begin(Inlet into) throws IOException, InterruptedException {
-        inlet = into;
+    public void begin(AgreedChangesReceiver into) throws IOException, InterruptedException {
+        receiver = into;
         member = new ClusterMember(settings, this);
         member.start();
     }
@@ -41,12 +41,12 @@
 
     @Override
     public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {
-        AgreedInput.tell(inlet, version, out, terms, () -> {});
+        AgreedInput.tell(receiver, version, out, terms, () -> {});
     }
 
     @Override
     public void reach(Governed.Reach reach) {
-        inlet.reach(rockshift.Reach.valueOf(reach.name()));
+        receiver.reach(rockshift.Reach.valueOf(reach.name()));
     }
 
     @Override
@@ -54,7 +54,7 @@
         if (change.kind() != Change.Kind.DRAIN && change.kind() != Change.Kind.HOLD) {
             return null;
         }
-        Map<String, Listed> listed = inlet.listed();
+        Map<String, Listed> listed = receiver.listed();
         if (!listed.containsKey(change.subject())) {
             return "unknown-replica: " + change.subject()
                     + " is not listed here (--force asks for it all the same)";
@@ -66,13 +66,13 @@
 
     @Override
     public long started(String replica) {
-        Listed entry = inlet.listed().get(replica);
+        Listed entry = receiver.listed().get(replica);
         return entry == null ? 0 : entry.started() / TENTHS_PER_MILLI;
     }
 
     @Override
     public String zone(String replica) {
-        Listed entry = inlet.listed().get(replica);
+        Listed entry = receiver.listed().get(replica);
         return entry == null ? "" : entry.zone();
     }
 }
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import rockshift.drill.Drill;
-import rockshift.net.Companion;
+import rockshift.net.AgreedChangesSource;
 import rockshift.net.ProcessSignals;
 import rockshift.operator.Unusable;
 
@@ -49,14 +49,14 @@
             ProcessSignals signals = ProcessSignals.install();
             try {
                 return rockshift.net.Serve.run(System.getenv(), signals,
-                        operator == null ? null : companion());
+                        operator == null ? null : source());
             } finally {
                 signals.release();
             }
         }
 
-        private Companion companion() throws Exception {
-            return OperatorSettings.companion(operator);
+        private AgreedChangesSource source() throws Exception {
+            return OperatorSettings.source(operator);
         }
     }
 
--- a/src/main/java/rockshift/cli/DistributionCompanion.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -18,28 +18,28 @@
 import rockshift.distribution.RejectionReason;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Update;
-import rockshift.net.Companion;
-import rockshift.net.Inlet;
+import rockshift.net.AgreedChangesSource;
+import rockshift.net.AgreedChangesReceiver;
 
 /** Joins a subscription to the governor of its process: what is agreed and concerns it goes to its module. */
-final class DistributionCompanion implements Companion, DistributionListener {
-    private static final Logger LOG = LoggerFactory.getLogger(DistributionCompanion.class);
+final class DistributionChangesSource implements AgreedChangesSource, DistributionListener {
+    private static final Logger LOG = LoggerFactory.getLogger(DistributionChangesSource.class);
 
     private final DistributionSettings settings;
-    private Inlet inlet;
+    private AgreedChangesReceiver receiver;
     private DistributionReactor reactor;
     private DistributionClient client;
     // Used within the client's steps alone.
     private final Map<String, Change> held = new HashMap<>();
     private Revision revision = Revision.NONE;
 
-    DistributionCompanion(DistributionSettings settings) {
+    DistributionChangesSource(DistributionSettings settings) {
         this.settings = settings;
     }
 
     @Override
-    public void begin(Inlet into) throws IOException, InterruptedException {
-        inlet = into;
+    public void begin(AgreedChangesReceiver into) throws IOException, InterruptedException {
+        receiver = into;
         reactor = new DistributionReactor();
         client = new DistributionClient(reactor, settings.name(), List.copyOf(settings.upstreams().values()),
                 settings.scope(), settings.limits(), new SplittableRandom(), this);
@@ -95,7 +95,7 @@
                 terms.put(change.subject(), change.value());
             }
         }
-        AgreedInput.tell(inlet, at.number(), out, terms, inForce);
+        AgreedInput.tell(receiver, at.number(), out, terms, inForce);
         LOG.info("agreed revision {}: {} replicas kept out, terms {}", at, out.size(), terms);
     }
 
--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -29,16 +29,16 @@
         return new OperatorSettings(cluster, distribution);
     }
 
-    /** The companion of a governor that serves by this file. */
-    static rockshift.net.Companion companion(String name) throws Unusable {
+    /** Where a governor that serves by this file has its agreed changes from. */
+    static rockshift.net.AgreedChangesSource source(String name) throws Unusable {
         Section file = OperatorFile.read(name);
         OperatorSettings settings = read(file);
         if (settings.cluster != null) {
-            return new ClusterCompanion(settings.cluster);
+            return new ClusterChangesSource(settings.cluster);
         } else if (settings.distribution.relay() != null) {
             throw file.wrong("distribution.relay", "is served by 'rockshift relay', not by a governor");
         }
-        return new DistributionCompanion(settings.distribution);
+        return new DistributionChangesSource(settings.distribution);
     }
 
     /** What a relay is told. */
--- a/src/main/java/rockshift/net/Inlet.java
+++ b/src/main/java/rockshift/net/AgreedChangesReceiver.java
@@ -10,11 +10,11 @@
  * module learns. It owns the view of the list that is needed before a change is asked for; it decides nothing
  * of what follows from one.
  */
-public final class Inlet {
+public final class AgreedChangesReceiver {
     private final EventLoop loop;
     private final Map<String, Listed> listed = new HashMap<>();
 
-    Inlet(EventLoop loop) {
+    AgreedChangesReceiver(EventLoop loop) {
         this.loop = loop;
         loop.listing = this::hear;
     }
--- a/src/main/java/rockshift/net/Serve.java
+++ b/src/main/java/rockshift/net/Serve.java
@@ -29,8 +29,8 @@
     private final Thread thread;
     private final DiscoveryClient discovery;
     private final Streams streams;
-    private final Companion companion;
-    private final Inlet inlet;
+    private final AgreedChangesSource source;
+    private final AgreedChangesReceiver receiver;
     private final Object reloading = new Object();
     private int port;
     /** Whether it ends or has ended: nothing is begun any more. */
@@ -40,11 +40,11 @@
         this(configuration, null);
     }
 
-    Serve(Configuration configuration, Companion companion) {
+    Serve(Configuration configuration, AgreedChangesSource source) {
         this.configuration = configuration;
-        this.companion = companion;
+        this.source = source;
         loop = new EventLoop(configuration.seed(), configuration.terms());
-        inlet = companion == null ? null : new Inlet(loop);
+        receiver = source == null ? null : new AgreedChangesReceiver(loop);
         DiscoveryClient.take(configuration.known(), loop);
         thread = new Thread(loop, "event-loop");
         discovery = new DiscoveryClient(configuration.discovery(), loop);
@@ -52,8 +52,8 @@
     }
 
     void start() throws IOException, InterruptedException {
-        if (companion != null) {
-            companion.begin(inlet);
+        if (source != null) {
+            source.begin(receiver);
         }
         synchronized (this) {
             if (closed) {
@@ -121,8 +121,8 @@
             discovery.close();
             streams.close();
         }
-        if (companion != null) {
-            companion.end();
+        if (source != null) {
+            source.end();
         }
     }
 
@@ -144,15 +144,15 @@
 
     /**
      * Serves until the process is told to end; answers an exit status where it can't begin or go on. A
-     * companion is what runs beside it, or null.
+     * source is what runs beside it, or null.
      */
-    public static int run(Map<String, String> environment, ProcessSignals signals, Companion companion)
+    public static int run(Map<String, String> environment, ProcessSignals signals, AgreedChangesSource source)
             throws InterruptedException {
         String file = environment.get("RELAY_CONFIG");
         String seen = stamp(file);
         Serve serve;
         try {
-            serve = new Serve(Configuration.read(file), companion);
+            serve = new Serve(Configuration.read(file), source);
             serve.start();
         } catch (Configuration.Unusable wrong) {
             System.err.println(wrong.getMessage());
