--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -49,7 +49,7 @@
     private static final int FAREWELL = 300;
 
     /** What hears of it; calls come on the reactor's thread. */
-    interface Ear {
+    interface Handler {
         byte[] hello();
 
         void met(Codec.Hello hello);
@@ -61,7 +61,7 @@
         void call(Link from, byte[] payload);
     }
 
-    private final Ear ear;
+    private final Handler handler;
     private final RandomGenerator chance;
     private final DefaultListeningIOReactor reactor;
     private final Map<String, Dialled> dialled = new ConcurrentHashMap<>();
@@ -79,8 +79,8 @@
         boolean complained;
     }
 
-    Links(Ear ear, SubscriberPort subscribers, RandomGenerator chance) {
-        this.ear = ear;
+    Links(Handler handler, SubscriberPort subscribers, RandomGenerator chance) {
+        this.handler = handler;
         this.subscribers = subscribers;
         this.chance = chance;
         IOReactorConfig one = IOReactorConfig.custom().setIoThreadCount(1).setBacklogSize(BACKLOG)
@@ -159,7 +159,7 @@
         for (Dialled to : dialled.values()) {
             Link link = to.link;
             if (link != null) {
-                link.send(Frames.HELLO, ear.hello());
+                link.send(Frames.HELLO, handler.hello());
             }
         }
     }
@@ -213,7 +213,7 @@
                 dialledAs.pause = FIRST_PAUSE;
                 dialledAs.complained = false;
                 session().setSocketTimeout(Timeout.DISABLED);
-                send(Frames.HELLO, ear.hello());
+                send(Frames.HELLO, handler.hello());
             }
         }
 
@@ -250,17 +250,17 @@
                 case Frames.HELLO -> {
                     other = Codec.hello(frame.payload());
                     if (dialledAs == null) {
-                        send(Frames.HELLO, ear.hello());
+                        send(Frames.HELLO, handler.hello());
                     }
-                    ear.met(other);
+                    handler.met(other);
                 }
                 case Frames.MESSAGE -> {
                     if (other == null) {
                         throw new Frames.Broken("unexpected", "a message before its sender's name");
                     }
-                    ear.message(frame.payload(), other.cluster());
+                    handler.message(frame.payload(), other.cluster());
                 }
-                case Frames.CALL -> ear.call(this, frame.payload());
+                case Frames.CALL -> handler.call(this, frame.payload());
                 case Frames.WATCH -> subscribers.received(this, frame.payload());
                 default -> throw new Frames.Broken("unknown-kind", "a frame of kind " + frame.kind());
             }
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -267,11 +267,12 @@
         Map<Long, Double> held = new LinkedHashMap<>();
         AtomicLong done = new AtomicLong();
         Path own = Files.createDirectories(folder.resolve("memory"));
-        try (Farm farm = new Farm(own, 3, ELECTION_MS + "ms", 1, (member, life, line) -> {})) {
+        try (GovernorProcesses governors =
+                new GovernorProcesses(own, 3, ELECTION_MS + "ms", 1, (member, life, line) -> {})) {
             List<String> addresses = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                farm.start(i);
-                addresses.add(farm.front(i));
+                governors.start(i);
+                addresses.add(governors.front(i));
             }
             List<Thread> threads = new ArrayList<>();
             for (int k = 0; k < 32; k++) {
@@ -289,10 +290,10 @@
             threads.forEach(Thread::start);
             for (long next = 0; next <= changes; next += changes / 10) {
                 long reached = next;
-                Farm.await(() -> done.get() >= reached, 600_000);
+                GovernorProcesses.await(() -> done.get() >= reached, 600_000);
                 double most = 0;
                 for (int i = 0; i < 3; i++) {
-                    most = Math.max(most, ProcessUsage.of(farm.pid(i)).residentMegabytes());
+                    most = Math.max(most, ProcessUsage.of(governors.pid(i)).residentMegabytes());
                 }
                 held.put(next, most);
             }
--- a/src/main/java/rockshift/kit/Farm.java
+++ b/src/main/java/rockshift/kit/GovernorProcesses.java
@@ -14,18 +14,18 @@
  * each for commands, and a stand-in for discovery. It owns the processes that it starts and ends them all,
  * also when it is ended itself.
  */
-public final class Farm implements AutoCloseable {
+public final class GovernorProcesses implements AutoCloseable {
     private static final int REPLICAS = 6;
 
     /** Hears each line that a governor logs. */
-    public interface Ear {
+    public interface LogListener {
         void line(int member, int life, String line);
     }
 
     private final Path folder;
     private final int members;
     private final String election;
-    private final Ear ear;
+    private final LogListener listener;
     private final Relay[][] ways;
     private final Relay[] fronts;
     private final Process[] processes;
@@ -35,11 +35,12 @@
     private final DiscoveryStandIn discovery = new DiscoveryStandIn(REPLICAS, List.of("hall-a"));
     private final Thread atEnd = new Thread(this::killAll);
 
-    public Farm(Path folder, int members, String election, long seed, Ear ear) throws IOException {
+    public GovernorProcesses(Path folder, int members, String election, long seed, LogListener listener)
+            throws IOException {
         this.folder = folder;
         this.members = members;
         this.election = election;
-        this.ear = ear;
+        this.listener = listener;
         ways = new Relay[members][members];
         fronts = new Relay[members];
         processes = new Process[members];
@@ -133,7 +134,7 @@
                     int number = Integer.parseInt(rest.split("\\D", 2)[0]);
                     (line.contains("member n") ? ports : streams)[member] = number;
                 }
-                ear.line(member, life, line);
+                listener.line(member, life, line);
             }
         } catch (IOException ended) {
             // The process was killed.
--- a/src/main/java/rockshift/kit/Trial.java
+++ b/src/main/java/rockshift/kit/Trial.java
@@ -60,7 +60,7 @@
     private final long seconds;
     private final SplittableRandom chance;
     private final Consumer<String> progress;
-    private final Farm farm;
+    private final GovernorProcesses governors;
     /** By member and life: what was applied, by index, in the order of the lines. */
     private final Map<String, List<Long>> orders = new ConcurrentHashMap<>();
     private final Map<Long, String> contents = new ConcurrentHashMap<>();
@@ -83,7 +83,7 @@
         this.progress = progress;
         chance = new SplittableRandom(seed);
         cutSince = new long[members];
-        farm = new Farm(folder, members, ELECTION + "ms", seed, this::hear);
+        governors = new GovernorProcesses(folder, members, ELECTION + "ms", seed, this::hear);
     }
 
     private static long now() {
@@ -123,9 +123,9 @@
 
     /** Plays it all, and tells what came of it. */
     public Outcome run() throws IOException, InterruptedException {
-        try (farm) {
+        try (governors) {
             for (int i = 0; i < members; i++) {
-                farm.start(i);
+                governors.start(i);
             }
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
@@ -168,14 +168,14 @@
         faults++;
         switch (chance.nextInt(6)) {
             case 0 -> {
-                farm.kill(one);
+                governors.kill(one);
                 TimeUnit.MILLISECONDS.sleep(lasts);
-                farm.start(one);
+                governors.start(one);
             }
             case 1 -> {
-                farm.signal(one, "STOP");
+                governors.signal(one, "STOP");
                 TimeUnit.MILLISECONDS.sleep(lasts);
-                farm.signal(one, "CONT");
+                governors.signal(one, "CONT");
             }
             case 2 -> {
                 isolate(Set.of(one), lasts);
@@ -184,18 +184,18 @@
                 isolate(members > 3 ? Set.of(one, other) : Set.of(other), lasts);
             }
             case 4 -> {
-                farm.way(one, other).cut(true);
+                governors.way(one, other).cut(true);
                 TimeUnit.MILLISECONDS.sleep(lasts);
-                farm.way(one, other).cut(false);
+                governors.way(one, other).cut(false);
             }
             default -> {
                 for (int i = 0; i < members; i++) {
-                    farm.way(one, i).spoil(chance.nextDouble(0.4), chance.nextDouble(0.2),
+                    governors.way(one, i).spoil(chance.nextDouble(0.4), chance.nextDouble(0.2),
                             chance.nextInt(20));
                 }
                 TimeUnit.MILLISECONDS.sleep(lasts);
                 for (int i = 0; i < members; i++) {
-                    farm.way(one, i).spoil(0, 0, 0);
+                    governors.way(one, i).spoil(0, 0, 0);
                 }
             }
         }
@@ -214,7 +214,7 @@
         for (int i = 0; i < members; i++) {
             for (int j = 0; j < members; j++) {
                 if (few.contains(i) != few.contains(j)) {
-                    farm.way(i, j).cut(now);
+                    governors.way(i, j).cut(now);
                 }
             }
         }
@@ -223,8 +223,8 @@
     private void heal() throws IOException, InterruptedException {
         cut(Set.of(), false);
         for (int i = 0; i < members; i++) {
-            if (!farm.runs(i)) {
-                farm.start(i);
+            if (!governors.runs(i)) {
+                governors.start(i);
             }
         }
     }
@@ -234,7 +234,7 @@
     private void propose(int number, SplittableRandom own) {
         List<String> fronts = new ArrayList<>();
         for (int i = 0; i < members; i++) {
-            fronts.add(farm.front((number + i) % members));
+            fronts.add(governors.front((number + i) % members));
         }
         try (Client client = new Client(fronts, own, 1_500)) {
             for (int i = 0; !over; i++) {
@@ -263,7 +263,7 @@
     private void standIn(int member) {
         SplittableRandom own = new SplittableRandom(member);
         while (!over) {
-            int port = farm.streams(member);
+            int port = governors.streams(member);
             try (Socket proxy = new Socket(InetAddress.getLoopbackAddress(), port);
                     Socket collector = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 say(proxy, "joined", "sidecar", "0", "az", "hall-a", "share", "20", "standing", "1");
@@ -328,8 +328,9 @@
         for (Set<Long> versions = new HashSet<>(); now() < end; TimeUnit.MILLISECONDS.sleep(200)) {
             versions.clear();
             for (int i = 0; i < members; i++) {
-                try (Client client = new Client(List.of(farm.front(i)), chance, 1_500)) {
-                    versions.add(client.ask(farm.front(i), Client.call("status")).path("applied").asLong());
+                try (Client client = new Client(List.of(governors.front(i)), chance, 1_500)) {
+                    versions.add(
+                            client.ask(governors.front(i), Client.call("status")).path("applied").asLong());
                 } catch (IOException busy) {
                     versions.add(-1L);
                 }
