--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
+import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -23,12 +24,15 @@
 import rockshift.scale.GovernorRun;
 import rockshift.scale.GovernorSample;
 import rockshift.scale.GovernorSweep;
+import rockshift.scale.ScaleRun;
+import rockshift.scale.Scenario;
 import rockshift.scale.SlopeFit;
 
 /** How costs grow with size, on loopback. */
 @Command(name = "scale", mixinStandardHelpOptions = true,
         description = "Measures how costs grow with size, on loopback.",
-        synopsisSubcommandLabel = "COMMAND", subcommands = {ScaleCommands.GovernorCommand.class})
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {ScaleCommands.GovernorCommand.class, ScaleCommands.RunCommand.class})
 final class ScaleCommands extends CommandGroup {
     /** One real governor before fleets of several sizes. */
     @Command(name = "governor", mixinStandardHelpOptions = true,
@@ -135,11 +139,6 @@
                     "One governor: median processor time by " + size, "% of a core", bars);
         }
 
-        private static void append(Path file, String header, String rows) throws IOException {
-            Files.writeString(file, (Files.exists(file) ? "" : header) + rows, StandardOpenOption.CREATE,
-                    StandardOpenOption.APPEND);
-        }
-
         private static String row(GovernorSweep.Size size, GovernorSweep.Figure figure, SlopeFit fit) {
             return String.format(Locale.ROOT, "%s,%s,%d,%.0f,%.0f,%.6g,%.6g,%.6g,%.6g,%.6g,%.4f,%.6g,%.6g%n",
                     size, figure,
@@ -148,4 +147,99 @@
                     fit.residual(), fit.determination(), fit.mean(), fit.squares());
         }
     }
+
+    /** Many governors at once. */
+    @Command(name = "run", mixinStandardHelpOptions = true,
+            description = "Runs members, relays and many hollow governors under changes and faults,"
+                    + " and checks what they saw.")
+    static final class RunCommand implements Callable<Integer> {
+        @Spec
+        private CommandSpec spec;
+        @Option(names = "--governors", defaultValue = "1300", description = "hollow ones (${DEFAULT-VALUE})")
+        private int governors;
+        @Option(names = "--processes", defaultValue = "2",
+                description = "real governors beside them (${DEFAULT-VALUE})")
+        private int processes;
+        @Option(names = "--changes", defaultValue = "150", description = "(${DEFAULT-VALUE})")
+        private int changes;
+        @Option(names = "--seed", defaultValue = "1",
+                description = "of changes and faults (${DEFAULT-VALUE})")
+        private long seed;
+        @Option(names = "--change-rate", defaultValue = "100",
+                description = "times the target's 1,300 changes a day (${DEFAULT-VALUE})")
+        private double changeRate;
+        @Option(names = "--kill-rate", defaultValue = "100",
+                description = "times the target's 442 restarts and lost machines a day (${DEFAULT-VALUE})")
+        private double killRate;
+        @Option(names = "--cut-region", defaultValue = "0",
+                description = "which region is cut (${DEFAULT-VALUE})")
+        private int cutRegion;
+        @Option(names = "--cut-seconds", defaultValue = "10",
+                description = "for how long; 0: not (${DEFAULT-VALUE})")
+        private int cutSeconds;
+        @Option(names = "--json", description = "print figures as JSON before the last line")
+        private boolean json;
+        @Option(names = "--out", paramLabel = "FOLDER",
+                description = "where to add to the table and keep the chart")
+        private Path kept;
+
+        @Override
+        public Integer call() throws Exception {
+            // Thousands of connections begin and end here, each with a line of its own.
+            System.setProperty("org.slf4j.simpleLogger.log.rockshift.cluster.DistributionReactor", "error");
+            Scenario scenario = new Scenario(governors, processes, changes, seed, changeRate, killRate,
+                    TimeUnit.SECONDS.toMillis(cutSeconds), cutRegion);
+            ScaleRun.Outcome outcome;
+            try (ScaleRun run = new ScaleRun(scenario, System.err::println)) {
+                outcome = run.run();
+            }
+            PrintWriter out = spec.commandLine().getOut();
+            if (json) {
+                out.println(new ObjectMapper().writeValueAsString(outcome.figures()));
+            } else {
+                outcome.figures()
+                        .forEach((name, value) -> out.printf(Locale.ROOT, "%-52s %12.3f%n", name, value));
+            }
+            outcome.verdict().examples().forEach(out::println);
+            outcome.voidReasons().forEach(reason -> out.println("void: " + reason));
+            if (kept != null) {
+                keep(outcome);
+            }
+            out.println(outcome.line());
+            return outcome.held() ? Commands.HELD : Commands.BROKEN;
+        }
+
+        private void keep(ScaleRun.Outcome outcome) throws IOException {
+            Files.createDirectories(kept);
+            String label = governors + "," + changes + "," + seed + "," + changeRate + "," + killRate + ","
+                    + cutSeconds;
+            StringBuilder rows = new StringBuilder();
+            outcome.figures().forEach((name, value) -> rows
+                    .append(String.format(Locale.ROOT, "%s,\"%s\",%.4f%n", label, name, value)));
+            rows.append(label + ",\"" + outcome.line() + "\",\n");
+            outcome.voidReasons().forEach(reason -> rows.append(label + ",\"void: " + reason + "\",\n"));
+            append(kept.resolve("run.csv"),
+                    "governors,changes,seed,change_rate,kill_rate,cut_seconds,figure,value\n",
+                    rows.toString());
+            if (outcome.verdict().everywhere().getTotalCount() > 0) {
+                Charts.tail(kept.resolve("run-" + governors + ".png"),
+                        "Time until a change was in force everywhere, "
+                                + governors + " governors",
+                        inMicros(outcome.verdict().everywhere()));
+            }
+        }
+
+        private static Histogram inMicros(Histogram millis) {
+            Histogram micros = new Histogram(3);
+            millis.recordedValues().forEach(
+                    step -> micros.recordValueWithCount(step.getValueIteratedTo() * 1_000,
+                            step.getCountAtValueIteratedTo()));
+            return micros;
+        }
+    }
+
+    private static void append(Path file, String header, String rows) throws IOException {
+        Files.writeString(file, (Files.exists(file) ? "" : header) + rows, StandardOpenOption.CREATE,
+                StandardOpenOption.APPEND);
+    }
 }
--- a/src/main/java/rockshift/kit/GovernorProcesses.java
+++ b/src/main/java/rockshift/kit/GovernorProcesses.java
@@ -105,7 +105,7 @@
     public void start(int member) throws IOException, InterruptedException {
         Path operator = write(member);
         ProcessBuilder builder =
-                GovernorProcess.command(folder.resolve("governor" + member + ".json"), List.of(),
+                ProgramCommand.serve(folder.resolve("governor" + member + ".json"), List.of(),
                         List.of("--operator", operator.toString()));
         int life = ++lives[member];
         ports[member] = 0;
--- a/src/main/java/rockshift/kit/ProcessUsage.java
+++ b/src/main/java/rockshift/kit/ProcessUsage.java
@@ -9,10 +9,13 @@
 
 /**
  * What a process has used so far, as the kernel counts it. Seconds of threads are by the thread's name, cut
- * by the kernel at 15 characters; threads that ended are in the process's seconds alone.
+ * by the kernel at 15
+ * characters; threads that ended are in the process's seconds alone. Bytes are those of all reads and
+ * writes, of files
+ * and sockets alike.
  */
 public record ProcessUsage(long takenNanos, double processorSeconds, Map<String, Double> secondsByThread,
-        double residentMegabytes, double peakMegabytes) {
+        double residentMegabytes, double peakMegabytes, long bytesRead, long bytesWritten) {
     /** The kernel's unit of processor time in these files. */
     private static final double TICKS_PER_SECOND = 100;
     private static final double KIB_PER_MEGABYTE = 1024;
@@ -33,7 +36,8 @@
             }
         }
         return new ProcessUsage(System.nanoTime(), seconds(Files.readString(process.resolve("stat"))),
-                threads(process.resolve("task")), resident, peak);
+                threads(process.resolve("task")), resident, peak, bytes(process, "rchar:"),
+                bytes(process, "wchar:"));
     }
 
     /** The share of one core between an earlier look and this one. */
@@ -76,6 +80,15 @@
         return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS])) / TICKS_PER_SECOND;
     }
 
+    private static long bytes(Path process, String name) throws IOException {
+        for (String line : Files.readAllLines(process.resolve("io"))) {
+            if (line.startsWith(name)) {
+                return Long.parseLong(line.substring(name.length()).trim());
+            }
+        }
+        return 0;
+    }
+
     private static double kibibytes(String line) {
         return Double.parseDouble(line.replaceAll("\\D", ""));
     }
--- a/src/main/java/rockshift/scale/FleetStandIn.java
+++ b/src/main/java/rockshift/scale/FleetStandIn.java
@@ -38,22 +38,22 @@
 
     /** One connection to the governor: a proxy by its number, or a collector with -1. */
     private static final class Party {
-        private final SocketChannel channel;
         private final int proxy;
         private final String zone;
-        private final RespCodec codec = new RespCodec();
+        private SocketChannel channel;
+        private RespCodec codec;
         private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
         private int waitingBytes;
         private boolean hasTable;
 
-        Party(SocketChannel channel, int proxy, String zone) {
-            this.channel = channel;
+        Party(int proxy, String zone) {
             this.proxy = proxy;
             this.zone = zone;
         }
     }
 
     private final FleetShape shape;
+    private final InetSocketAddress governor;
     private final SplittableRandom random;
     private final Selector selector = Selector.open();
     private final List<Party> proxies = new ArrayList<>();
@@ -75,32 +75,42 @@
 
     public FleetStandIn(FleetShape shape, int port, long seed) throws IOException {
         this.shape = shape;
+        governor = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         random = new SplittableRandom(seed);
         List<String> zones = shape.zoneNames();
         for (String zone : zones) {
-            Party collector = connect(port, -1, zone);
-            collectors.add(collector);
-            send(collector, "collector az " + zone);
+            collectors.add(new Party(-1, zone));
         }
-        double share = (double) shape.replicas() * TRIES * 1_000 / REPORT_MILLIS / shape.proxies();
         for (int i = 0; i < shape.proxies(); i++) {
-            Party proxy = connect(port, i, zones.get(i % zones.size()));
-            proxies.add(proxy);
-            send(proxy, String.format(Locale.ROOT, "joined sidecar %d az %s share %.1f standing 1", i,
-                    proxy.zone, share));
+            proxies.add(new Party(i, zones.get(i % zones.size())));
+        }
+        for (Party party : collectors) {
+            connect(party);
+        }
+        for (Party party : proxies) {
+            connect(party);
         }
         thread.setDaemon(true);
         thread.start();
     }
 
-    private Party connect(int port, int proxy, String zone) throws IOException {
-        SocketChannel channel =
-                SocketChannel.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        channel.configureBlocking(false);
-        Party party = new Party(channel, proxy, zone);
-        channel.register(selector, SelectionKey.OP_READ, party);
-        return party;
+    /** Dials, also again where the governor ended a connection, and says who it is. */
+    private void connect(Party party) throws IOException {
+        party.channel = SocketChannel.open(governor);
+        party.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+        party.channel.configureBlocking(false);
+        party.channel.register(selector, SelectionKey.OP_READ, party);
+        party.codec = new RespCodec();
+        party.waiting.clear();
+        party.waitingBytes = 0;
+        if (party.proxy < 0) {
+            send(party, "collector az " + party.zone);
+        } else {
+            double share = (double) shape.replicas() * TRIES * 1_000 / REPORT_MILLIS / shape.proxies();
+            send(party,
+                    String.format(Locale.ROOT, "joined sidecar %d az %s share %.1f standing 1", party.proxy,
+                            party.zone, share));
+        }
     }
 
     public Traffic traffic() {
@@ -147,19 +157,26 @@
         }
     }
 
-    private void readAll() {
-        for (SelectionKey key : selector.selectedKeys()) {
+    private void readAll() throws IOException {
+        for (SelectionKey key : List.copyOf(selector.selectedKeys())) {
             Party party = (Party) key.attachment();
             try {
                 read(party);
             } catch (IOException | RespCodec.Broken | RespCodec.Spoilt ended) {
-                lost.incrementAndGet();
-                key.cancel();
+                again(party);
             }
         }
         selector.selectedKeys().clear();
     }
 
+    private void again(Party party) throws IOException {
+        lost.incrementAndGet();
+        party.channel.close();
+        if (!closed) {
+            connect(party);
+        }
+    }
+
     private void read(Party party) throws IOException, RespCodec.Broken, RespCodec.Spoilt {
         piece.clear();
         int count = party.channel.read(piece);
@@ -207,18 +224,19 @@
     }
 
     private void send(Party party, String words) {
-        if (party.waitingBytes > MOST_WAITING) {
+        byte[] message = RespCodec.message(List.of(words.split(" ")));
+        if (party.waitingBytes + message.length <= MOST_WAITING) {
+            messagesIn.incrementAndGet();
+            party.waiting.add(ByteBuffer.wrap(message));
+            party.waitingBytes += message.length;
+        } else {
             dropped.incrementAndGet();
-            return;
         }
-        byte[] message = RespCodec.message(List.of(words.split(" ")));
-        messagesIn.incrementAndGet();
-        party.waiting.add(ByteBuffer.wrap(message));
-        party.waitingBytes += message.length;
         try {
             flush(party);
         } catch (IOException ended) {
             party.waiting.clear();
+            party.waitingBytes = 0;
         }
     }
 
--- /dev/null
+++ b/src/main/java/rockshift/scale/GovernorInRegion.java
@@ -0,0 +1,72 @@
+package rockshift.scale;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import rockshift.distribution.Revision;
+import rockshift.distribution.Scope;
+import rockshift.kit.DiscoveryStandIn;
+import rockshift.kit.ProgramCommand;
+import rockshift.kit.LoggedProcess;
+
+/**
+ * A real governor as a process of its own that subscribes at a region's relays for everything; its log tells
+ * what is in force.
+ */
+final class GovernorInRegion implements AutoCloseable {
+    private static final FleetShape SHAPE = new FleetShape(36, 2, 16, 3);
+    private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
+    private static final Pattern IN_FORCE = Pattern.compile("agreed revision ([0-9a-f]+)/(\\d+):");
+
+    private final String name;
+    private final ScaleChecker checker;
+    private final DiscoveryStandIn discovery = new DiscoveryStandIn(SHAPE.replicas(), SHAPE.zoneNames());
+    private final LoggedProcess process;
+
+    GovernorInRegion(String name, Path folder, List<InetSocketAddress> upstreams, ScaleChecker checker)
+            throws IOException, InterruptedException {
+        this.name = name;
+        this.checker = checker;
+        StringBuilder text = new StringBuilder("distribution {\n  name = \"" + name + "\"\n");
+        for (int i = 0; i < upstreams.size(); i++) {
+            text.append("  upstream \"r" + i + "\" { address = \"127.0.0.1:" + upstreams.get(i).getPort()
+                    + "\" }\n");
+        }
+        Path operator =
+                Files.writeString(folder.resolve(name + ".hcl"),
+                        text.append("  scope { everything = true }\n}\n"));
+        Path configuration = Files.writeString(folder.resolve(name + ".json"),
+                SHAPE.configuration(discovery.port(), discovery.list()));
+        checker.saw(new Observation.Started(HollowGovernor.now(), name, Scope.all()));
+        process = new LoggedProcess(ProgramCommand.serve(configuration, List.of(),
+                List.of("--operator", operator.toString())), PORT, this::line);
+        process.awaitPort();
+    }
+
+    private void line(String line) {
+        Matcher inForce = IN_FORCE.matcher(line);
+        if (inForce.find()) {
+            checker.saw(new Observation.Logged(HollowGovernor.now(), name,
+                    new Revision(Long.parseUnsignedLong(inForce.group(1), 16),
+                            Long.parseLong(inForce.group(2)))));
+        }
+    }
+
+    String name() {
+        return name;
+    }
+
+    long pid() {
+        return process.pid();
+    }
+
+    @Override
+    public void close() throws IOException {
+        process.close();
+        discovery.close();
+    }
+}
--- a/src/main/java/rockshift/scale/GovernorRun.java
+++ b/src/main/java/rockshift/scale/GovernorRun.java
@@ -1,19 +1,16 @@
 package rockshift.scale;
 
-import java.io.BufferedReader;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import rockshift.kit.DiscoveryStandIn;
-import rockshift.kit.GovernorProcess;
+import rockshift.kit.ProgramCommand;
+import rockshift.kit.LoggedProcess;
 import rockshift.kit.ProcessUsage;
 
 /**
@@ -26,7 +23,6 @@
     /** What the collector's log says after each collection: heap before, heap after, heap committed. */
     private static final Pattern COLLECTION = Pattern.compile("(\\d+)M->(\\d+)M\\((\\d+)M\\)");
     private static final String FOLDER_PREFIX = "rockshift-scale";
-    private static final int START_SECONDS = 30;
     /** Ms that a rig's round of reports may be late before the run counts for nothing: two rounds. */
     private static final long RIG_LATE_MILLIS = 100;
 
@@ -37,8 +33,7 @@
     private final Path folder;
     private final boolean watchHeap;
     private final DiscoveryStandIn discovery;
-    private final Process governor;
-    private final CompletableFuture<Integer> port = new CompletableFuture<>();
+    private final LoggedProcess governor;
     private final Thread atEnd;
 
     private GovernorRun(FleetShape shape, Path folder, boolean watchHeap) throws IOException {
@@ -49,12 +44,9 @@
         Path file = Files.writeString(folder.resolve("governor.json"),
                 shape.configuration(discovery.port(), discovery.list()));
         List<String> options = watchHeap ? List.of("-Xlog:gc:file=" + folder.resolve("gc.log")) : List.of();
-        governor = GovernorProcess.command(file, options, List.of()).start();
+        governor = new LoggedProcess(ProgramCommand.serve(file, options, List.of()), PORT, line -> {});
         atEnd = new Thread(this::end);
         Runtime.getRuntime().addShutdownHook(atEnd);
-        Thread reader = new Thread(this::readLog, "governor's log");
-        reader.setDaemon(true);
-        reader.start();
     }
 
     /**
@@ -73,28 +65,14 @@
 
     /** Ends the process and leaves nothing behind; also run when this program is ended. */
     private void end() {
-        governor.destroyForcibly().onExit().join();
+        governor.close();
         for (String file : List.of("governor.json", "gc.log", "")) {
             folder.resolve(file).toFile().delete();
         }
     }
 
-    private void readLog() {
-        try (BufferedReader lines = governor.inputReader()) {
-            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                Matcher serves = PORT.matcher(line);
-                if (serves.find()) {
-                    port.complete(Integer.parseInt(serves.group(1)));
-                }
-            }
-        } catch (IOException killed) {
-            // The run is over.
-        }
-        port.completeExceptionally(new IOException("the governor ended as it started"));
-    }
-
     private GovernorSample measure(int run, Times times) throws IOException, InterruptedException {
-        try (FleetStandIn fleet = new FleetStandIn(shape, awaitPort(), run)) {
+        try (FleetStandIn fleet = new FleetStandIn(shape, governor.awaitPort(), run)) {
             double tables = awaitTables(fleet, times.tables());
             TimeUnit.MILLISECONDS.sleep(times.settle());
             long lateBefore = fleet.latestMillis();
@@ -122,14 +100,6 @@
         }
     }
 
-    private int awaitPort() throws IOException, InterruptedException {
-        try {
-            return port.get(START_SECONDS, TimeUnit.SECONDS);
-        } catch (ExecutionException | TimeoutException failure) {
-            throw new IOException("the governor does not serve: " + failure.getMessage(), failure);
-        }
-    }
-
     /** Seconds until all proxies had a table, or NaN where the wait was over before. */
     private double awaitTables(FleetStandIn fleet, long millis) throws InterruptedException {
         long began = System.nanoTime();
--- /dev/null
+++ b/src/main/java/rockshift/scale/HollowGovernor.java
@@ -0,0 +1,102 @@
+package rockshift.scale;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.function.UnaryOperator;
+import rockshift.cluster.DistributionClient;
+import rockshift.cluster.DistributionListener;
+import rockshift.cluster.DistributionReactor;
+import rockshift.distribution.Item;
+import rockshift.distribution.Limits;
+import rockshift.distribution.Revision;
+import rockshift.distribution.Scope;
+import rockshift.distribution.Update;
+
+/**
+ * A governor without a solve: the client of a real one with its own name, socket and scope. All that it is
+ * told is in force at
+ * once and handed to the checker.
+ */
+final class HollowGovernor implements DistributionListener, AutoCloseable {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    private final String name;
+    private final Scope scope;
+    private final List<InetSocketAddress> upstreams;
+    private final DistributionReactor reactor;
+    private final ScaleChecker checker;
+    /** Items that many hold are kept once. */
+    private final UnaryOperator<Item> shared;
+    private final SplittableRandom random;
+    private DistributionClient client;
+
+    HollowGovernor(String name, Scope scope, List<InetSocketAddress> upstreams, DistributionReactor reactor,
+            ScaleChecker checker, UnaryOperator<Item> shared, long seed) {
+        this.name = name;
+        this.scope = scope;
+        this.upstreams = upstreams;
+        this.reactor = reactor;
+        this.checker = checker;
+        this.shared = shared;
+        random = new SplittableRandom(seed);
+    }
+
+    /** The clock of a run, in ms. */
+    static long now() {
+        return System.nanoTime() / NANOS_PER_MILLI;
+    }
+
+    String name() {
+        return name;
+    }
+
+    /** Begins a life that holds nothing. */
+    synchronized void start() {
+        checker.saw(new Observation.Started(now(), name, scope));
+        client = new DistributionClient(reactor, name, upstreams, scope, Limits.standard(), random.split(),
+                this);
+        client.start();
+    }
+
+    /** Ends as a killed process does: nothing is said but by the end of the connection. */
+    synchronized void kill() {
+        client.close();
+        checker.saw(new Observation.Ended(now(), name));
+    }
+
+    synchronized boolean holdsSomething() {
+        return !client.held().isNone();
+    }
+
+    /** Hands the checker how old what is held may be, as the client tells it. */
+    synchronized void tellAge() {
+        if (holdsSomething()) {
+            long at = now();
+            checker.saw(new Observation.AgeTold(at, name, client.ageMillis()));
+        }
+    }
+
+    @Override
+    public void snapshot(Revision revision, List<Item> items, Runnable inForce) {
+        checker.saw(
+                new Observation.SnapshotTaken(now(), name, revision, items.stream().map(shared).toList()));
+        inForce.run();
+    }
+
+    @Override
+    public void difference(Revision revision, List<Update> updates, Runnable inForce) {
+        checker.saw(new Observation.DifferenceTaken(now(), name, revision, updates));
+        inForce.run();
+    }
+
+    @Override
+    public void advanced(Revision revision) {
+        checker.saw(new Observation.Advanced(now(), name, revision));
+    }
+
+    @Override
+    public synchronized void close() {
+        client.close();
+    }
+}
--- a/src/main/java/rockshift/scale/Observation.java
+++ b/src/main/java/rockshift/scale/Observation.java
@@ -37,6 +37,9 @@
     /** A governor learned that what it holds stands unchanged at a later revision. */
     record Advanced(long atMillis, String governor, Revision to) implements OfGovernor {}
 
+    /** A governor of its own process logged what revision is in force; what it holds there is not seen. */
+    record Logged(long atMillis, String governor, Revision revision) implements OfGovernor {}
+
     /** A governor was asked how old what it holds may be at most. */
     record AgeTold(long atMillis, String governor, long ageMillis) implements OfGovernor {}
 
--- /dev/null
+++ b/src/main/java/rockshift/scale/Region.java
@@ -0,0 +1,100 @@
+package rockshift.scale;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.Pattern;
+import rockshift.kit.ProgramCommand;
+import rockshift.kit.LoggedProcess;
+import rockshift.kit.Relay;
+
+/**
+ * The relays of a region as processes, with ways to the members that can be cut; all of the region's
+ * governors use both.
+ */
+final class Region implements AutoCloseable {
+    static final int RELAYS = 2;
+    private static final Pattern PORT = Pattern.compile("listens on .*, port (\\d+)");
+
+    private final String name;
+    private final Path folder;
+    private final List<Relay> ways = new ArrayList<>();
+    private final int[] ports = new int[RELAYS];
+    private final LoggedProcess[] relays = new LoggedProcess[RELAYS];
+
+    Region(String name, Path folder, List<Integer> memberPorts, long seed) throws IOException {
+        this.name = name;
+        this.folder = folder;
+        for (int port : memberPorts) {
+            Relay way = new Relay(seed + port);
+            way.to(port);
+            ways.add(way);
+        }
+        for (int i = 0; i < RELAYS; i++) {
+            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                ports[i] = free.getLocalPort();
+            }
+        }
+    }
+
+    /** Starts a relay at the port that it always has; {@link #awaitRelay} waits until it serves. */
+    void startRelay(int number) throws IOException {
+        StringBuilder text =
+                new StringBuilder("distribution {\n  name = \"" + name + "-relay-" + number + "\"\n");
+        for (int i = 0; i < ways.size(); i++) {
+            // Each relay prefers another member, so that members share them.
+            int member = (i + number + Math.abs(name.hashCode())) % ways.size();
+            text.append(
+                    "  upstream \"n" + member + "\" { address = \"" + ways.get(member).address() + "\" }\n");
+        }
+        text.append("  scope { everything = true }\n  relay { listen = \"127.0.0.1:" + ports[number]
+                + "\" }\n}\n");
+        Path file = Files.writeString(folder.resolve(name + "-relay-" + number + ".hcl"), text);
+        relays[number] = new LoggedProcess(
+                ProgramCommand.command(List.of(), List.of("relay", "--operator", file.toString())), PORT,
+                line -> {});
+    }
+
+    void awaitRelay(int number) throws IOException, InterruptedException {
+        relays[number].awaitPort();
+    }
+
+    void killRelay(int number) {
+        relays[number].close();
+    }
+
+    long pid(int number) {
+        return relays[number].pid();
+    }
+
+    /** Cuts the region off from all members, both ways and silently, or heals it. */
+    void cut(boolean now) {
+        ways.forEach(way -> way.cut(now));
+    }
+
+    /** The relays, another one first for every other governor. */
+    List<InetSocketAddress> upstreams(int governor) {
+        List<InetSocketAddress> all = new ArrayList<>();
+        for (int i = 0; i < RELAYS; i++) {
+            all.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[(governor + i) % RELAYS]));
+        }
+        return all;
+    }
+
+    @Override
+    public void close() throws IOException {
+        for (LoggedProcess relay : relays) {
+            if (relay != null) {
+                relay.close();
+            }
+        }
+        for (Relay way : ways) {
+            way.close();
+        }
+    }
+}
--- a/src/main/java/rockshift/scale/ScaleChecker.java
+++ b/src/main/java/rockshift/scale/ScaleChecker.java
@@ -3,8 +3,10 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import rockshift.distribution.Item;
@@ -14,8 +16,10 @@
 
 /**
  * Judges what a run of many governors saw. The truth is the changes that members agreed, in the order of
- * their revisions; all that governors took is compared with it. Observations of one governor come in their
- * order; all else may come in any. It does no I/O, reads no clock and takes part in nothing.
+ * their revisions; all
+ * that governors took is compared with it. Observations of one governor come in their order; all else may
+ * come in any.
+ * It does no I/O, reads no clock and takes part in nothing.
  */
 public final class ScaleChecker {
     /** Ms after a cut within which a governor is to be up to date again. */
@@ -74,6 +78,12 @@
         return last;
     }
 
+    /** The last revision that was asked for before a time; 0 if there is none. */
+    private long revisionAt(long atMillis) {
+        return agreed.values().stream().filter(change -> change.atMillis() <= atMillis)
+                .mapToLong(change -> change.update().revision()).max().orElse(0);
+    }
+
     /** One governor from its start to its end, and anew at each start. */
     private final class Life {
         private final String name;
@@ -82,6 +92,8 @@
         private long startedAt;
         private boolean running;
         private boolean cut;
+        /** Keys that one difference brought so far. */
+        private final Set<String> brought = new HashSet<>();
         private long healedAt = Long.MIN_VALUE;
         /** The newest change before the cut ended; 0 when the governor has it, or no cut ended. */
         private long owedAfterHeal;
@@ -115,6 +127,8 @@
                 difference(difference);
             } else if (seen instanceof Observation.Advanced advanced) {
                 advanced(advanced);
+            } else if (seen instanceof Observation.Logged logged) {
+                logged(logged);
             } else if (seen instanceof Observation.AgeTold told) {
                 age(told);
             } else if (seen instanceof Observation.CutOff) {
@@ -146,9 +160,9 @@
             snapshot.items().forEach(item -> items.put(item.key(), item));
             truth(snapshot.revision().number()).forEach((key, update) -> {
                 Item item = items.remove(key);
-                boolean owed = scope.matches(update) && !update.deleted();
+                boolean owed = isOurs(update);
                 if (owed && !update.item().equals(item)) {
-                    lose(update.revision(), "the snapshot at " + snapshot.revision());
+                    lose(update, "the snapshot at " + snapshot.revision());
                 } else if (!owed && item != null) {
                     disorder("the snapshot at " + snapshot.revision() + " holds " + item);
                 }
@@ -165,15 +179,18 @@
                 disorder("a difference to " + difference.to() + " after " + held);
                 return;
             }
-            Map<String, Update> owed =
-                    latest(agreed.subMap(held.number(), false, difference.to().number(), true).values());
-            owed.values().removeIf(update -> !scope.matches(update));
+            Map<String, Update> owed = owed(difference.to().number());
+            Map<String, Update> changed = changed(difference.to().number());
             for (Update update : difference.updates()) {
-                if (!update.equals(owed.remove(update.item().key()))) {
+                Update truth = changed.get(update.item().key());
+                boolean right = truth != null && (isOurs(truth) ? update.equals(truth) : update.deleted());
+                if (!right || !brought.add(update.item().key())) {
                     disorder("a difference to " + difference.to() + " after " + held + " brings " + update);
                 }
+                owed.remove(update.item().key());
             }
-            owed.values().forEach(update -> lose(update.revision(), "the difference to " + difference.to()));
+            brought.clear();
+            owed.values().forEach(update -> lose(update, "the difference to " + difference.to()));
             reach(difference.to(), difference.atMillis());
         }
 
@@ -182,12 +199,39 @@
                 disorder("advanced to " + advanced.to() + " after " + held);
                 return;
             }
-            agreed.subMap(held.number(), false, advanced.to().number(), true).values().stream()
-                    .filter(change -> scope.matches(change.update()))
-                    .forEach(change -> lose(change.update().revision(), "advanced to " + advanced.to()));
+            owed(advanced.to().number()).values()
+                    .forEach(update -> lose(update, "advanced to " + advanced.to()));
             reach(advanced.to(), advanced.atMillis());
         }
 
+        /** The last change of each key since what is held, up to a revision. */
+        private Map<String, Update> changed(long to) {
+            return latest(agreed.subMap(held.number(), false, Math.max(held.number(), to), true).values());
+        }
+
+        /**
+         * Those of them that matter here: an item that is to be held, or one that was and is to be held no
+         * more.
+         */
+        private Map<String, Update> owed(long to) {
+            Map<String, Update> owed = changed(to);
+            Map<String, Update> before = owed.isEmpty() ? Map.of() : truth(held.number());
+            owed.values().removeIf(update -> !isOurs(update) && !isOurs(before.get(update.item().key())));
+            return owed;
+        }
+
+        private boolean isOurs(Update update) {
+            return update != null && !update.deleted() && scope.matches(update);
+        }
+
+        private void logged(Observation.Logged logged) {
+            if (logged.revision().number() < held.number()) {
+                disorder("logged " + logged.revision() + " after " + held);
+            } else {
+                reach(logged.revision(), logged.atMillis());
+            }
+        }
+
         /**
          * What is held now; changes asked for while this life ran outside a cut count for how long they took.
          */
@@ -234,15 +278,14 @@
                 lost++;
                 example(name + " holds nothing at the end");
             }
-            agreed.tailMap(held.number(), false).values().stream()
-                    .filter(change -> change.atMillis() <= due && scope.matches(change.update())
-                            && !held.isNone())
-                    .forEach(change -> lose(change.update().revision(), "what is held at the end"));
+            if (!held.isNone()) {
+                owed(revisionAt(due)).values().forEach(update -> lose(update, "what is held at the end"));
+            }
         }
 
-        private void lose(long revision, String where) {
+        private void lose(Update update, String where) {
             lost++;
-            example(name + ": " + where + " is without " + revision);
+            example(name + ", which holds " + held + ": " + where + " is without " + update);
         }
 
         private void disorder(String what) {
--- /dev/null
+++ b/src/test/java/rockshift/scale/ScaleRunTest.java
@@ -0,0 +1,25 @@
+package rockshift.scale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+
+/** The short form of a run: members, relays, one real and some hollow governors, and every fault once. */
+class ScaleRunTest {
+    @Test
+    void nothingIsLostDisorderedOrStale() throws Exception {
+        Scenario scenario = new Scenario(24, 1, 24, 3, 150, 3_000, 4_000, 0);
+        try (ScaleRun run = new ScaleRun(scenario, System.err::println)) {
+            ScaleRun.Outcome outcome = run.run();
+            ScaleVerdict verdict = outcome.verdict();
+            assertThat(verdict.examples()).isEmpty();
+            assertThat(verdict.lost()).isZero();
+            assertThat(verdict.disordered()).isZero();
+            assertThat(verdict.stale()).isZero();
+            assertThat(verdict.governors()).isEqualTo(25);
+            assertThat(verdict.changes()).isEqualTo(24);
+            assertThat(outcome.line())
+                    .startsWith("scale: 25 governors, 24 changes, in force everywhere p50 ");
+        }
+    }
+}
