--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -24,4 +24,30 @@
 
   snapshot_after = 10000 # entries between snapshots
   snapshot_bytes = "4MB" # or so many bytes of them in memory
+
+  subscribers = 1024     # relays and governors that may subscribe here at a time
 }
+
+# A relay, `rockshift relay --operator FILE`, reads what is agreed from members and serves governors that are no members.
+# docs/on-call-distribution.md tells what to set and what to do.
+# distribution {
+#   name = "relay-a1"                              # its own, as each governor has its own
+#   upstream "n1" { address = "127.0.0.1:7101" }   # members; the next is tried when one fails
+#   upstream "n2" { address = "127.0.0.1:7102" }
+#   # scope { zones = ["hall-a", "hall-b"] }       # everything, if left out
+#   relay {
+#     listen      = "127.0.0.1:7201"               # governors connect here
+#     subscribers = 1024
+#   }
+# }
+
+# A governor that is no member, `rockshift serve --operator FILE`: no block cluster, and
+# distribution {
+#   name = "governor-17"
+#   upstream "a1" { address = "127.0.0.1:7201" }   # relays
+#   upstream "a2" { address = "127.0.0.1:7202" }
+#   scope {
+#     services = ["shop"]                          # every service, if left out
+#     zones    = ["hall-a", "hall-b"]              # each zone whose replicas it may use; every one, if left out
+#   }
+# }
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -202,11 +202,16 @@
         }
     }
 
-    private void publish(long fresh) {
+    /** Has subscribers told of what changed; nothing else may come between a change and this. */
+    private void flush() {
         if (changed) {
             changed = false;
             publisher.published(now());
         }
+    }
+
+    private void publish(long fresh) {
+        flush();
         if (fresh != Long.MIN_VALUE) {
             publisher.freshAt(fresh);
         }
@@ -224,7 +229,10 @@
 
     @Override
     public void execute(Runnable step) {
-        steps.add(step);
+        steps.add(() -> {
+            flush();
+            step.run();
+        });
     }
 
     @Override
--- /dev/null
+++ b/src/test/java/rockshift/cluster/DistributionFramesTest.java
@@ -0,0 +1,362 @@
+package rockshift.cluster;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.BufferedInputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import rockshift.distribution.DistributionMessage;
+import rockshift.distribution.DistributionMessage.Acknowledge;
+import rockshift.distribution.DistributionMessage.Difference;
+import rockshift.distribution.DistributionMessage.Heartbeat;
+import rockshift.distribution.DistributionMessage.Rejected;
+import rockshift.distribution.DistributionMessage.SnapshotPart;
+import rockshift.distribution.DistributionMessage.Subscribe;
+import rockshift.distribution.Item;
+import rockshift.distribution.Limits;
+import rockshift.distribution.RejectionReason;
+import rockshift.distribution.Revision;
+import rockshift.distribution.Scope;
+import rockshift.distribution.Summary;
+import rockshift.distribution.Update;
+import rockshift.operator.Section;
+
+/**
+ * What is spoilt, cut, oversized, repeated or out of order ends its own connection with a reason; all others
+ * go on.
+ */
+class DistributionFramesTest extends ClusterFixture {
+    private static final Revision FIRST = new Revision(7, 1);
+    private static final Item ITEM = new Item("out/s-1", "", "hall-a", "{}".getBytes(StandardCharsets.UTF_8));
+
+    private final DistributionReactor reactor = new DistributionReactor();
+    private RelayProcess relay;
+    private DistributionClient good;
+    private final Taken taken = new Taken();
+
+    /** A listener that remembers what it was told. */
+    private static final class Taken implements DistributionListener {
+        volatile int deliveries;
+
+        @Override
+        public void snapshot(Revision revision, List<Item> items, Runnable inForce) {
+            deliveries++;
+            inForce.run();
+        }
+
+        @Override
+        public void difference(Revision revision, List<Update> updates, Runnable inForce) {
+            deliveries++;
+            inForce.run();
+        }
+    }
+
+    @BeforeEach
+    void startOneMemberAndARelay() throws Exception {
+        start(0, 1);
+        until(() -> leader() == 0);
+        Limits limits = Limits.standard();
+        relay = new RelayProcess(
+                new DistributionSettings("r", Map.of("n0", Section.socket(fronts[0].address())), Scope.all(),
+                        new DistributionSettings.RelaySettings(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100),
+                        limits),
+                reactor, new SplittableRandom(1));
+        relay.start();
+        until(() -> !relay.held().isNone());
+        good = client("good", "127.0.0.1:" + relay.port(), taken);
+        until(() -> good.subscribed());
+    }
+
+    @AfterEach
+    void stopRelay() throws Exception {
+        relay.close();
+        reactor.close();
+    }
+
+    private DistributionClient client(String name, String upstream, DistributionListener listener) {
+        DistributionClient client =
+                new DistributionClient(reactor, name, List.of(Section.socket(upstream)), Scope.all(),
+                        Limits.standard(), new SplittableRandom(3), listener);
+        client.start();
+        return client;
+    }
+
+    private long agreeHold(String replica) throws Exception {
+        try (Client client = client(0)) {
+            return client.change(ClusterFixture.hold(replica), true, soon()).path("answer").path("version")
+                    .asLong();
+        }
+    }
+
+    private void goodGoesOn(String replica) throws Exception {
+        long version = agreeHold(replica);
+        until(() -> good.held().number() >= version);
+        assertThat(good.rejections()).as("nobody else notices").isEmpty();
+        assertThat(good.subscribed()).isTrue();
+    }
+
+    /** A subscriber that says what a story has it say. */
+    private final class Raw implements AutoCloseable {
+        final Socket socket;
+        final DataInputStream in;
+
+        Raw(int port) throws IOException {
+            socket = new Socket(InetAddress.getLoopbackAddress(), port);
+            socket.setSoTimeout(LONG);
+            in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+        }
+
+        Raw say(byte[] bytes) throws IOException {
+            socket.getOutputStream().write(bytes);
+            return this;
+        }
+
+        Raw say(DistributionMessage... messages) throws IOException {
+            for (DistributionMessage message : messages) {
+                say(frame(message));
+            }
+            return this;
+        }
+
+        /** The refusal that it is told before the end, or null if it is told none. */
+        Rejected refusal() {
+            try {
+                while (true) {
+                    if (DistributionCodec.read(Frames.read(in).payload()) instanceof Rejected rejected) {
+                        return rejected;
+                    }
+                }
+            } catch (IOException ended) {
+                return null;
+            }
+        }
+
+        @Override
+        public void close() throws IOException {
+            socket.close();
+        }
+    }
+
+    private static byte[] frame(DistributionMessage message) throws IOException {
+        return Frames.frame(Frames.WATCH, DistributionCodec.write(message));
+    }
+
+    private static byte[] garbled(DistributionMessage message) throws IOException {
+        byte[] frame = frame(message);
+        frame[frame.length - 1] ^= 1;
+        return frame;
+    }
+
+    private static Subscribe subscribe(String name, Revision held) {
+        return new Subscribe(name, 1, Scope.all(), held, 0);
+    }
+
+    private interface Said {
+        void by(Raw raw) throws Exception;
+    }
+
+    @Test
+    void aSubscriberThatSpeaksWrongIsEndedWithAReasonAlone() throws Exception {
+        Revision here = new Revision(good.held().cluster(), 0);
+        Subscribe right = subscribe("raw", Revision.NONE);
+        Map<String, Said> stories = new LinkedHashMap<>();
+        stories.put("garbled", raw -> raw.say(garbled(right)));
+        stories.put("too-long", raw -> raw.say(new byte[] {0x7f, 0, 0, 0, 0, 0, 0, 0, 5}));
+        stories.put("unexpected", raw -> raw.say(Frames.frame(Frames.HELLO, new byte[3])));
+        stories.put("malformed field message",
+                raw -> raw.say(Frames.frame(Frames.WATCH, new byte[] {1, 2, 3})));
+        stories.put("malformed a publisher takes no Heartbeat",
+                raw -> raw.say(new Heartbeat(1, here, 0, 0, 0)));
+        stories.put("out-of-order acknowledge before subscribe", raw -> raw.say(
+                new Acknowledge(1, here, 0, new Summary(0, 1, 0, 0, 0), 0)));
+        stories.put("out-of-order scopeEpoch: 1 after 1", raw -> raw.say(right, right));
+        stories.put("empty-scope scope",
+                raw -> raw.say(new Subscribe("raw", 1, Scope.of(Set.of(), Set.of()), here, 0)));
+        stories.put("future-revision held",
+                raw -> raw.say(subscribe("raw", new Revision(here.cluster(), 99))));
+        stories.put("other-cluster held",
+                raw -> raw.say(subscribe("raw", new Revision(here.cluster() + 1, 1))));
+        stories.put("left", raw -> {
+            raw.socket.getOutputStream().write(frame(right), 0, 7);
+            raw.close();
+        });
+        stories.put("silent", raw -> {});
+        int number = 0;
+        for (Map.Entry<String, Said> story : stories.entrySet()) {
+            String code = story.getKey().split(" ", 2)[0];
+            String place = story.getKey().contains(" ") ? story.getKey().split(" ", 2)[1] : null;
+            long before = relay.endings().getOrDefault(code, 0L);
+            try (Raw raw = new Raw(relay.port())) {
+                story.getValue().by(raw);
+                if (place != null) {
+                    Rejected refusal = raw.refusal();
+                    assertThat(refusal).as(story.getKey()).isNotNull();
+                    assertThat(refusal.reason().code()).as(story.getKey()).isEqualTo(code);
+                    assertThat(refusal.place()).startsWith(place);
+                }
+                until(() -> relay.endings().getOrDefault(code, 0L) > before);
+            }
+            goodGoesOn("s-" + number++);
+        }
+    }
+
+    @Test
+    void aSubscriberThatStopsReadingIsEndedAndTheOthersGoOn() throws Exception {
+        try (Raw raw = new Raw(relay.port())) {
+            raw.say(subscribe("raw", Revision.NONE));
+            until(() -> relay.connections() == 2);
+            long begun = System.nanoTime();
+            for (int i = 0; relay.endings().getOrDefault("silent", 0L) == 0; i++) {
+                long asked = System.nanoTime();
+                goodGoesOn("s-" + i);
+                assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked)).as("nobody waits")
+                        .isLessThan(1_000);
+            }
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun)).isLessThan(2_500);
+            until(() -> relay.connections() == 1);
+        }
+    }
+
+    /** A publisher that answers each subscription alike. */
+    private static final class Scripted implements AutoCloseable {
+        final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        volatile List<byte[]> answers;
+
+        Scripted(byte[]... answers) throws IOException {
+            this.answers = List.of(answers);
+            Thread thread = new Thread(this::serve, "scripted");
+            thread.setDaemon(true);
+            thread.start();
+        }
+
+        private void serve() {
+            while (!listener.isClosed()) {
+                try (Socket socket = listener.accept()) {
+                    DataInputStream in =
+                            new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+                    Frames.read(in);
+                    for (byte[] answer : answers) {
+                        socket.getOutputStream().write(answer);
+                    }
+                    while (true) {
+                        Frames.read(in);
+                    }
+                } catch (IOException ended) {
+                    // The client left; it comes again.
+                }
+            }
+        }
+
+        @Override
+        public void close() throws IOException {
+            listener.close();
+        }
+    }
+
+    private static SnapshotPart part(int part, int parts, long digest, Item item) {
+        return new SnapshotPart(1, FIRST, part, parts, digest, List.of(item));
+    }
+
+    @Test
+    void whatAPublisherSaysWrongIsRefusedWholeAndTheClientComesAgain() throws Exception {
+        long digest = ITEM.digest();
+        Item spoilt = new Item(ITEM.key(), "", "hall-a", new byte[70_000]);
+        Map<String, List<byte[]>> stories = new LinkedHashMap<>();
+        stories.put("malformed", List.of(Frames.frame(Frames.WATCH, new byte[] {(byte) 0x9f, 3, 1})));
+        stories.put("out-of-order",
+                List.of(frame(new Difference(1, FIRST, new Revision(7, 2), 0, List.of()))));
+        stories.put("out-of-order part", List.of(frame(part(1, 2, digest, ITEM))));
+        stories.put("out-of-order again",
+                List.of(frame(part(0, 2, digest, ITEM)), frame(part(0, 2, digest, ITEM))));
+        stories.put("digest-mismatch", List.of(frame(part(0, 1, digest + 1, ITEM))));
+        stories.put("malformed Subscribe", List.of(frame(subscribe("x", FIRST))));
+        stories.put("malformed item", List.of(frame(part(0, 1, 0, spoilt))));
+        stories.put("malformed epoch",
+                List.of(frame(new SnapshotPart(2, FIRST, 0, 1, digest, List.of(ITEM)))));
+        List<DistributionClient> clients = new ArrayList<>();
+        for (Map.Entry<String, List<byte[]>> story : stories.entrySet()) {
+            RejectionReason reason = RejectionReason.byCode(story.getKey().split(" ")[0]);
+            Taken listener = new Taken();
+            try (Scripted publisher = new Scripted()) {
+                publisher.answers = story.getValue();
+                DistributionClient client =
+                        client("c-" + clients.size(), "127.0.0.1:" + publisher.listener.getLocalPort(),
+                                listener);
+                clients.add(client);
+                until(() -> client.rejections().getOrDefault(reason, 0L) > 0);
+                assertThat(client.held()).as(story.getKey()).isEqualTo(Revision.NONE);
+                assertThat(listener.deliveries).isZero();
+                publisher.answers = List.of(frame(part(0, 1, digest, ITEM)));
+                until(() -> listener.deliveries == 1);
+                assertThat(client.held()).isEqualTo(FIRST);
+                client.close();
+            }
+        }
+        goodGoesOn("s-1");
+    }
+
+    @Test
+    void framesThatAreGarbledOrTooLongEndTheConnectionUpstream() throws Exception {
+        for (byte[] spoilt : List.of(garbled(part(0, 1, 0, ITEM)), new byte[] {0x7f, 0, 0, 0, 0, 0, 0, 0, 5},
+                Frames.frame(Frames.REPLY, new byte[2]))) {
+            Taken listener = new Taken();
+            Map<String, Long> before = reactor.upstreamLog().totals();
+            try (Scripted publisher = new Scripted(spoilt)) {
+                DistributionClient client =
+                        client("c", "127.0.0.1:" + publisher.listener.getLocalPort(), listener);
+                until(() -> List.of("garbled", "too-long", "unexpected").stream()
+                        .anyMatch(code -> reactor.upstreamLog()
+                                .totals().getOrDefault(code, 0L) > before.getOrDefault(code, 0L)));
+                publisher.answers = List.of(frame(part(0, 1, ITEM.digest(), ITEM)));
+                until(() -> listener.deliveries == 1);
+                client.close();
+            }
+        }
+        assertThat(reactor.upstreamLog().totals()).containsKeys("garbled", "too-long", "unexpected");
+        goodGoesOn("s-1");
+    }
+
+    /** Subscribers and strangers once took the connections of members and commands. */
+    @Test
+    void subscribersTakeNoConnectionOfACommand() throws Exception {
+        members[0].close();
+        subscribers = 2;
+        start(0, 1);
+        until(() -> leader() == 0);
+        List<Raw> crowd = new ArrayList<>();
+        for (int i = 0; i < 100; i++) {
+            crowd.add(new Raw(members[0].port()).say(subscribe("crowd-" + i, Revision.NONE)));
+        }
+        assertThat(crowd.stream().map(Raw::refusal).filter(refusal -> refusal != null)
+                .filter(refusal -> refusal.reason() == RejectionReason.BUSY).count()).isPositive();
+        for (int i = 0; i < 10; i++) {
+            Raw raw = new Raw(members[0].port()).say(subscribe("crowd-" + i, Revision.NONE));
+            crowd.add(raw);
+            assertThat(agreeHold("s-" + i)).isPositive();
+        }
+        try (Client client = client(0)) {
+            assertThat(client.ask(fronts[0].address(), Client.call("status")).path("distribution")
+                    .path("connections").asInt())
+                    .isBetween(0, 2);
+        }
+        for (Raw raw : crowd) {
+            raw.close();
+        }
+    }
+}
--- a/src/test/java/rockshift/cluster/DistributionTest.java
+++ b/src/test/java/rockshift/cluster/DistributionTest.java
@@ -272,6 +272,32 @@
         }
     }
 
+    /** It still answers, but can't know what the others agree on. */
+    @Test
+    void aMemberThatIsCutOffFromMostIsLeftAsStale() throws Exception {
+        startThree();
+        int minority = (leader() + 1) % 3;
+        Map<String, InetSocketAddress> upstreams = new LinkedHashMap<>();
+        upstreams.put("minority", Section.socket(fronts[minority].address()));
+        upstreams.put("other", Section.socket(fronts[(minority + 1) % 3].address()));
+        for (int i = 0; i < RELAYS; i++) {
+            relay(i, Limits.standard(), upstreams);
+        }
+        governor("g-1", Scope.all());
+        governor("g-2", Scope.all());
+        try (Client client = client(0, 1, 2)) {
+            untilAllHold(agree(client, hold("s-1", "", "")));
+            cut(minority, true);
+            until(() -> reaches.get(minority) == Governed.Reach.WITHDRAW);
+            untilAllHold(agree(client, hold("s-2", "", "")));
+            until(() -> governors.stream().allMatch(governor -> governor.client.ageMillis() < 3_000));
+            try (Client there = client(minority)) {
+                until(() -> there.ask(fronts[minority].address(), Client.call("status")).path("distribution")
+                        .path("connections").asInt() == 0);
+            }
+        }
+    }
+
     @Test
     void aConnectionThatFallsSilentOneWayIsLeftInUnderTwoSeconds() throws Exception {
         startAll();
--- /dev/null
+++ b/src/test/java/rockshift/net/ProcessFixture.java
@@ -0,0 +1,94 @@
+package rockshift.net;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.Socket;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/** Processes of this program, what they say and how they end. */
+abstract class ProcessFixture extends GovernorFixture {
+    /** Ms for an end that waits for nobody, on a busy machine: what is given up is longer by far. */
+    static final int AT_ONCE = 10_000;
+
+    /** A governor's process and what it has said so far. */
+    final class Launched {
+        final Process process;
+        private final List<String> said = Collections.synchronizedList(new ArrayList<>());
+
+        Launched(String file, String... command) throws IOException {
+            List<String> words = new ArrayList<>(List.of(command));
+            if (words.isEmpty()) {
+                words.addAll(List.of(java(), "-cp", System.getProperty("java.class.path"), "rockshift.Main",
+                        "serve"));
+            }
+            ProcessBuilder builder = new ProcessBuilder(words);
+            builder.environment().put("RELAY_CONFIG", file);
+            process = builder.start();
+            open.add(process::destroyForcibly);
+            BufferedReader log = process.errorReader();
+            Thread reader = new Thread(() -> log.lines().forEach(said::add), "log of " + process.pid());
+            reader.setDaemon(true);
+            reader.start();
+        }
+
+        boolean said(String text) {
+            synchronized (said) {
+                return said.stream().anyMatch(line -> line.contains(text));
+            }
+        }
+
+        Launched awaitLine(String text) {
+            await("said: " + text, () -> said(text) || !process.isAlive());
+            await("said before its end: " + text, () -> said(text));
+            return this;
+        }
+
+        void signal(String... names) throws Exception {
+            for (String name : names) {
+                assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start()
+                        .waitFor()).isZero();
+            }
+        }
+
+        int port() {
+            return port("serves on");
+        }
+
+        /** The port in the line that says so. */
+        int port(String line) {
+            awaitLine(line);
+            synchronized (said) {
+                Matcher port = Pattern.compile(line + " .*, port (\\d+)").matcher(String.join("\n", said));
+                assertThat(port.find()).isTrue();
+                return Integer.parseInt(port.group(1));
+            }
+        }
+
+        Peer peer() throws IOException {
+            return new Peer(new Socket(InetAddress.getLoopbackAddress(), port()));
+        }
+
+        /** That it ends with status 0 and waits for nobody. */
+        void assertEnds() throws InterruptedException {
+            assertThat(process.waitFor(AT_ONCE, TimeUnit.MILLISECONDS)).as("it ends").isTrue();
+            assertThat(process.exitValue()).isZero();
+        }
+    }
+
+    static String java() {
+        return Path.of(System.getProperty("java.home"), "bin", "java").toString();
+    }
+
+    String configuration() throws IOException {
+        return configuration("127.0.0.1:0", 1024, TERMS, entry("s-1", "Ready", 0));
+    }
+}
