--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import rockshift.kit.Explorer;
-import rockshift.kit.Plant;
+import rockshift.kit.FaultInjection;
 import rockshift.kit.World;
 
 /** Plays the agreement in simulated worlds. */
@@ -33,7 +33,7 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         if (seed != null) {
-            World.Result result = new World(seed, members, new Plant(), true).run();
+            World.Result result = new World(seed, members, new FaultInjection(), true).run();
             result.account().forEach(out::println);
             out.println("seed " + seed + ": "
                     + (result.violation() == null ? "no violation" : result.violation()));
@@ -42,7 +42,8 @@
         Explorer.Findings all = Explorer.Findings.NONE;
         for (long done = 0; done < seeds; done += STEP) {
             Explorer.Findings part =
-                    Explorer.explore(first + done, Math.min(STEP, seeds - done), members, Plant::new);
+                    Explorer.explore(first + done, Math.min(STEP, seeds - done), members,
+                            FaultInjection::new);
             all = all.and(part);
             part.broken().forEach(result -> out.println("seed " + result.seed() + ": " + result.violation()));
             if (System.console() != null) {
--- a/src/main/java/rockshift/kit/Explorer.java
+++ b/src/main/java/rockshift/kit/Explorer.java
@@ -23,18 +23,18 @@
         }
     }
 
-    public static Findings explore(long first, long seeds, int members, Supplier<Plant> plant) {
+    public static Findings explore(long first, long seeds, int members, Supplier<FaultInjection> injection) {
         List<World.Result> results = LongStream.range(first, first + seeds).parallel()
-                .mapToObj(seed -> new World(seed, members, plant.get(), false).run()).toList();
+                .mapToObj(seed -> new World(seed, members, injection.get(), false).run()).toList();
         return new Findings(seeds, results.stream().mapToLong(World.Result::steps).sum(),
                 results.stream().mapToLong(World.Result::changes).sum(),
                 results.stream().filter(result -> result.violation() != null).toList());
     }
 
     /** Plays seeds until one breaks a promise; answers one that does, or -1 after so many. */
-    public static long until(long first, long most, int members, Supplier<Plant> plant) {
+    public static long until(long first, long most, int members, Supplier<FaultInjection> injection) {
         return LongStream.range(first, first + most).parallel()
-                .filter(seed -> new World(seed, members, plant.get(), false).run().violation() != null)
+                .filter(seed -> new World(seed, members, injection.get(), false).run().violation() != null)
                 .findAny().orElse(-1);
     }
 }
--- a/src/main/java/rockshift/kit/Plant.java
+++ b/src/main/java/rockshift/kit/FaultInjection.java
@@ -7,9 +7,10 @@
 import rockshift.raft.Sessions;
 
 /**
- * What a world does as it should. A check of the checks overrides one method, and the explorer must find it.
+ * The points at which a simulated world can be made to do wrong. As it stands nothing is wrong; a test of the
+ * checks overrides one method, and the explorer must find it.
  */
-public class Plant {
+public class FaultInjection {
     public Rules rules() {
         return new Rules();
     }
--- a/src/main/java/rockshift/kit/World.java
+++ b/src/main/java/rockshift/kit/World.java
@@ -50,7 +50,7 @@
 
     private final long seed;
     private final RandomGenerator chance;
-    private final Plant plant;
+    private final FaultInjection injection;
     private final boolean telling;
     private final boolean encoding;
     private final ArrayDeque<String> account = new ArrayDeque<>();
@@ -78,9 +78,9 @@
     private long numbers;
     private boolean troubled = true;
 
-    public World(long seed, int members, Plant plant, boolean telling) {
+    public World(long seed, int members, FaultInjection injection, boolean telling) {
         this.seed = seed;
-        this.plant = plant;
+        this.injection = injection;
         this.telling = telling;
         chance = new SplittableRandom(seed);
         encoding = chance.nextInt(8) == 0;
@@ -363,15 +363,15 @@
         private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
         long agreedUpTo;
         private long ledIn;
-        private long number = Plant.number(chance);
+        private long number = FaultInjection.number(chance);
         private Runnable diskWork;
         private final ArrayDeque<Runnable> diskQueue = new ArrayDeque<>();
 
         Host(int place) {
             this.place = place;
-            rate = 1 + plant.clocksApart() * (2 * chance.nextDouble() - 1);
+            rate = 1 + injection.clocksApart() * (2 * chance.nextDouble() - 1);
             offset = chance.nextLong(1_000_000);
-            disk.skipsSync = plant.skipsSync();
+            disk.skipsSync = injection.skipsSync();
         }
 
         long id() {
@@ -414,9 +414,9 @@
                 DurableLog.Recovered found = log.open(number);
                 changes = new ArrayList<>();
                 life++;
-                engine = new Engine(found, timing, plant.rules(), timers(), clock(), this,
+                engine = new Engine(found, timing, injection.rules(), timers(), clock(), this,
                         new Engine.Compaction(40, 1 << 20), this);
-                List<Sessions.Session> kept = plant.recovered(engine.sessions().sessions());
+                List<Sessions.Session> kept = injection.recovered(engine.sessions().sessions());
                 engine.sessions().restore(kept, image());
                 agreedUpTo = found.snapshot().index();
                 if (found.snapshot().index() > 0) {
@@ -527,7 +527,7 @@
                 tell("n%d loses its disk", place);
                 crash();
                 disk.wipe();
-                number = plant.numberAfterWipe(number, chance);
+                number = injection.numberAfterWipe(number, chance);
             }
         }
 
@@ -592,7 +592,7 @@
             if (!entries.isEmpty()) {
                 history.written(entries, engine.raft().log().term(from - 1));
             }
-            Ballot kept = plant.saved(ballot);
+            Ballot kept = injection.saved(ballot);
             queue(() -> trySave(life, ticket, kept, from, entries, snapshot));
         }
 
@@ -719,7 +719,7 @@
         }
 
         private void reopen() {
-            session = Plant.number(chance);
+            session = FaultInjection.number(chance);
             opened = false;
             serial = 0;
         }
@@ -729,7 +729,7 @@
             reads = watches || opened && chance.nextInt(3) == 0;
             asked = watches ? hosts.get(chance.nextInt(hosts.size())) : asked;
             began = history.begins();
-            change = Plant.number(chance);
+            change = FaultInjection.number(chance);
             serial += opened && !reads ? 1 : 0;
             ask();
         }
