--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import rockshift.Listed;
 import rockshift.cluster.Change;
-import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.ClusterMember;
+import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.Governed;
-import rockshift.net.AgreedChangesSource;
 import rockshift.net.AgreedChangesReceiver;
+import rockshift.net.AgreedChangesSource;
 
 /**
  * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is listed
--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -18,8 +18,8 @@
 import rockshift.distribution.RejectionReason;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Update;
-import rockshift.net.AgreedChangesSource;
 import rockshift.net.AgreedChangesReceiver;
+import rockshift.net.AgreedChangesSource;
 
 /** Joins a subscription to the governor of its process: what is agreed and concerns it goes to its module. */
 final class DistributionChangesSource implements AgreedChangesSource, DistributionListener {
--- a/src/main/java/rockshift/kit/Relay.java
+++ b/src/main/java/rockshift/kit/FaultyLink.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A way from one member to another on loopback, which can be cut, slowed, or made to lose and double whole
- * frames. What it does to a frame comes from its seed. A cut says nothing: the connection stays open and
- * silent, as when a machine is cut off.
+ * A TCP link from one member to another on loopback, which can be cut, slowed, or made to lose and double
+ * whole frames. What it does to a frame comes from its seed. A cut says nothing: the connection stays open
+ * and silent, as when a machine is cut off.
  */
-public final class Relay implements AutoCloseable {
+public final class FaultyLink implements AutoCloseable {
     private static final int LONGEST = 1 << 21;
     private static final int DIAL = 500;
 
@@ -31,14 +31,14 @@
     private volatile double twice;
     private volatile long delayMs;
 
-    public Relay(long seed) throws IOException {
+    public FaultyLink(long seed) throws IOException {
         chance = new SplittableRandom(seed);
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         begin(this::accept);
     }
 
     private static void begin(Runnable work) {
-        Thread thread = new Thread(work, "relay");
+        Thread thread = new Thread(work, "faulty-link");
         thread.setDaemon(true);
         thread.start();
     }
@@ -69,7 +69,7 @@
     }
 
     private void drop() {
-        open.forEach(Relay::close);
+        open.forEach(FaultyLink::close);
         open.clear();
     }
 
--- a/src/main/java/rockshift/kit/GovernorProcesses.java
+++ b/src/main/java/rockshift/kit/GovernorProcesses.java
@@ -10,9 +10,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Governors that agree, as processes on loopback, with a relay on each way between two of them and one before
- * each for commands, and a stand-in for discovery. It owns the processes that it starts and ends them all,
- * also when it is ended itself.
+ * Governors that agree, as processes on loopback, with a relay on each link between two of them and one
+ * before each for commands, and a stand-in for discovery. It owns the processes that it starts and ends them
+ * all, also when it is ended itself.
  */
 public final class GovernorProcesses implements AutoCloseable {
     private static final int REPLICAS = 6;
@@ -26,8 +26,8 @@
     private final int members;
     private final String election;
     private final LogListener listener;
-    private final Relay[][] ways;
-    private final Relay[] fronts;
+    private final FaultyLink[][] links;
+    private final FaultyLink[] fronts;
     private final Process[] processes;
     private final int[] lives;
     private final int[] ports;
@@ -41,16 +41,16 @@
         this.members = members;
         this.election = election;
         this.listener = listener;
-        ways = new Relay[members][members];
-        fronts = new Relay[members];
+        links = new FaultyLink[members][members];
+        fronts = new FaultyLink[members];
         processes = new Process[members];
         lives = new int[members];
         ports = new int[members];
         streams = new int[members];
         for (int i = 0; i < members; i++) {
-            fronts[i] = new Relay(seed + i);
+            fronts[i] = new FaultyLink(seed + i);
             for (int j = 0; j < members; j++) {
-                ways[i][j] = new Relay(seed * 31 + i * members + j);
+                links[i][j] = new FaultyLink(seed * 31 + i * members + j);
             }
         }
         Runtime.getRuntime().addShutdownHook(atEnd);
@@ -66,8 +66,8 @@
         return streams[member];
     }
 
-    public Relay way(int from, int to) {
-        return ways[from][to];
+    public FaultyLink link(int from, int to) {
+        return links[from][to];
     }
 
     public boolean runs(int member) {
@@ -86,7 +86,7 @@
                         + "  election = \"" + election + "\"\n  snapshot_after = 200\n");
         for (int i = 0; i < members; i++) {
             text.append("  founder \"n" + i + "\" { address = \"" + front(i) + "\" }\n");
-            text.append("  route \"n" + i + "\" { address = \"" + ways[member][i].address() + "\" }\n");
+            text.append("  route \"n" + i + "\" { address = \"" + links[member][i].address() + "\" }\n");
         }
         Files.writeString(folder.resolve("governor" + member + ".json"), "{\"name\":\"n" + member
                 + "\",\"listen\":"
@@ -121,7 +121,7 @@
         }
         fronts[member].to(ports[member]);
         for (int i = 0; i < members; i++) {
-            ways[i][member].to(ports[member]);
+            links[i][member].to(ports[member]);
         }
     }
 
@@ -175,8 +175,8 @@
         discovery.close();
         for (int i = 0; i < members; i++) {
             fronts[i].close();
-            for (Relay way : ways[i]) {
-                way.close();
+            for (FaultyLink link : links[i]) {
+                link.close();
             }
         }
     }
--- a/src/main/java/rockshift/kit/Trial.java
+++ b/src/main/java/rockshift/kit/Trial.java
@@ -184,18 +184,18 @@
                 isolate(members > 3 ? Set.of(one, other) : Set.of(other), lasts);
             }
             case 4 -> {
-                governors.way(one, other).cut(true);
+                governors.link(one, other).cut(true);
                 TimeUnit.MILLISECONDS.sleep(lasts);
-                governors.way(one, other).cut(false);
+                governors.link(one, other).cut(false);
             }
             default -> {
                 for (int i = 0; i < members; i++) {
-                    governors.way(one, i).spoil(chance.nextDouble(0.4), chance.nextDouble(0.2),
+                    governors.link(one, i).spoil(chance.nextDouble(0.4), chance.nextDouble(0.2),
                             chance.nextInt(20));
                 }
                 TimeUnit.MILLISECONDS.sleep(lasts);
                 for (int i = 0; i < members; i++) {
-                    governors.way(one, i).spoil(0, 0, 0);
+                    governors.link(one, i).spoil(0, 0, 0);
                 }
             }
         }
@@ -214,7 +214,7 @@
         for (int i = 0; i < members; i++) {
             for (int j = 0; j < members; j++) {
                 if (few.contains(i) != few.contains(j)) {
-                    governors.way(i, j).cut(now);
+                    governors.link(i, j).cut(now);
                 }
             }
         }
--- a/src/main/java/rockshift/scale/GovernorInRegion.java
+++ b/src/main/java/rockshift/scale/GovernorInRegion.java
@@ -10,8 +10,8 @@
 import rockshift.distribution.Revision;
 import rockshift.distribution.Scope;
 import rockshift.kit.DiscoveryStandIn;
-import rockshift.kit.ProgramCommand;
 import rockshift.kit.LoggedProcess;
+import rockshift.kit.ProgramCommand;
 
 /**
  * A real governor as a process of its own that subscribes at a region's relays for everything; its log tells
--- a/src/main/java/rockshift/scale/GovernorRun.java
+++ b/src/main/java/rockshift/scale/GovernorRun.java
@@ -9,9 +9,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import rockshift.kit.DiscoveryStandIn;
-import rockshift.kit.ProgramCommand;
 import rockshift.kit.LoggedProcess;
 import rockshift.kit.ProcessUsage;
+import rockshift.kit.ProgramCommand;
 
 /**
  * One real governor as a process of its own, with a fleet of some shape before it, watched for a while once
--- a/src/main/java/rockshift/scale/Region.java
+++ b/src/main/java/rockshift/scale/Region.java
@@ -9,12 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import rockshift.kit.ProgramCommand;
+import rockshift.kit.FaultyLink;
 import rockshift.kit.LoggedProcess;
-import rockshift.kit.Relay;
+import rockshift.kit.ProgramCommand;
 
 /**
- * The relays of a region as processes, with ways to the members that can be cut; all of the region's
+ * The relays of a region as processes, with links to the members that can be cut; all of the region's
  * governors use both.
  */
 final class Region implements AutoCloseable {
@@ -23,7 +23,7 @@
 
     private final String name;
     private final Path folder;
-    private final List<Relay> ways = new ArrayList<>();
+    private final List<FaultyLink> links = new ArrayList<>();
     private final int[] ports = new int[RELAYS];
     private final LoggedProcess[] relays = new LoggedProcess[RELAYS];
 
@@ -31,9 +31,9 @@
         this.name = name;
         this.folder = folder;
         for (int port : memberPorts) {
-            Relay way = new Relay(seed + port);
-            way.to(port);
-            ways.add(way);
+            FaultyLink link = new FaultyLink(seed + port);
+            link.to(port);
+            links.add(link);
         }
         for (int i = 0; i < RELAYS; i++) {
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -46,11 +46,11 @@
     void startRelay(int number) throws IOException {
         StringBuilder text =
                 new StringBuilder("distribution {\n  name = \"" + name + "-relay-" + number + "\"\n");
-        for (int i = 0; i < ways.size(); i++) {
+        for (int i = 0; i < links.size(); i++) {
             // Each relay prefers another member, so that members share them.
-            int member = (i + number + Math.abs(name.hashCode())) % ways.size();
+            int member = (i + number + Math.abs(name.hashCode())) % links.size();
             text.append(
-                    "  upstream \"n" + member + "\" { address = \"" + ways.get(member).address() + "\" }\n");
+                    "  upstream \"n" + member + "\" { address = \"" + links.get(member).address() + "\" }\n");
         }
         text.append("  scope { everything = true }\n  relay { listen = \"127.0.0.1:" + ports[number]
                 + "\" }\n}\n");
@@ -74,7 +74,7 @@
 
     /** Cuts the region off from all members, both ways and silently, or heals it. */
     void cut(boolean now) {
-        ways.forEach(way -> way.cut(now));
+        links.forEach(link -> link.cut(now));
     }
 
     /** The relays, another one first for every other governor. */
@@ -93,8 +93,8 @@
                 relay.close();
             }
         }
-        for (Relay way : ways) {
-            way.close();
+        for (FaultyLink link : links) {
+            link.close();
         }
     }
 }
