--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -6,7 +6,7 @@
 import rockshift.cluster.Change;
 import rockshift.cluster.ClusterMember;
 import rockshift.cluster.ClusterSettings;
-import rockshift.cluster.Governed;
+import rockshift.cluster.LocalGovernor;
 import rockshift.net.AgreedChangesReceiver;
 import rockshift.net.AgreedChangesSource;
 
@@ -14,7 +14,7 @@
  * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is listed
  * comes out.
  */
-final class ClusterChangesSource implements AgreedChangesSource, Governed {
+final class ClusterChangesSource implements AgreedChangesSource, LocalGovernor {
     private static final long TENTHS_PER_MILLI = 10;
 
     private final ClusterSettings settings;
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void reach(Governed.Reach reach) {
+    public void reach(LocalGovernor.Reach reach) {
         receiver.reach(rockshift.Reach.valueOf(reach.name()));
     }
 
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -55,7 +55,7 @@
     private record Asked(Links.Link link, long number) {}
 
     private final ClusterSettings settings;
-    private final Governed governed;
+    private final LocalGovernor governor;
     private final Agreed agreed = new Agreed();
     private final FileDisk disk;
     private final DurableLog log;
@@ -81,13 +81,13 @@
     private volatile boolean closed;
     private volatile boolean leading;
     private long requests;
-    private Governed.Reach reach;
+    private LocalGovernor.Reach reach;
     private String diskTrouble = "";
     private int port;
 
-    public ClusterMember(ClusterSettings settings, Governed governed) throws IOException {
+    public ClusterMember(ClusterSettings settings, LocalGovernor governor) throws IOException {
         this.settings = settings;
-        this.governed = governed;
+        this.governor = governor;
         disk = new FileDisk(settings.folder());
         try {
             SecureRandom source = new SecureRandom();
@@ -179,17 +179,17 @@
             } catch (RuntimeException failure) {
                 // What it holds in memory may be wrong now: a restart reads the disk anew.
                 LOG.error("failure in the agreement, it stops here; restart this governor", failure);
-                governed.reach(cutOff());
+                governor.reach(cutOff());
                 return;
             }
         }
     }
 
-    private Governed.Reach cutOff() {
+    private LocalGovernor.Reach cutOff() {
         return switch (settings.minority()) {
-            case SERVE -> Governed.Reach.FULL;
-            case WITHDRAW -> Governed.Reach.WITHDRAW;
-            case HOLD -> Governed.Reach.HOLD;
+            case SERVE -> LocalGovernor.Reach.FULL;
+            case WITHDRAW -> LocalGovernor.Reach.WITHDRAW;
+            case HOLD -> LocalGovernor.Reach.HOLD;
         };
     }
 
@@ -200,11 +200,11 @@
             show();
             links.greet();
         }
-        Governed.Reach now = engine.raft().inTouch() ? Governed.Reach.FULL : cutOff();
+        LocalGovernor.Reach now = engine.raft().inTouch() ? LocalGovernor.Reach.FULL : cutOff();
         if (now != reach) {
             boolean before = reach != null;
             reach = now;
-            governed.reach(now);
+            governor.reach(now);
             if (engine.raft().inTouch()) {
                 LOG.info("in touch with most members, leader {}", name(engine.raft().leader()));
             } else if (before) {
@@ -454,7 +454,7 @@
     }
 
     private void tellAgreed() {
-        governed.agreed(agreed.version(), new TreeMap<>(agreed.out()), new TreeMap<>(agreed.terms()));
+        governor.agreed(agreed.version(), new TreeMap<>(agreed.out()), new TreeMap<>(agreed.terms()));
     }
 
     @Override
@@ -555,17 +555,17 @@
     private void change(long request, Map<String, String> call) throws IOException {
         Change change = Change.read(call.getOrDefault("change", "").getBytes(StandardCharsets.UTF_8));
         if (change.kind() == Change.Kind.DRAIN && change.started() == 0) {
-            change = change.startedAt(governed.started(change.subject()));
+            change = change.startedAt(governor.started(change.subject()));
         }
         if (change.scoped() && change.zone().isEmpty()) {
-            change = change.inZone(governed.zone(change.subject()));
+            change = change.inZone(governor.zone(change.subject()));
         }
         // A change sent again must meet its own first time, not this check: only the state can tell which it
         // is.
         boolean first = engine.raft().leads() && !Boolean.parseBoolean(call.get("again"));
         String objection = first ? agreed.check(change) : null;
         if (first && objection == null && !Boolean.parseBoolean(call.get("force"))) {
-            objection = governed.objection(change, agreed.out());
+            objection = governor.objection(change, agreed.out());
         }
         if (objection != null) {
             answer(request, new Engine.Answer(objection, new byte[0], 0, null));
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -23,7 +23,7 @@
 import rockshift.cluster.DurableLog;
 import rockshift.cluster.Engine;
 import rockshift.cluster.FileDisk;
-import rockshift.cluster.Governed;
+import rockshift.cluster.LocalGovernor;
 import rockshift.raft.Ballot;
 import rockshift.raft.Entry;
 import rockshift.raft.Timing;
@@ -48,8 +48,8 @@
         this.folder = folder;
     }
 
-    /** Nobody is governed here. */
-    private static final class Nobody implements Governed {
+    /** No governor: nothing is done with what is agreed. */
+    private static final class NoGovernor implements LocalGovernor {
         @Override
         public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {}
 
@@ -197,7 +197,7 @@
                         address(i), folder.resolve("member" + i), founders, Map.of(),
                         new Timing(ELECTION_MS * 10, ELECTION_MS * 2, 0.05, true, 512),
                         new Engine.Compaction(10_000, 4 << 20),
-                        ClusterSettings.Minority.WITHDRAW), new Nobody());
+                        ClusterSettings.Minority.WITHDRAW), new NoGovernor());
         members[i].start();
     }
 
