--- a/src/main/java/rockshift/cluster/AgreedItems.java
+++ b/src/main/java/rockshift/cluster/AgreedItems.java
@@ -34,7 +34,7 @@
     }
 
     /** All that is agreed. */
-    static List<Item> all(Agreed agreed) {
+    static List<Item> all(AgreedState agreed) {
         List<Item> items = new ArrayList<>();
         agreed.out().values().forEach(change -> items.add(item(change)));
         agreed.terms()
--- a/src/main/java/rockshift/cluster/Agreed.java
+++ b/src/main/java/rockshift/cluster/AgreedState.java
@@ -16,7 +16,7 @@
  * running. Changes are applied in one order everywhere, and each effective one makes the next version. It
  * knows no replicas but by their names.
  */
-public final class Agreed implements Sessions.Machine {
+public final class AgreedState implements Sessions.Machine {
     /** Replicas that may be kept out at a time: a bound on the snapshot, far above a fleet's drains. */
     public static final int MOST_OUT = 2_000;
     private static final int FORMAT = 1;
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -56,7 +56,7 @@
 
     private final ClusterSettings settings;
     private final LocalGovernor governor;
-    private final Agreed agreed = new Agreed();
+    private final AgreedState agreed = new AgreedState();
     private final FileDisk disk;
     private final DurableLog log;
     private final DistributionService distribution;
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -110,7 +110,7 @@
     /**
      * To be called again and again: hands over what is agreed where it could not be told change by change.
      */
-    void tend(long cluster, Agreed agreed, Raft raft) {
+    void tend(long cluster, AgreedState agreed, Raft raft) {
         if (cluster != handedOverAt.cluster() || behind && changesWaiting.get() == 0) {
             restored(cluster, agreed);
         }
@@ -118,7 +118,7 @@
     }
 
     /** All that is agreed may be another. */
-    void restored(long cluster, Agreed agreed) {
+    void restored(long cluster, AgreedState agreed) {
         if (cluster == 0) {
             return;
         }
@@ -132,7 +132,7 @@
     }
 
     /** A change was applied; it may have been refused there. */
-    void applied(long cluster, Agreed agreed, byte[] body) {
+    void applied(long cluster, AgreedState agreed, byte[] body) {
         if (cluster != handedOverAt.cluster() || agreed.version() == handedOverAt.number()) {
             return;
         }
