--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -19,9 +19,9 @@
 import rockshift.cluster.Change;
 import rockshift.cluster.Client;
 import rockshift.cluster.ClusterSettings;
+import rockshift.operator.InvalidFileException;
 import rockshift.operator.OperatorFile;
 import rockshift.operator.Section;
-import rockshift.operator.Unusable;
 
 /** What staff ask of the agreement. */
 @Command(name = "cluster", mixinStandardHelpOptions = true,
@@ -49,7 +49,7 @@
         @Spec(Spec.Target.MIXEE)
         private CommandSpec spec;
 
-        List<String> addresses() throws Unusable {
+        List<String> addresses() throws InvalidFileException {
             List<String> all = new ArrayList<>(at);
             if (operator != null) {
                 Section file = OperatorFile.read(operator);
@@ -65,7 +65,7 @@
             return all;
         }
 
-        Client client() throws Unusable {
+        Client client() throws InvalidFileException {
             return new Client(addresses(), RandomGenerator.getDefault(), 2_000);
         }
 
@@ -88,7 +88,8 @@
             return refused.isEmpty() ? Commands.HELD : Commands.BROKEN;
         }
 
-        int change(Change change, boolean force) throws Unusable, IOException, InterruptedException {
+        int change(Change change, boolean force)
+                throws InvalidFileException, IOException, InterruptedException {
             try (Client client = client()) {
                 JsonNode answer = client.change(change, force, deadline());
                 return tell(answer, "agreed as version " + answer.path("answer").path("version") + ", entry "
@@ -96,7 +97,7 @@
             }
         }
 
-        int ask(ObjectNode call, String done) throws Unusable, IOException, InterruptedException {
+        int ask(ObjectNode call, String done) throws InvalidFileException, IOException, InterruptedException {
             try (Client client = client()) {
                 return tell(client.askLeader(call, deadline()), done);
             }
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -11,7 +11,7 @@
 import rockshift.drill.Drill;
 import rockshift.net.AgreedChangesSource;
 import rockshift.net.ProcessSignals;
-import rockshift.operator.Unusable;
+import rockshift.operator.InvalidFileException;
 
 /**
  * All commands. Exit statuses: 0 all held, 1 something that was checked did not hold, 2 the call or a file
@@ -30,9 +30,10 @@
     public static int run(String... arguments) {
         return new CommandLine(new Commands()).setCaseInsensitiveEnumValuesAllowed(true)
                 .setExecutionExceptionHandler((failure, line, parsed) -> {
-                    line.getErr().println(failure instanceof Unusable || failure instanceof IOException
-                            ? failure.getMessage() : failure.toString());
-                    return failure instanceof Unusable ? UNUSABLE : BROKEN;
+                    line.getErr()
+                            .println(failure instanceof InvalidFileException || failure instanceof IOException
+                                    ? failure.getMessage() : failure.toString());
+                    return failure instanceof InvalidFileException ? UNUSABLE : BROKEN;
                 }).execute(arguments);
     }
 
@@ -80,7 +81,7 @@
         private String name;
 
         @Override
-        public Integer call() throws Unusable {
+        public Integer call() throws InvalidFileException {
             spec.commandLine().getOut().println(name + ": " + OperatorSettings.read(name).summary());
             return HELD;
         }
--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -2,9 +2,9 @@
 
 import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.DistributionSettings;
+import rockshift.operator.InvalidFileException;
 import rockshift.operator.OperatorFile;
 import rockshift.operator.Section;
-import rockshift.operator.Unusable;
 
 /**
  * All that an operator's file switches on.
@@ -14,11 +14,11 @@
  */
 record OperatorSettings(ClusterSettings cluster, DistributionSettings distribution) {
     /** Reads a file, and refuses what does not fit together. */
-    static OperatorSettings read(String name) throws Unusable {
+    static OperatorSettings read(String name) throws InvalidFileException {
         return read(OperatorFile.read(name));
     }
 
-    private static OperatorSettings read(Section file) throws Unusable {
+    private static OperatorSettings read(Section file) throws InvalidFileException {
         DistributionSettings distribution = DistributionSettings.read(file);
         ClusterSettings cluster =
                 file.has("cluster") || distribution == null ? ClusterSettings.read(file) : null;
@@ -30,7 +30,7 @@
     }
 
     /** Where a governor that serves by this file has its agreed changes from. */
-    static rockshift.net.AgreedChangesSource source(String name) throws Unusable {
+    static rockshift.net.AgreedChangesSource source(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         OperatorSettings settings = read(file);
         if (settings.cluster != null) {
@@ -42,7 +42,7 @@
     }
 
     /** What a relay is told. */
-    static DistributionSettings relay(String name) throws Unusable {
+    static DistributionSettings relay(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         if (!file.has("distribution")) {
             throw file.wrong("distribution", "is missing");
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import rockshift.operator.InvalidFileException;
 import rockshift.operator.Section;
-import rockshift.operator.Unusable;
 import rockshift.raft.Timing;
 
 /**
@@ -37,7 +37,7 @@
     }
 
     /** Reads the block, and refuses what it does not know. */
-    public static ClusterSettings read(Section file) throws Unusable {
+    public static ClusterSettings read(Section file) throws InvalidFileException {
         Section cluster = file.block("cluster");
         if (cluster == null) {
             throw file.wrong("cluster", "is missing");
@@ -73,7 +73,7 @@
                 new Timing(election, heartbeat, drift, leases, batch), compaction, minority, subscribers);
     }
 
-    private static Map<String, String> addresses(Section cluster, String kind) throws Unusable {
+    private static Map<String, String> addresses(Section cluster, String kind) throws InvalidFileException {
         Map<String, String> found = new LinkedHashMap<>();
         for (Map.Entry<String, Section> each : cluster.blocks(kind).entrySet()) {
             each.getValue().address("address", null);
--- a/src/main/java/rockshift/cluster/DistributionSettings.java
+++ b/src/main/java/rockshift/cluster/DistributionSettings.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import rockshift.distribution.Limits;
 import rockshift.distribution.Scope;
+import rockshift.operator.InvalidFileException;
 import rockshift.operator.Section;
-import rockshift.operator.Unusable;
 
 /**
  * What a governor or relay is told in the block {@code distribution} of the operator's file. It is what one
@@ -36,7 +36,7 @@
     public record RelaySettings(InetSocketAddress listen, int subscribers) {}
 
     /** Reads the block; null where the file has none. */
-    public static DistributionSettings read(Section file) throws Unusable {
+    public static DistributionSettings read(Section file) throws InvalidFileException {
         Section block = file.block("distribution");
         if (block == null) {
             return null;
@@ -58,12 +58,12 @@
         return new DistributionSettings(name, upstreams, scope, relay, limits(subscribers));
     }
 
-    private static RelaySettings relay(Section block) throws Unusable {
+    private static RelaySettings relay(Section block) throws InvalidFileException {
         return block == null ? null : new RelaySettings(block.address("listen", null),
                 block.whole("subscribers", USUAL_SUBSCRIBERS, 1, MOST_SUBSCRIBERS));
     }
 
-    private static Scope scope(Section distribution, boolean relays) throws Unusable {
+    private static Scope scope(Section distribution, boolean relays) throws InvalidFileException {
         Section block = distribution.block("scope");
         if (block == null && relays) {
             return Scope.all();
@@ -80,7 +80,7 @@
         return scope;
     }
 
-    private static Set<String> names(Section scope, String field) throws Unusable {
+    private static Set<String> names(Section scope, String field) throws InvalidFileException {
         Set<String> names = scope.texts(field, LONGEST_NAME);
         if (names.size() > Limits.standard().sizes().scopeNames()) {
             throw scope.wrong(field, "names more than " + Limits.standard().sizes().scopeNames());
--- a/src/main/java/rockshift/cluster/DurableLog.java
+++ b/src/main/java/rockshift/cluster/DurableLog.java
@@ -81,18 +81,20 @@
         }
         if (!names.contains(IDENTITY_FILE)) {
             if (!names.isEmpty()) {
-                throw new Unrecoverable(names.get(0), 0, "no identity beside it: a folder of something else");
+                throw new UnrecoverableStorageException(names.get(0), 0,
+                        "no identity beside it: a folder of something else");
             }
             id = freshId;
             writeIdentity();
         }
         byte[] bytes = disk.read(IDENTITY_FILE);
         if (!valid(bytes, 0, IDENTITY) || bytes.length != end(bytes, 0)) {
-            throw new Unrecoverable(IDENTITY_FILE, 0, "damaged");
+            throw new UnrecoverableStorageException(IDENTITY_FILE, 0, "damaged");
         }
         long[] told = Codec.numbers(3, bytes, FRAME, bytes.length - FRAME);
         if (told[0] != FORMAT) {
-            throw new Unrecoverable(IDENTITY_FILE, 0, "format " + told[0] + ", this is " + FORMAT);
+            throw new UnrecoverableStorageException(IDENTITY_FILE, 0,
+                    "format " + told[0] + ", this is " + FORMAT);
         }
         id = told[1];
         cluster = told[2];
@@ -101,11 +103,11 @@
         Snapshot snapshot = readSnapshot(names);
         long base = snapshot.index();
         if (voided > base) {
-            throw new Unrecoverable(snapshotFile(voided), 0,
+            throw new UnrecoverableStorageException(snapshotFile(voided), 0,
                     "missing or damaged, and nothing else stands for it");
         }
         if (!entries.isEmpty() && entries.get(0).index() > base + 1) {
-            throw new Unrecoverable(segment(segments.firstKey()), HEADER,
+            throw new UnrecoverableStorageException(segment(segments.firstKey()), HEADER,
                     "begins with entry " + entries.get(0).index()
                             + ", the snapshot ends with " + base);
         }
@@ -134,7 +136,7 @@
         long expected = segments.isEmpty() ? 0 : segments.firstKey();
         for (long number : List.copyOf(segments.keySet())) {
             if (number != expected++) {
-                throw new Unrecoverable(segment(number), 0,
+                throw new UnrecoverableStorageException(segment(number), 0,
                         "segment " + (expected - 1) + " before it is missing");
             }
             boolean last = number == segments.lastKey();
@@ -159,17 +161,19 @@
         ByteBuffer head = ByteBuffer.wrap(bytes);
         if (bytes.length < HEADER || head.getInt(0) != MAGIC || head.getLong(8) != number
                 || head.getInt(HEADER - 4) != Checksum.of(bytes, 0, HEADER - 4)) {
-            throw new Unrecoverable(name, 0, "its header is damaged");
+            throw new UnrecoverableStorageException(name, 0, "its header is damaged");
         } else if (head.getInt(4) != FORMAT) {
-            throw new Unrecoverable(name, 4, "format " + head.getInt(4) + ", this is " + FORMAT);
+            throw new UnrecoverableStorageException(name, 4,
+                    "format " + head.getInt(4) + ", this is " + FORMAT);
         } else if (head.getLong(16) != id) {
-            throw new Unrecoverable(name, 16, "a segment of another member");
+            throw new UnrecoverableStorageException(name, 16, "a segment of another member");
         }
         int at = HEADER;
         while (at < bytes.length) {
             if (!sound(bytes, at)) {
                 if (!last) {
-                    throw new Unrecoverable(name, at, "damaged, and more follows in the next segment");
+                    throw new UnrecoverableStorageException(name, at,
+                            "damaged, and more follows in the next segment");
                 }
                 refuseLaterProof(name, bytes, at);
                 log.accept(
@@ -195,7 +199,8 @@
                     segments.merge(number, voided, Math::max);
                 }
                 case BATCH -> {}
-                default -> throw new Unrecoverable(name, at, "a record of unknown kind " + bytes[at + 8]);
+                default -> throw new UnrecoverableStorageException(name, at,
+                        "a record of unknown kind " + bytes[at + 8]);
             }
             at = end(bytes, at);
         }
@@ -207,7 +212,8 @@
             long first = entries.get(0).index();
             long last = entries.get(entries.size() - 1).index();
             if (entry.index() > last + 1) {
-                throw new Unrecoverable(name, at, "entry " + entry.index() + " follows " + last);
+                throw new UnrecoverableStorageException(name, at,
+                        "entry " + entry.index() + " follows " + last);
             }
             entries.subList((int) Math.max(0, entry.index() - first), entries.size()).clear();
         }
@@ -220,8 +226,9 @@
             if (bytes[later + 8] == BATCH && valid(bytes, later, BATCH)) {
                 long durable = Codec.numbers(1, bytes, later + FRAME, end(bytes, later) - later - FRAME)[0];
                 if (durable > at) {
-                    throw new Unrecoverable(name, at, "damaged, though it was durable before byte " + later
-                            + " was written");
+                    throw new UnrecoverableStorageException(name, at,
+                            "damaged, though it was durable before byte " + later
+                                    + " was written");
                 }
             }
         }
--- a/src/main/java/rockshift/kit/World.java
+++ b/src/main/java/rockshift/kit/World.java
@@ -14,7 +14,7 @@
 import rockshift.cluster.Codec;
 import rockshift.cluster.DurableLog;
 import rockshift.cluster.Engine;
-import rockshift.cluster.Unrecoverable;
+import rockshift.cluster.UnrecoverableStorageException;
 import rockshift.raft.Ballot;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
@@ -423,7 +423,7 @@
                     history.state(found.snapshot().index(), state());
                 }
                 tell("n%d starts with %d entries, %s", place, engine.raft().log().last(), found.ballot());
-            } catch (Unrecoverable refused) {
+            } catch (UnrecoverableStorageException refused) {
                 throw new History.Violation(
                         "recovery: n" + place + " refused its own disk: " + refused.getMessage());
             } catch (IOException full) {
--- a/src/main/java/rockshift/net/Configuration.java
+++ b/src/main/java/rockshift/net/Configuration.java
@@ -29,17 +29,17 @@
     private static final double SECOND = 10_000;
 
     /** A file that can't be used; the message names it and the field. */
-    static final class Unusable extends Exception {
+    static final class InvalidFileException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unusable(String message) {
+        InvalidFileException(String message) {
             super(message);
         }
     }
 
-    static Configuration read(String file) throws Unusable {
+    static Configuration read(String file) throws InvalidFileException {
         if (file == null || file.isEmpty()) {
-            throw new Unusable("RELAY_CONFIG names no file");
+            throw new InvalidFileException("RELAY_CONFIG names no file");
         }
         String name = "governor";
         InetSocketAddress listen = null;
@@ -51,7 +51,7 @@
         String field = "";
         try (JsonParser json = new JsonFactory().createParser(new File(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new Unusable(file + ": no JSON object");
+                throw new InvalidFileException(file + ": no JSON object");
             }
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 field = json.currentName();
@@ -69,7 +69,8 @@
             }
         } catch (IOException | IllegalArgumentException wrong) {
             String what = wrong.getMessage() == null ? wrong.toString() : wrong.getMessage().split("\n")[0];
-            throw new Unusable(file + ": " + (field.isEmpty() ? "" : "field " + field + ": ") + what);
+            throw new InvalidFileException(
+                    file + ": " + (field.isEmpty() ? "" : "field " + field + ": ") + what);
         }
         require(file, "listen", listen);
         require(file, "discovery", discovery);
@@ -85,7 +86,7 @@
             }
             Double.parseDouble(terms.map().get("proxies"));
         } catch (NumberFormatException wrong) {
-            throw new Unusable(file + ": field settings: " + wrong.getMessage());
+            throw new InvalidFileException(file + ": field settings: " + wrong.getMessage());
         }
         return new Configuration(name, listen, discovery, seed, descriptors, known, terms.map());
     }
@@ -134,9 +135,9 @@
                 .mapToObj(k -> terms.get("class." + k + ".name")).toList();
     }
 
-    private static void require(String file, String field, Object value) throws Unusable {
+    private static void require(String file, String field, Object value) throws InvalidFileException {
         if (value == null) {
-            throw new Unusable(file + ": field " + field + " is missing");
+            throw new InvalidFileException(file + ": field " + field + " is missing");
         }
     }
 
--- a/src/main/java/rockshift/net/Serve.java
+++ b/src/main/java/rockshift/net/Serve.java
@@ -102,7 +102,7 @@
                             anew.discovery().getPort(), fixed.isEmpty() ? "" : "; takes a restart: " + fixed);
                     discovery.follow(anew.discovery());
                 }
-            } catch (Configuration.Unusable wrong) {
+            } catch (Configuration.InvalidFileException wrong) {
                 LOG.warn("{}; the file before stays in force", wrong.getMessage());
             }
         }
@@ -154,7 +154,7 @@
         try {
             serve = new Serve(Configuration.read(file), source);
             serve.start();
-        } catch (Configuration.Unusable wrong) {
+        } catch (Configuration.InvalidFileException wrong) {
             System.err.println(wrong.getMessage());
             return UNUSABLE;
         } catch (NumberFormatException wrong) {
--- a/src/main/java/rockshift/operator/Unusable.java
+++ b/src/main/java/rockshift/operator/InvalidFileException.java
@@ -1,10 +1,10 @@
 package rockshift.operator;
 
 /** A file that can't be used; the message names it, the line and the field. */
-public final class Unusable extends Exception {
+public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public Unusable(String file, int line, String field, String what) {
+    public InvalidFileException(String file, int line, String field, String what) {
         super(file + (line > 0 ? ", line " + line : "") + (field.isEmpty() ? "" : ", field " + field) + ": "
                 + what);
     }
--- a/src/main/java/rockshift/operator/Lines.java
+++ b/src/main/java/rockshift/operator/Lines.java
@@ -13,7 +13,7 @@
     private final Map<String, Integer> byPath = new HashMap<>();
     private final String file;
 
-    Lines(String file, String text) throws Unusable {
+    Lines(String file, String text) throws InvalidFileException {
         this.file = file;
         scan(text);
     }
@@ -29,7 +29,7 @@
         return 0;
     }
 
-    private void scan(String text) throws Unusable {
+    private void scan(String text) throws InvalidFileException {
         ArrayDeque<String> blocks = new ArrayDeque<>();
         ArrayDeque<Integer> opened = new ArrayDeque<>();
         StringBuilder words = new StringBuilder();
@@ -48,7 +48,7 @@
             } else if (c == '"') {
                 int end = endOfString(text, i + 1);
                 if (end >= text.length() || text.charAt(end) == '\n') {
-                    throw new Unusable(file, line, "", "a string that does not end");
+                    throw new InvalidFileException(file, line, "", "a string that does not end");
                 }
                 if (!valued) {
                     words.append(words.isEmpty() ? "" : ".").append(text, i + 1, end);
@@ -57,7 +57,7 @@
                 next = end + 1;
             } else if (c == '\n') {
                 if (valued && empty) {
-                    throw new Unusable(file, since, path(blocks, words.toString()), "no value");
+                    throw new InvalidFileException(file, since, path(blocks, words.toString()), "no value");
                 }
                 if (brackets == 0) {
                     valued = false;
@@ -74,14 +74,14 @@
                 empty = false;
             } else if (c == '{' && !valued) {
                 if (byPath.putIfAbsent(path(blocks, words.toString()), line) != null) {
-                    throw new Unusable(file, line, path(blocks, words.toString()), "given twice");
+                    throw new InvalidFileException(file, line, path(blocks, words.toString()), "given twice");
                 }
                 blocks.addLast(words.toString());
                 opened.addLast(line);
                 words.setLength(0);
             } else if (c == '}') {
                 if (blocks.isEmpty()) {
-                    throw new Unusable(file, line, "", "a closing brace too many");
+                    throw new InvalidFileException(file, line, "", "a closing brace too many");
                 }
                 blocks.removeLast();
                 opened.removeLast();
@@ -96,10 +96,10 @@
             }
         }
         if (valued && empty) {
-            throw new Unusable(file, since, path(blocks, words.toString()), "no value");
+            throw new InvalidFileException(file, since, path(blocks, words.toString()), "no value");
         }
         if (!blocks.isEmpty()) {
-            throw new Unusable(file, opened.getLast(), String.join(".", blocks),
+            throw new InvalidFileException(file, opened.getLast(), String.join(".", blocks),
                     "a block that is not closed");
         }
     }
--- a/src/main/java/rockshift/operator/OperatorFile.java
+++ b/src/main/java/rockshift/operator/OperatorFile.java
@@ -14,25 +14,25 @@
 
     private OperatorFile() {}
 
-    public static Section read(String file) throws Unusable {
+    public static Section read(String file) throws InvalidFileException {
         try {
             Path path = Path.of(file);
             if (Files.size(path) > LONGEST) {
-                throw new Unusable(file, 0, "", "over " + LONGEST + " bytes");
+                throw new InvalidFileException(file, 0, "", "over " + LONGEST + " bytes");
             }
             return parse(file, Files.readString(path));
         } catch (IOException failure) {
-            throw new Unusable(file, 0, "", "can't be read: " + failure.getMessage());
+            throw new InvalidFileException(file, 0, "", "can't be read: " + failure.getMessage());
         }
     }
 
-    static Section parse(String file, String text) throws Unusable {
+    static Section parse(String file, String text) throws InvalidFileException {
         Lines lines = new Lines(file, text);
         try {
             Map<String, Object> values = new HCLParser().parse(text);
             return new Section(file, lines, "", values);
         } catch (HCLParserException | IOException | RuntimeException wrong) {
-            throw new Unusable(file, 0, "",
+            throw new InvalidFileException(file, 0, "",
                     String.valueOf(wrong.getMessage()).lines().findFirst().orElse("no HCL"));
         }
     }
--- a/src/main/java/rockshift/operator/Section.java
+++ b/src/main/java/rockshift/operator/Section.java
@@ -37,9 +37,9 @@
         return path.isEmpty() ? field : path + "." + field;
     }
 
-    public Unusable wrong(String field, String what) {
+    public InvalidFileException wrong(String field, String what) {
         String full = field.isEmpty() ? path : path(field);
-        return new Unusable(file, lines.of(full), full, what);
+        return new InvalidFileException(file, lines.of(full), full, what);
     }
 
     private Object take(String field) {
@@ -51,7 +51,7 @@
         return values.get(field) != null;
     }
 
-    public String text(String field, String otherwise) throws Unusable {
+    public String text(String field, String otherwise) throws InvalidFileException {
         Object value = take(field);
         if (value == null && otherwise != null) {
             return otherwise;
@@ -64,7 +64,7 @@
     }
 
     /** A list of texts, each once; empty where the field is not there. */
-    public Set<String> texts(String field, int longest) throws Unusable {
+    public Set<String> texts(String field, int longest) throws InvalidFileException {
         Object value = take(field);
         if (value != null && !(value instanceof List<?>)) {
             throw wrong(field, "must be a list of texts, not " + value);
@@ -81,7 +81,7 @@
     }
 
     /** One of a few words. */
-    public String word(String field, String otherwise, String... allowed) throws Unusable {
+    public String word(String field, String otherwise, String... allowed) throws InvalidFileException {
         String value = text(field, otherwise);
         if (!List.of(allowed).contains(value)) {
             throw wrong(field, "must be one of " + String.join(", ", allowed) + ", not '" + value + "'");
@@ -89,7 +89,8 @@
         return value;
     }
 
-    public double number(String field, Double otherwise, double least, double most) throws Unusable {
+    public double number(String field, Double otherwise, double least, double most)
+            throws InvalidFileException {
         Object value = take(field);
         if (value == null && otherwise != null) {
             return otherwise;
@@ -104,7 +105,7 @@
         return number;
     }
 
-    public int whole(String field, Integer otherwise, int least, int most) throws Unusable {
+    public int whole(String field, Integer otherwise, int least, int most) throws InvalidFileException {
         double number = number(field, otherwise == null ? null : otherwise.doubleValue(), least, most);
         if (number != Math.rint(number)) {
             throw wrong(field, "must be a whole number, not " + number);
@@ -116,7 +117,7 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    public boolean flag(String field, boolean otherwise) throws Unusable {
+    public boolean flag(String field, boolean otherwise) throws InvalidFileException {
         Object value = take(field);
         if (value != null && !(value instanceof Boolean)) {
             throw wrong(field, "must be true or false, not " + value);
@@ -125,7 +126,7 @@
     }
 
     /** A span such as 200ms or 5s, in tenths of a ms. */
-    public long span(String field, String otherwise, long leastMs, long mostMs) throws Unusable {
+    public long span(String field, String otherwise, long leastMs, long mostMs) throws InvalidFileException {
         String value = text(field, otherwise);
         Matcher parts = SPAN.matcher(value);
         if (!parts.matches()) {
@@ -144,7 +145,7 @@
     }
 
     /** A size such as 4MB, in bytes. */
-    public long bytes(String field, String otherwise, long least, long most) throws Unusable {
+    public long bytes(String field, String otherwise, long least, long most) throws InvalidFileException {
         String value = text(field, otherwise);
         Matcher parts = BYTES.matcher(value);
         if (!parts.matches()) {
@@ -161,7 +162,7 @@
         return size;
     }
 
-    public InetSocketAddress address(String field, String otherwise) throws Unusable {
+    public InetSocketAddress address(String field, String otherwise) throws InvalidFileException {
         String value = text(field, otherwise);
         try {
             return socket(value);
@@ -185,13 +186,13 @@
     }
 
     /** A block within; null if it is not there. */
-    public Section block(String field) throws Unusable {
+    public Section block(String field) throws InvalidFileException {
         Object value = take(field);
         return value == null ? null : section(field, value);
     }
 
     /** Labelled blocks within, in their order. */
-    public Map<String, Section> blocks(String field) throws Unusable {
+    public Map<String, Section> blocks(String field) throws InvalidFileException {
         Map<String, Section> found = new LinkedHashMap<>();
         Object value = take(field);
         if (value instanceof Map<?, ?> map) {
@@ -204,7 +205,7 @@
         return found;
     }
 
-    private Section section(String field, Object value) throws Unusable {
+    private Section section(String field, Object value) throws InvalidFileException {
         if (!(value instanceof Map<?, ?> map)) {
             throw wrong(field, "must be a block");
         }
@@ -216,7 +217,7 @@
     }
 
     /** Refuses whatever nobody asked for: a field that is misspelt must not go unnoticed. */
-    public void end() throws Unusable {
+    public void end() throws InvalidFileException {
         for (String field : values.keySet()) {
             if (!read.contains(field)) {
                 throw wrong(field, "is not known here");
