--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Spec;
 import rockshift.kit.Explorer;
 import rockshift.kit.FaultInjection;
-import rockshift.kit.World;
+import rockshift.kit.SimulatedCluster;
 
 /** Plays the agreement in simulated worlds. */
 @Command(name = "explore", mixinStandardHelpOptions = true,
@@ -33,7 +33,8 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         if (seed != null) {
-            World.Result result = new World(seed, members, new FaultInjection(), true).run();
+            SimulatedCluster.Result result =
+                    new SimulatedCluster(seed, members, new FaultInjection(), true).run();
             result.account().forEach(out::println);
             out.println("seed " + seed + ": "
                     + (result.violation() == null ? "no violation" : result.violation()));
--- a/src/main/java/rockshift/kit/Explorer.java
+++ b/src/main/java/rockshift/kit/Explorer.java
@@ -5,12 +5,12 @@
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
 
-/** Plays many seeds of a {@link World}, side by side. */
+/** Plays many seeds of a {@link SimulatedCluster}, side by side. */
 public final class Explorer {
     private Explorer() {}
 
     /** What so many seeds came to; the worlds that broke a promise, by seed. */
-    public record Findings(long seeds, long steps, long changes, List<World.Result> broken) {
+    public record Findings(long seeds, long steps, long changes, List<SimulatedCluster.Result> broken) {
         public static final Findings NONE = new Findings(0, 0, 0, List.of());
 
         public Findings and(Findings other) {
@@ -24,17 +24,18 @@
     }
 
     public static Findings explore(long first, long seeds, int members, Supplier<FaultInjection> injection) {
-        List<World.Result> results = LongStream.range(first, first + seeds).parallel()
-                .mapToObj(seed -> new World(seed, members, injection.get(), false).run()).toList();
-        return new Findings(seeds, results.stream().mapToLong(World.Result::steps).sum(),
-                results.stream().mapToLong(World.Result::changes).sum(),
+        List<SimulatedCluster.Result> results = LongStream.range(first, first + seeds).parallel()
+                .mapToObj(seed -> new SimulatedCluster(seed, members, injection.get(), false).run()).toList();
+        return new Findings(seeds, results.stream().mapToLong(SimulatedCluster.Result::steps).sum(),
+                results.stream().mapToLong(SimulatedCluster.Result::changes).sum(),
                 results.stream().filter(result -> result.violation() != null).toList());
     }
 
     /** Plays seeds until one breaks a promise; answers one that does, or -1 after so many. */
     public static long until(long first, long most, int members, Supplier<FaultInjection> injection) {
         return LongStream.range(first, first + most).parallel()
-                .filter(seed -> new World(seed, members, injection.get(), false).run().violation() != null)
+                .filter(seed -> new SimulatedCluster(seed, members, injection.get(), false).run().violation()
+                        != null)
                 .findAny().orElse(-1);
     }
 }
--- a/src/main/java/rockshift/kit/History.java
+++ b/src/main/java/rockshift/kit/HistoryChecker.java
@@ -15,7 +15,7 @@
  * What has happened in a world, held against what the protocol promises. It sees every member from outside,
  * and every client only by what it asked and was told. The first breach ends the seed.
  */
-final class History {
+final class HistoryChecker {
     /** Something that must never happen did. */
     static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
--- a/src/main/java/rockshift/kit/World.java
+++ b/src/main/java/rockshift/kit/SimulatedCluster.java
@@ -26,9 +26,10 @@
 
 /**
  * Members, disks, a network and clients in simulated time, all from one seed. The members are the code that
- * ships; everything around them is worse than any real day. {@link History} is told of all that happens.
+ * ships; everything around them is worse than any real day. {@link HistoryChecker} is told of all that
+ * happens.
  */
-public final class World {
+public final class SimulatedCluster {
     /** Tenths of a ms: how long faults go on, and how long all may take to come to rest after it. */
     private static final long TROUBLED = 90_000;
     private static final long CALM = 30_000;
@@ -57,7 +58,7 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
                     : Long.compare(a.number, b.number));
-    private final History history = new History();
+    private final HistoryChecker history = new HistoryChecker();
     private final List<Host> hosts = new ArrayList<>();
     private final List<Client> clients = new ArrayList<>();
     private final boolean[][] cut;
@@ -78,7 +79,7 @@
     private long numbers;
     private boolean troubled = true;
 
-    public World(long seed, int members, FaultInjection injection, boolean telling) {
+    public SimulatedCluster(long seed, int members, FaultInjection injection, boolean telling) {
         this.seed = seed;
         this.injection = injection;
         this.telling = telling;
@@ -145,7 +146,7 @@
             rest();
             play(TROUBLED + CALM);
             end();
-        } catch (History.Violation broken) {
+        } catch (HistoryChecker.Violation broken) {
             violation = broken.getMessage();
             tell("VIOLATION %s", violation);
         } catch (IOException failure) {
@@ -178,7 +179,7 @@
 
     private void end() {
         if (clients.stream().noneMatch(client -> client.doneAt > TROUBLED)) {
-            throw new History.Violation("progress: nothing was agreed after all faults had ended");
+            throw new HistoryChecker.Violation("progress: nothing was agreed after all faults had ended");
         }
         leaders().findFirst().filter(host -> host.engine.raft().applied() == host.engine.raft().commit())
                 .ifPresent(host -> history.ends(host.changes));
@@ -424,7 +425,7 @@
                 }
                 tell("n%d starts with %d entries, %s", place, engine.raft().log().last(), found.ballot());
             } catch (UnrecoverableStorageException refused) {
-                throw new History.Violation(
+                throw new HistoryChecker.Violation(
                         "recovery: n" + place + " refused its own disk: " + refused.getMessage());
             } catch (IOException full) {
                 tell("n%d can't start: %s", place, full.getMessage());
