--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -20,6 +20,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import rockshift.kit.Charts;
+import rockshift.scale.Capacity;
 import rockshift.scale.FleetShape;
 import rockshift.scale.GovernorRun;
 import rockshift.scale.GovernorSample;
@@ -32,7 +33,8 @@
 @Command(name = "scale", mixinStandardHelpOptions = true,
         description = "Measures how costs grow with size, on loopback.",
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {ScaleCommands.GovernorCommand.class, ScaleCommands.RunCommand.class})
+        subcommands = {ScaleCommands.GovernorCommand.class, ScaleCommands.RunCommand.class,
+            ScaleCommands.CapacityCommand.class})
 final class ScaleCommands extends CommandGroup {
     /** One real governor before fleets of several sizes. */
     @Command(name = "governor", mixinStandardHelpOptions = true,
@@ -212,14 +214,15 @@
         private void keep(ScaleRun.Outcome outcome) throws IOException {
             Files.createDirectories(kept);
             String label = governors + "," + changes + "," + seed + "," + changeRate + "," + killRate + ","
-                    + cutSeconds;
+                    + cutSeconds
+                    + "," + !outcome.voidReasons().isEmpty();
             StringBuilder rows = new StringBuilder();
             outcome.figures().forEach((name, value) -> rows
                     .append(String.format(Locale.ROOT, "%s,\"%s\",%.4f%n", label, name, value)));
             rows.append(label + ",\"" + outcome.line() + "\",\n");
             outcome.voidReasons().forEach(reason -> rows.append(label + ",\"void: " + reason + "\",\n"));
             append(kept.resolve("run.csv"),
-                    "governors,changes,seed,change_rate,kill_rate,cut_seconds,figure,value\n",
+                    "governors,changes,seed,change_rate,kill_rate,cut_seconds,void,figure,value\n",
                     rows.toString());
             if (outcome.verdict().everywhere().getTotalCount() > 0) {
                 Charts.tail(kept.resolve("run-" + governors + ".png"),
@@ -238,6 +241,38 @@
         }
     }
 
+    /** What was measured, at the target. */
+    @Command(name = "capacity", mixinStandardHelpOptions = true,
+            description = "Works out the target from the tables that the other commands kept, beside"
+                    + " the budgets.")
+    static final class CapacityCommand implements Callable<Integer> {
+        @Spec
+        private CommandSpec spec;
+        @Option(names = "--from", required = true, paramLabel = "FOLDER",
+                description = "where governor.csv and run.csv are, and the chart is kept")
+        private Path folder;
+
+        @Override
+        public Integer call() throws IOException {
+            List<Capacity.Worked> all = new Capacity(folder).worked();
+            Map<String, Double> factors = new LinkedHashMap<>();
+            all.stream().filter(Capacity.Worked::budgeted)
+                    .forEach(worked -> factors.put(worked.what(), worked.factor()));
+            table(all.stream().filter(Capacity.Worked::budgeted).toList());
+            table(all.stream().filter(worked -> !worked.budgeted()).toList());
+            Charts.factors(folder.resolve("budgets.png"), "Times the budget at the target: below 1 holds",
+                    factors);
+            return Commands.HELD;
+        }
+
+        private void table(List<Capacity.Worked> rows) {
+            PrintWriter out = spec.commandLine().getOut();
+            out.println("| figure | at the target (95%) | budget | line |\n| --- | --- | --- | --- |");
+            rows.forEach(worked -> out.println(worked.row()));
+            out.println();
+        }
+    }
+
     private static void append(Path file, String header, String rows) throws IOException {
         Files.writeString(file, (Files.exists(file) ? "" : header) + rows, StandardOpenOption.CREATE,
                 StandardOpenOption.APPEND);
--- a/src/main/java/rockshift/kit/Charts.java
+++ b/src/main/java/rockshift/kit/Charts.java
@@ -27,6 +27,21 @@
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
+    /** Times a budget by name, on a logarithmic axis: what ends below 1 holds. */
+    public static void factors(Path file, String title, Map<String, ? extends Number> values)
+            throws IOException {
+        System.setProperty("java.awt.headless", "true");
+        CategoryChart chart = new CategoryChartBuilder().width(1_000).height(600).title(title)
+                .yAxisTitle("times the budget").build();
+        chart.getStyler().setYAxisLogarithmic(true);
+        chart.getStyler().setXAxisLabelRotation(90);
+        chart.getStyler().setLegendVisible(false);
+        chart.getStyler().setYAxisMin(0.01);
+        chart.getStyler().setYAxisMax(100.0);
+        chart.addSeries("factor", new ArrayList<>(values.keySet()), new ArrayList<Number>(values.values()));
+        BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
+    }
+
     /** The share of values that are slower, against the value: the tail of a histogram in us, in ms. */
     public static void tail(Path file, String title, Histogram taken) throws IOException {
         System.setProperty("java.awt.headless", "true");
--- a/src/main/java/rockshift/scale/GovernorRun.java
+++ b/src/main/java/rockshift/scale/GovernorRun.java
@@ -22,6 +22,7 @@
     private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
     /** What the collector's log says after each collection: heap before, heap after, heap committed. */
     private static final Pattern COLLECTION = Pattern.compile("(\\d+)M->(\\d+)M\\((\\d+)M\\)");
+    private static final String DECIDING_THREAD = "event-loop";
     private static final String FOLDER_PREFIX = "rockshift-scale";
     /** Ms that a rig's round of reports may be late before the run counts for nothing: two rounds. */
     private static final long RIG_LATE_MILLIS = 100;
@@ -71,35 +72,56 @@
         }
     }
 
+    /** What was counted at one moment. */
+    private record Counts(ProcessUsage usage, FleetStandIn.Traffic traffic, DiscoveryStandIn.Traffic asked) {}
+
     private GovernorSample measure(int run, Times times) throws IOException, InterruptedException {
         try (FleetStandIn fleet = new FleetStandIn(shape, governor.awaitPort(), run)) {
             double tables = awaitTables(fleet, times.tables());
-            TimeUnit.MILLISECONDS.sleep(times.settle());
-            long lateBefore = fleet.latestMillis();
-            ProcessUsage before = ProcessUsage.of(governor.pid());
-            FleetStandIn.Traffic sent = fleet.traffic();
-            DiscoveryStandIn.Traffic asked = discovery.traffic();
-            TimeUnit.MILLISECONDS.sleep(times.watch());
-            ProcessUsage after = ProcessUsage.of(governor.pid());
-            FleetStandIn.Traffic total = fleet.traffic();
-            DiscoveryStandIn.Traffic answered = discovery.traffic();
-            double seconds = (after.takenNanos() - before.takenNanos()) / 1e9;
-            Heap heap = watchHeap ? heap() : new Heap(Double.NaN, Double.NaN);
-            boolean late = fleet.latestMillis() > Math.max(lateBefore, RIG_LATE_MILLIS);
-            return new GovernorSample(shape, run, after.coreShareSince(before),
-                    after.coreShareSince(before, "event-loop"),
-                    after.coreShareSince(before) - after.coreShareSince(before, "event-loop"),
-                    (total.bytesIn() - sent.bytesIn()) / seconds,
-                    (total.bytesOut() - sent.bytesOut()) / seconds,
-                    (total.messagesIn() - sent.messagesIn()) / seconds,
-                    (total.messagesOut() - sent.messagesOut()) / seconds,
-                    (answered.bytes() - asked.bytes()) / seconds, after.residentMegabytes(),
-                    after.peakMegabytes(), heap.live(), heap.committed(), tables,
-                    fleet.withTables(), fleet.lostConnections(), fleet.droppedReports(), fleet.latestMillis(),
-                    ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage(), late);
+            try {
+                TimeUnit.MILLISECONDS.sleep(times.settle());
+                long lateBefore = fleet.latestMillis();
+                Counts before = count(fleet);
+                TimeUnit.MILLISECONDS.sleep(times.watch());
+                Counts after = count(fleet);
+                boolean late = fleet.latestMillis() > Math.max(lateBefore, RIG_LATE_MILLIS);
+                return sample(run, fleet, tables, before, after, late);
+            } catch (IOException unread) {
+                if (governor.isAlive()) {
+                    throw unread;
+                }
+                return GovernorSample.died(shape, run, tables, fleet.withTables(), fleet.lostConnections(),
+                        loadAverage());
+            }
         }
     }
 
+    private Counts count(FleetStandIn fleet) throws IOException {
+        return new Counts(ProcessUsage.of(governor.pid()), fleet.traffic(), discovery.traffic());
+    }
+
+    private static double loadAverage() {
+        return ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
+    }
+
+    private GovernorSample sample(int run, FleetStandIn fleet, double tables, Counts before, Counts after,
+            boolean late) throws IOException {
+        double seconds = (after.usage().takenNanos() - before.usage().takenNanos()) / 1e9;
+        double share = after.usage().coreShareSince(before.usage());
+        double deciding = after.usage().coreShareSince(before.usage(), DECIDING_THREAD);
+        FleetStandIn.Traffic from = before.traffic();
+        FleetStandIn.Traffic to = after.traffic();
+        Heap heap = watchHeap ? heap() : new Heap(Double.NaN, Double.NaN);
+        return new GovernorSample(shape, run, share, deciding, share - deciding,
+                (to.bytesIn() - from.bytesIn()) / seconds, (to.bytesOut() - from.bytesOut()) / seconds,
+                (to.messagesIn() - from.messagesIn()) / seconds,
+                (to.messagesOut() - from.messagesOut()) / seconds,
+                (after.asked().bytes() - before.asked().bytes()) / seconds,
+                after.usage().residentMegabytes(), after.usage().peakMegabytes(), heap.live(),
+                heap.committed(), tables, fleet.withTables(), fleet.lostConnections(), fleet.droppedReports(),
+                fleet.latestMillis(), loadAverage(), late, false);
+    }
+
     /** Seconds until all proxies had a table, or NaN where the wait was over before. */
     private double awaitTables(FleetStandIn fleet, long millis) throws InterruptedException {
         long began = System.nanoTime();
--- a/src/main/java/rockshift/scale/GovernorSweep.java
+++ b/src/main/java/rockshift/scale/GovernorSweep.java
@@ -23,15 +23,15 @@
 
     /** What is measured of each run and fitted against the size. */
     public enum Figure {
-        CORE_SHARE("share of a core", GovernorSample::coreShare),
+        CORE_SHARE("core", GovernorSample::coreShare),
         DECISION_SHARE("share of a core that decides", GovernorSample::decisionShare),
         SOCKET_SHARE("share of a core for sockets and the virtual machine", GovernorSample::socketShare),
         BYTES_IN("bytes a second in", GovernorSample::bytesIn),
-        BYTES_OUT("bytes a second out", GovernorSample::bytesOut),
+        BYTES_OUT("B/s out", GovernorSample::bytesOut),
         MESSAGES_IN("messages a second in", GovernorSample::messagesIn),
         MESSAGES_OUT("messages a second out", GovernorSample::messagesOut),
         RESIDENT("MB resident", GovernorSample::residentMegabytes),
-        PEAK("MB resident at the peak", GovernorSample::peakMegabytes),
+        PEAK("MB at the peak", GovernorSample::peakMegabytes),
         HEAP("MB of heap after a collection", GovernorSample::heapMegabytes),
         TABLES("s until all proxies have tables", GovernorSample::tablesSeconds);
 
@@ -135,7 +135,8 @@
                 "%s, run %d%s: %.1f%% of a core, %.1f MB, tables after %.1f s%s", sample.shape(),
                 sample.run(), sample.run() == 0 ? " (heap)" : "", 100 * sample.coreShare(),
                 sample.residentMegabytes(),
-                sample.tablesSeconds(), sample.isVoid() ? ", void: the rig was late" : ""));
+                sample.tablesSeconds(), sample.died() ? ", the governor ended by itself"
+                        : sample.isVoid() ? ", void: the rig was late" : ""));
     }
 
     public List<GovernorSample> samples() {
--- a/src/main/java/rockshift/scale/ScaleRun.java
+++ b/src/main/java/rockshift/scale/ScaleRun.java
@@ -102,6 +102,7 @@
             figures.put("load average at the end",
                     ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
             ScaleVerdict verdict = checker.verdict();
+            figures.put("in force everywhere, longest ms", (double) verdict.everywhere().getMaxValue());
             figures.put("start of a governor until in force, p99 ms",
                     (double) verdict.restarts().getValueAtPercentile(99));
             figures.put("start of a governor until in force, longest ms",
