--- a/src/main/java/rockshift/scale/Capacity.java
+++ b/src/main/java/rockshift/scale/Capacity.java
@@ -131,7 +131,8 @@
         run(all, "busiest member, share of a core", Double.NaN);
         run(all, "all governors at once until in force, ms", Double.NaN);
         run(all, "all governors again at once until in force, ms", Double.NaN);
-        run(all, "start of a governor until in force, p99 ms", Double.NaN);
+        run(all, "one governor started until in force, median ms", Double.NaN);
+        run(all, "one governor started until in force, longest ms", Double.NaN);
         return all;
     }
 
--- a/src/main/java/rockshift/scale/HollowGovernor.java
+++ b/src/main/java/rockshift/scale/HollowGovernor.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
+import org.HdrHistogram.Histogram;
 import rockshift.cluster.DistributionClient;
 import rockshift.cluster.DistributionListener;
 import rockshift.cluster.DistributionReactor;
@@ -30,6 +31,11 @@
     private final UnaryOperator<Item> shared;
     private final SplittableRandom random;
     private DistributionClient client;
+    /**
+     * When this life began, and who wants to know how long its first snapshot took; null once that is told.
+     */
+    private long startedAt;
+    private volatile Histogram startTimes;
 
     HollowGovernor(String name, Scope scope, List<InetSocketAddress> upstreams, DistributionReactor reactor,
             ScaleChecker checker, UnaryOperator<Item> shared, long seed) {
@@ -51,9 +57,11 @@
         return name;
     }
 
-    /** Begins a life that holds nothing. */
-    synchronized void start() {
-        checker.saw(new Observation.Started(now(), name, scope));
+    /** Begins a life that holds nothing; the ms until its first snapshot is in force are recorded. */
+    synchronized void start(Histogram times) {
+        startedAt = now();
+        startTimes = times;
+        checker.saw(new Observation.Started(startedAt, name, scope));
         client = new DistributionClient(reactor, name, upstreams, scope, Limits.standard(), random.split(),
                 this);
         client.start();
@@ -79,6 +87,11 @@
 
     @Override
     public void snapshot(Revision revision, List<Item> items, Runnable inForce) {
+        Histogram times = startTimes;
+        if (times != null) {
+            times.recordValue(now() - startedAt);
+            startTimes = null;
+        }
         checker.saw(
                 new Observation.SnapshotTaken(now(), name, revision, items.stream().map(shared).toList()));
         inForce.run();
@@ -97,6 +110,8 @@
 
     @Override
     public synchronized void close() {
-        client.close();
+        if (client != null) {
+            client.close();
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/rockshift/scale/RoleUsage.java
@@ -0,0 +1,46 @@
+package rockshift.scale;
+
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import rockshift.kit.ProcessUsage;
+
+/** What the processes of each role have used, from when they were added until they are asked for. */
+final class RoleUsage {
+    static final String RELAY = "relay";
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    /** One process and what it is there for. */
+    private record Place(String role, long pid) {}
+
+    private final Map<Place, ProcessUsage> before = new HashMap<>();
+
+    void add(String role, long pid) throws IOException {
+        before.put(new Place(role, pid), ProcessUsage.of(pid));
+    }
+
+    /**
+     * The most that a process of each role used since, by figure; what relays passed is shared by governors.
+     */
+    Map<String, Double> since(int governors) throws IOException {
+        Map<String, Double> figures = new LinkedHashMap<>();
+        for (Map.Entry<Place, ProcessUsage> each : before.entrySet()) {
+            ProcessUsage then = each.getValue();
+            ProcessUsage now = ProcessUsage.of(each.getKey().pid());
+            String role = each.getKey().role();
+            double seconds = (now.takenNanos() - then.takenNanos()) / NANOS_PER_SECOND;
+            double read = (now.bytesRead() - then.bytesRead()) / seconds;
+            double written = (now.bytesWritten() - then.bytesWritten()) / seconds;
+            if (role.equals(RELAY)) {
+                figures.merge("governor, bytes a second", (read + written) / governors, Double::sum);
+            }
+            figures.merge(role + ", share of a core", now.coreShareSince(then), Math::max);
+            figures.merge(role + ", bytes a second read", read, Math::max);
+            figures.merge(role + ", bytes a second written", written, Math::max);
+            figures.merge(role + ", most MB resident", now.peakMegabytes(), Math::max);
+            figures.merge("steady for, s", seconds, Math::max);
+        }
+        return figures;
+    }
+}
--- a/src/main/java/rockshift/scale/ScaleChecker.java
+++ b/src/main/java/rockshift/scale/ScaleChecker.java
@@ -34,7 +34,6 @@
     private final Map<Long, Map<String, Update>> truths = new HashMap<>();
     /** When each change was in force where it took longest, in ms since it was asked for. */
     private final Map<Long, Long> slowest = new TreeMap<>();
-    private final Histogram restarts = new Histogram(3);
     private final List<String> examples = new ArrayList<>();
     private long endMillis;
     private int lost;
@@ -56,7 +55,7 @@
         byGovernor.forEach((name, seen) -> new Life(name).follow(seen));
         Histogram everywhere = new Histogram(3);
         slowest.values().forEach(everywhere::recordValue);
-        return new ScaleVerdict(byGovernor.size(), agreed.size(), everywhere, restarts, lost, disordered,
+        return new ScaleVerdict(byGovernor.size(), agreed.size(), everywhere, lost, disordered,
                 stale,
                 List.copyOf(examples));
     }
@@ -168,9 +167,6 @@
                 }
             });
             items.values().forEach(item -> disorder("the snapshot holds " + item + ", never agreed"));
-            if (held.isNone()) {
-                restarts.recordValue(Math.max(0, snapshot.atMillis() - startedAt));
-            }
             reach(snapshot.revision(), snapshot.atMillis());
         }
 
--- /dev/null
+++ b/src/main/java/rockshift/scale/ScaleCluster.java
@@ -0,0 +1,210 @@
+package rockshift.scale;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.stream.Stream;
+import rockshift.cluster.Client;
+import rockshift.cluster.DistributionReactor;
+import rockshift.distribution.Item;
+import rockshift.distribution.Scope;
+import rockshift.kit.GovernorProcesses;
+
+/**
+ * Five members as processes, relays as processes, some real governors, and many hollow ones in this process,
+ * on
+ * loopback. It owns all that it starts, and ends it also when this program is ended.
+ */
+final class ScaleCluster implements AutoCloseable {
+    private static final String ELECTION = "1s";
+    /** Hollow governors that share two threads. */
+    private static final int GOVERNORS_PER_REACTOR = 325;
+    private static final long START_MILLIS = 120_000;
+
+    private final Scenario scenario;
+    private final ScaleChecker checker;
+    private final Consumer<String> progress;
+    private final Path folder = Files.createTempDirectory("rockshift-scale-run");
+    private final SplittableRandom random;
+    private final GovernorProcesses members;
+    private final List<Region> regions = new ArrayList<>();
+    private final List<DistributionReactor> reactors = new ArrayList<>();
+    private final List<HollowGovernor> governors = new ArrayList<>();
+    private final List<GovernorInRegion> processes = new ArrayList<>();
+    /** Items that many governors hold, kept once. */
+    private final Map<Item, Item> items = new ConcurrentHashMap<>();
+    private final Thread atEnd = new Thread(this::deleteFolder);
+
+    ScaleCluster(Scenario scenario, ScaleChecker checker, Consumer<String> progress) throws IOException {
+        this.scenario = scenario;
+        this.checker = checker;
+        this.progress = progress;
+        Runtime.getRuntime().addShutdownHook(atEnd);
+        random = new SplittableRandom(scenario.seed());
+        members = new GovernorProcesses(folder, Scenario.MEMBERS, ELECTION, scenario.seed(),
+                (member, life, line) -> {});
+    }
+
+    GovernorProcesses members() {
+        return members;
+    }
+
+    List<Region> regions() {
+        return regions;
+    }
+
+    List<HollowGovernor> governors() {
+        return governors;
+    }
+
+    /** Governors of both kinds. */
+    int subscribers() {
+        return governors.size() + processes.size();
+    }
+
+    /** Where members take commands. */
+    List<String> fronts() {
+        List<String> fronts = new ArrayList<>();
+        for (int i = 0; i < Scenario.MEMBERS; i++) {
+            fronts.add(members.front(i));
+        }
+        return fronts;
+    }
+
+    /** Starts members, relays and real governors; hollow ones are there and not started. */
+    void start() throws IOException, InterruptedException {
+        for (int i = 0; i < Scenario.MEMBERS; i++) {
+            members.start(i);
+        }
+        progress.accept(Scenario.MEMBERS + " members serve");
+        List<Integer> ports = fronts().stream().map(front -> Integer.parseInt(front.split(":")[1])).toList();
+        for (int i = 0; i < scenario.regions(); i++) {
+            regions.add(new Region("region-" + i, folder, ports, scenario.seed() + i));
+        }
+        for (Region region : regions) {
+            startRelays(region);
+        }
+        progress.accept(Region.RELAYS * regions.size() + " relays serve");
+        for (int i = 0; i < scenario.processes(); i++) {
+            processes.add(new GovernorInRegion("process-" + i, folder,
+                    regions.get(i % regions.size()).upstreams(i), checker));
+        }
+        for (int i = 0; i < scenario.governors(); i++) {
+            governors.add(governor(i));
+        }
+    }
+
+    private static void startRelays(Region region) throws IOException, InterruptedException {
+        for (int i = 0; i < Region.RELAYS; i++) {
+            region.startRelay(i);
+        }
+        for (int i = 0; i < Region.RELAYS; i++) {
+            region.awaitRelay(i);
+        }
+    }
+
+    private int regionOf(int governor) {
+        return governor % scenario.regions();
+    }
+
+    private HollowGovernor governor(int number) {
+        if (number % GOVERNORS_PER_REACTOR == 0) {
+            reactors.add(new DistributionReactor());
+        }
+        int zone =
+                regionOf(number) + scenario.regions() * random.nextInt(Scenario.ZONES / scenario.regions());
+        Scope scope = Scope.of(Set.of(Scenario.service(random.nextInt(Scenario.SERVICES))),
+                Set.of(Scenario.zone(zone)));
+        return new HollowGovernor("g-" + number, scope,
+                regions.get(regionOf(number)).upstreams(number / scenario.regions()),
+                reactors.get(reactors.size() - 1), checker,
+                item -> items.computeIfAbsent(item, one -> one), random.nextLong());
+    }
+
+    /** Waits until each hollow governor holds something. */
+    void awaitGovernors() throws IOException, InterruptedException {
+        long end = HollowGovernor.now() + START_MILLIS;
+        while (!governors.stream().allMatch(HollowGovernor::holdsSomething)) {
+            if (HollowGovernor.now() > end) {
+                throw new IOException(governors.stream().filter(one -> !one.holdsSomething()).count()
+                        + " governors hold nothing after " + START_MILLIS + " ms");
+            }
+            TimeUnit.MILLISECONDS.sleep(10);
+        }
+    }
+
+    /** The governors of a region, hollow and real. */
+    List<String> namesIn(int region) {
+        List<String> names = new ArrayList<>();
+        for (int i = region; i < governors.size(); i += scenario.regions()) {
+            names.add(governors.get(i).name());
+        }
+        for (int i = region; i < processes.size(); i += scenario.regions()) {
+            names.add(processes.get(i).name());
+        }
+        return names;
+    }
+
+    /** The number of the member that leads, or 0 while none says so. */
+    int leader() throws IOException {
+        try (Client client = new Client(fronts(), random.split(), 1_000)) {
+            for (var status : client.statuses().entrySet()) {
+                if (status.getValue().path("role").asText().equals("leader")) {
+                    return fronts().indexOf(status.getKey());
+                }
+            }
+        }
+        return 0;
+    }
+
+    /** What the processes of each role used so far. */
+    RoleUsage usage(int leader) throws IOException {
+        RoleUsage usage = new RoleUsage();
+        for (Region region : regions) {
+            for (int i = 0; i < Region.RELAYS; i++) {
+                usage.add(RoleUsage.RELAY, region.pid(i));
+            }
+        }
+        for (int i = 0; i < Scenario.MEMBERS; i++) {
+            usage.add(i == leader ? "leader" : "follower", members.pid(i));
+        }
+        for (GovernorInRegion process : processes) {
+            usage.add("real governor", process.pid());
+        }
+        return usage;
+    }
+
+    private void deleteFolder() {
+        try (Stream<Path> files = Files.walk(folder)) {
+            files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
+        } catch (IOException gone) {
+            // Nothing is left of it.
+        }
+    }
+
+    @Override
+    public void close() throws IOException, InterruptedException {
+        governors.forEach(HollowGovernor::close);
+        for (DistributionReactor reactor : reactors) {
+            reactor.close();
+        }
+        for (GovernorInRegion process : processes) {
+            process.close();
+        }
+        for (Region region : regions) {
+            region.close();
+        }
+        members.close();
+        deleteFolder();
+        Runtime.getRuntime().removeShutdownHook(atEnd);
+    }
+}
--- a/src/main/java/rockshift/scale/ScaleVerdict.java
+++ b/src/main/java/rockshift/scale/ScaleVerdict.java
@@ -11,13 +11,12 @@
  * @param changes changes agreed
  * @param everywhere ms from the asking of a change until it was in force at every governor that it concerns,
  * outside cuts
- * @param restarts ms from the start of a governor until its first snapshot was in force
  * @param lost changes missing at a governor that should have them
  * @param disordered revisions that went back, came twice, or came without having been agreed or asked for
  * @param stale governors that were not up to date in time after a cut, or called fresh what was not
  * @param examples the first of each kind, in words
  */
-public record ScaleVerdict(int governors, int changes, Histogram everywhere, Histogram restarts, int lost,
+public record ScaleVerdict(int governors, int changes, Histogram everywhere, int lost,
         int disordered, int stale, List<String> examples) {
     /** Ms within which each change is to be in force everywhere. */
     public static final long IN_FORCE_MILLIS = 5_000;
