--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -145,9 +146,34 @@
                                 s.path("disk").asText());
                     }
                 }
+                if (!whom.json) {
+                    tellBelow(whom.out(), all.values());
+                }
                 return reached ? Commands.HELD : Commands.BROKEN;
             }
         }
+
+        /** Sums up what is in force below all members; a governor counts at one of them. */
+        private static void tellBelow(PrintWriter out, Collection<JsonNode> members) {
+            int subscribers = 0;
+            int behind = 0;
+            int unreachable = 0;
+            long lowest = Long.MAX_VALUE;
+            for (JsonNode member : members) {
+                JsonNode below = member.path("distribution");
+                subscribers += below.path("subscribers").asInt();
+                behind += below.path("behind").asInt();
+                unreachable += below.path("unreachable").asInt();
+                if (below.path("subscribers").asInt() > 0) {
+                    lowest = Math.min(lowest, below.path("lowest").asLong());
+                }
+            }
+            if (subscribers > 0) {
+                out.printf("%d governors subscribe: version %d is in force at all of them, ", subscribers,
+                        lowest);
+                out.printf("%d behind, %d unreachable%n", behind, unreachable);
+            }
+        }
     }
 
     @Command(name = "propose", mixinStandardHelpOptions = true,
