--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -34,8 +34,8 @@
             ClusterCommands.Transfer.class, ClusterCommands.Snapshot.class, ClusterCommands.ListChanges.class,
             ExploreCommand.class, MeasureCommands.TrialCommand.class, MeasureCommands.BenchCommand.class})
 final class ClusterCommands extends CommandGroup {
-    /** Whom to ask, and for how long. */
-    static final class Whom {
+    /** TargetOptions to ask, and for how long. */
+    static final class TargetOptions {
         @Option(names = "--at", split = ",", paramLabel = "ADDRESS",
                 description = "members to ask, by HOST:PORT")
         private List<String> at = List.of();
@@ -86,7 +86,7 @@
             } else {
                 out().println(refused.isEmpty() ? done : "refused: " + refused);
             }
-            return refused.isEmpty() ? Commands.HELD : Commands.BROKEN;
+            return refused.isEmpty() ? Commands.SUCCESS : Commands.FAILURE;
         }
 
         int change(Change change, boolean force)
@@ -109,15 +109,15 @@
             description = "Tells where each member stands.")
     static final class Status implements Callable<Integer> {
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = whom.client()) {
+            try (Client client = target.client()) {
                 Map<String, JsonNode> all = client.statuses();
                 boolean reached = false;
-                if (!whom.json) {
-                    whom.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s  %s%n",
+                if (!target.json) {
+                    target.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s  %s%n",
                             "address",
                             "name", "role", "term", "leader", "orders", "agreed", "applied", "version",
                             "subscribers",
@@ -126,14 +126,14 @@
                 for (Map.Entry<String, JsonNode> each : all.entrySet()) {
                     JsonNode s = each.getValue();
                     reached |= s.path("in_touch").asBoolean();
-                    if (whom.json) {
-                        whom.out().println(s);
+                    if (target.json) {
+                        target.out().println(s);
                     } else if (s.has("unreached")) {
-                        whom.out().printf("%-22s not reached: %s%n", each.getKey(),
+                        target.out().printf("%-22s not reached: %s%n", each.getKey(),
                                 s.path("unreached").asText());
                     } else {
                         JsonNode below = s.path("distribution");
-                        whom.out().printf(
+                        target.out().printf(
                                 "%-22s %-12s %-10s %6d %-12s %-9s %9d %9d %8d %11d %8s %6d %11d  %s%n",
                                 each.getKey(), s.path("name").asText(), s.path("role").asText(),
                                 s.path("term").asLong(),
@@ -146,10 +146,10 @@
                                 s.path("disk").asText());
                     }
                 }
-                if (!whom.json) {
-                    tellBelow(whom.out(), all.values());
+                if (!target.json) {
+                    tellBelow(target.out(), all.values());
                 }
-                return reached ? Commands.HELD : Commands.BROKEN;
+                return reached ? Commands.SUCCESS : Commands.FAILURE;
             }
         }
 
@@ -184,7 +184,7 @@
         enum What { TERM, BUDGET }
 
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
         @Parameters(index = "0", paramLabel = "term|budget")
         private What what;
         @Parameters(index = "1", paramLabel = "NAME")
@@ -196,7 +196,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return whom.change(new Change(Change.Kind.valueOf(what.name()), name, 0, value, reason), false);
+            return target.change(new Change(Change.Kind.valueOf(what.name()), name, 0, value, reason), false);
         }
     }
 
@@ -204,7 +204,7 @@
     abstract static class ReplicaCommand implements Callable<Integer> {
         private final Change.Kind kind;
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
         @Parameters(index = "0", paramLabel = "REPLICA", description = "its name in discovery")
         private String replica;
         @Option(names = "--reason", defaultValue = "", description = "for the record")
@@ -218,7 +218,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return whom.change(change(kind, replica, reason), force);
+            return target.change(change(kind, replica, reason), force);
         }
 
         Change change(Change.Kind of, String subject, String why) {
@@ -226,7 +226,7 @@
         }
     }
 
-    /** Asks that a replica be kept out, by everyone or by those whom it concerns. */
+    /** Asks that a replica be kept out, by everyone or by those target it concerns. */
     abstract static class KeepOutCommand extends ReplicaCommand {
         @Option(names = "--service", defaultValue = "",
                 description = "the service that it concerns; every one if left out")
@@ -278,7 +278,7 @@
             description = "Adds a member that runs already: it is brought up to date first and votes then.")
     static final class Add implements Callable<Integer> {
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
         @Parameters(index = "1", paramLabel = "ADDRESS")
@@ -288,18 +288,18 @@
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = whom.client()) {
+            try (Client client = target.client()) {
                 JsonNode self = client.ask(address, Client.call("status"));
                 if (!self.path("name").asText().equals(name)) {
-                    whom.out().println(
+                    target.out().println(
                             "refused: at " + address + " is " + self.path("name").asText() + ", not " + name);
-                    return Commands.BROKEN;
+                    return Commands.FAILURE;
                 }
-                return whom.tell(
+                return target.tell(
                         client.askLeader(
                                 Client.call("add").put("id", self.path("number").asLong()).put("name", name)
                                         .put("address", address).put("learner", learner),
-                                whom.deadline()),
+                                target.deadline()),
                         name + " added");
             }
         }
@@ -308,13 +308,13 @@
     @Command(name = "remove", mixinStandardHelpOptions = true, description = "Removes a member.")
     static final class Remove implements Callable<Integer> {
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
         @Override
         public Integer call() throws Exception {
-            return whom.ask(Client.call("remove").put("name", name), name + " removed");
+            return target.ask(Client.call("remove").put("name", name), name + " removed");
         }
     }
 
@@ -322,13 +322,13 @@
             description = "Hands leadership to a member.")
     static final class Transfer implements Callable<Integer> {
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
         @Override
         public Integer call() throws Exception {
-            return whom.ask(Client.call("transfer").put("name", name), "handing over to " + name);
+            return target.ask(Client.call("transfer").put("name", name), "handing over to " + name);
         }
     }
 
@@ -336,11 +336,11 @@
             description = "Has the first member that answers take a snapshot now.")
     static final class Snapshot implements Callable<Integer> {
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
 
         @Override
         public Integer call() throws Exception {
-            return whom.ask(Client.call("snapshot"), "a snapshot is taken, where there is anything new");
+            return target.ask(Client.call("snapshot"), "a snapshot is taken, where there is anything new");
         }
     }
 
@@ -348,21 +348,21 @@
             description = "Lists changes as they were applied, in order.")
     static final class ListChanges implements Callable<Integer> {
         @Mixin
-        private Whom whom;
+        private TargetOptions target;
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = whom.client()) {
-                JsonNode answer = client.askLeader(Client.call("log"), whom.deadline());
-                if (whom.json) {
-                    whom.out().println(answer);
+            try (Client client = target.client()) {
+                JsonNode answer = client.askLeader(Client.call("log"), target.deadline());
+                if (target.json) {
+                    target.out().println(answer);
                 } else {
                     answer.path("changes")
-                            .forEach(change -> whom.out().printf("%9d  %s  %s%n",
+                            .forEach(change -> target.out().printf("%9d  %s  %s%n",
                                     change.path("index").asLong(),
                                     change.path("change"), change.path("outcome")));
                 }
-                return Commands.HELD;
+                return Commands.SUCCESS;
             }
         }
     }
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -22,9 +22,9 @@
         subcommands = {Commands.Serve.class, Commands.Play.class, Commands.Check.class, ClusterCommands.class,
             RelayCommand.class, ScaleCommands.class})
 public final class Commands extends CommandGroup {
-    static final int HELD = 0;
-    static final int BROKEN = 1;
-    static final int UNUSABLE = 2;
+    static final int SUCCESS = 0;
+    static final int FAILURE = 1;
+    static final int INVALID_USAGE = 2;
 
     /** Runs one command line; answers its exit status. */
     public static int run(String... arguments) {
@@ -33,7 +33,7 @@
                     line.getErr()
                             .println(failure instanceof InvalidFileException || failure instanceof IOException
                                     ? failure.getMessage() : failure.toString());
-                    return failure instanceof InvalidFileException ? UNUSABLE : BROKEN;
+                    return failure instanceof InvalidFileException ? INVALID_USAGE : FAILURE;
                 }).execute(arguments);
     }
 
@@ -83,7 +83,7 @@
         @Override
         public Integer call() throws InvalidFileException {
             spec.commandLine().getOut().println(name + ": " + OperatorSettings.read(name).summary());
-            return HELD;
+            return SUCCESS;
         }
     }
 }
--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -38,7 +38,7 @@
             result.account().forEach(out::println);
             out.println("seed " + seed + ": "
                     + (result.violation() == null ? "no violation" : result.violation()));
-            return result.violation() == null ? Commands.HELD : Commands.BROKEN;
+            return result.violation() == null ? Commands.SUCCESS : Commands.FAILURE;
         }
         Explorer.Findings all = Explorer.Findings.NONE;
         for (long done = 0; done < seeds; done += STEP) {
@@ -52,6 +52,6 @@
             }
         }
         out.println(all.line());
-        return all.broken().isEmpty() ? Commands.HELD : Commands.BROKEN;
+        return all.broken().isEmpty() ? Commands.SUCCESS : Commands.FAILURE;
     }
 }
--- a/src/main/java/rockshift/cli/MeasureCommands.java
+++ b/src/main/java/rockshift/cli/MeasureCommands.java
@@ -63,7 +63,7 @@
                         outcome.agreeing());
             }
             out.println(outcome.line());
-            return outcome.held() ? Commands.HELD : Commands.BROKEN;
+            return outcome.held() ? Commands.SUCCESS : Commands.FAILURE;
         }
     }
 
@@ -108,7 +108,7 @@
                 drawn.keySet().removeIf(what -> unit.equals("ratio") && !what.contains(" / "));
                 Charts.bars(kept.resolve(name + ".png"), title, unit, drawn);
             }
-            return Commands.HELD;
+            return Commands.SUCCESS;
         }
     }
 
--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -34,7 +34,7 @@
                 relay.start();
                 told.await();
             }
-            return Commands.HELD;
+            return Commands.SUCCESS;
         } finally {
             signals.release();
         }
--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -101,8 +101,8 @@
             if (kept != null) {
                 keep(sweep, size, fits);
             }
-            return sweep.samples().stream().anyMatch(GovernorSample::isVoid) ? Commands.BROKEN
-                    : Commands.HELD;
+            return sweep.samples().stream().anyMatch(GovernorSample::isVoid) ? Commands.FAILURE
+                    : Commands.SUCCESS;
         }
 
         private void tell(GovernorSweep sweep, GovernorSweep.Size size,
@@ -208,7 +208,7 @@
                 keep(outcome);
             }
             out.println(outcome.line());
-            return outcome.held() ? Commands.HELD : Commands.BROKEN;
+            return outcome.held() ? Commands.SUCCESS : Commands.FAILURE;
         }
 
         private void keep(ScaleRun.Outcome outcome) throws IOException {
@@ -262,7 +262,7 @@
             table(all.stream().filter(worked -> !worked.budgeted()).toList());
             Charts.factors(folder.resolve("budgets.png"), "Times the budget at the target: below 1 holds",
                     factors);
-            return Commands.HELD;
+            return Commands.SUCCESS;
         }
 
         private void table(List<Capacity.Worked> rows) {
--- a/src/main/java/rockshift/net/Serve.java
+++ b/src/main/java/rockshift/net/Serve.java
@@ -16,7 +16,7 @@
 public final class Serve implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
     /** Exit statuses: a file that can't be used, and all else that keeps it from serving. */
-    private static final int UNUSABLE = 2;
+    private static final int INVALID_USAGE = 2;
     private static final int FAILED = 1;
     /**
      * Ms between two looks at a file that nobody can be told of: a drain's grace is longer, and a look costs
@@ -156,10 +156,10 @@
             serve.start();
         } catch (Configuration.InvalidFileException wrong) {
             System.err.println(wrong.getMessage());
-            return UNUSABLE;
+            return INVALID_USAGE;
         } catch (NumberFormatException wrong) {
             System.err.println(file + ": field settings: " + wrong.getMessage());
-            return UNUSABLE;
+            return INVALID_USAGE;
         } catch (IOException failure) {
             System.err.println(failure.getMessage());
             return FAILED;
