--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -117,7 +117,8 @@
                 Map<String, JsonNode> all = client.statuses();
                 boolean reached = false;
                 if (!target.json) {
-                    target.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s  %s%n",
+                    target.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s "
+                            + " %s%n",
                             "address",
                             "name", "role", "term", "leader", "orders", "agreed", "applied", "version",
                             "subscribers",
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -38,7 +38,7 @@
  * connections, and how the cluster is founded. It owns the order in which they meet: time first, then what
  * came, then what follows.
  */
-public final class ClusterMember implements AutoCloseable, Links.Handler, Engine.Surroundings {
+public final class ClusterMember implements AutoCloseable, Links.Handler, Engine.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
     private static final JsonFactory JSON = new JsonFactory();
     /** Inputs that may wait; more are dropped like lost messages, and commands told to come again. */
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -28,7 +28,7 @@
     private static final int MOST_WAITING = 20_000;
 
     /** What surrounds a member. Calls come on the member's thread and must not wait. */
-    public interface Surroundings {
+    public interface Environment {
         void send(Message message);
 
         /** Has a save made durable elsewhere, which ends in {@link Engine#saved}. */
@@ -67,15 +67,15 @@
     private final Raft raft;
     private final Sessions sessions;
     private final Compaction compaction;
-    private final Surroundings around;
+    private final Environment environment;
     private final TreeMap<Long, Waiting> proposals = new TreeMap<>();
     private boolean keeping;
     private long keptAt;
 
     public Engine(DurableLog.Recovered disk, Timing timing, Rules rules, RandomGenerator chance, long now,
-            Sessions.Machine machine, Compaction compaction, Surroundings around) throws IOException {
+            Sessions.Machine machine, Compaction compaction, Environment environment) throws IOException {
         this.compaction = compaction;
-        this.around = around;
+        this.environment = environment;
         sessions = new Sessions(rules, machine);
         raft = new Raft(disk.id(), timing, rules, chance, now, disk.ballot(), disk.snapshot(),
                 disk.entries());
@@ -167,14 +167,14 @@
         if (refusal != null) {
             refuse(request, refusal);
         } else {
-            around.answer(request, new Answer(null, new byte[0], raft.commit(), null));
+            environment.answer(request, new Answer(null, new byte[0], raft.commit(), null));
         }
     }
 
     private void refuse(long request, Refusal refusal) {
         Member leader = raft.members().get(raft.leader());
         boolean elsewhere = refusal == Refusal.NOT_LEADER && leader != null;
-        around.answer(request,
+        environment.answer(request,
                 new Answer(refusal.code(), new byte[0], 0, elsewhere ? leader.address() : null));
     }
 
@@ -190,8 +190,9 @@
             // for it.
             Member leader = raft.members().get(raft.leader());
             proposals.values()
-                    .forEach(waiting -> around.answer(waiting.request, new Answer(Answer.UNKNOWN, new byte[0],
-                            0, leader == null ? null : leader.address())));
+                    .forEach(waiting -> environment.answer(waiting.request,
+                            new Answer(Answer.UNKNOWN, new byte[0],
+                                    0, leader == null ? null : leader.address())));
             proposals.clear();
         }
         boolean much = raft.applied() - keptAt >= compaction.entries()
@@ -211,7 +212,7 @@
             byte[] image = Codec.image(sessions.sessions(), sessions.machine().image());
             keeping = true;
             keptAt = index;
-            around.keep(new Snapshot(index, raft.log().term(index), raft.membersAt(index), image));
+            environment.keep(new Snapshot(index, raft.log().term(index), raft.membersAt(index), image));
             return true;
         } catch (IOException failure) {
             throw new IllegalStateException(failure);
@@ -220,12 +221,12 @@
 
     @Override
     public void save(long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
-        around.save(ticket, ballot, from, entries, snapshot);
+        environment.save(ticket, ballot, from, entries, snapshot);
     }
 
     @Override
     public void send(Message message) {
-        around.send(message);
+        environment.send(message);
     }
 
     @Override
@@ -235,11 +236,11 @@
             Map.Entry<Long, Waiting> first = proposals.pollFirstEntry();
             Waiting waiting = first.getValue();
             boolean same = first.getKey() == entry.index() && waiting.term == entry.term();
-            around.answer(waiting.request, same
+            environment.answer(waiting.request, same
                     ? new Answer(outcome.refused(), outcome.answer(), entry.index(), null)
                     : new Answer(Answer.UNKNOWN, new byte[0], 0, null));
         }
-        around.applied(entry, outcome);
+        environment.applied(entry, outcome);
     }
 
     @Override
@@ -251,12 +252,12 @@
                     "snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
         }
         keptAt = snapshot.index();
-        around.restored(snapshot.index());
+        environment.restored(snapshot.index());
     }
 
     @Override
     public void readable(long token) {
-        around.answer(token, new Answer(null, sessions.machine().image(), raft.applied(), null));
+        environment.answer(token, new Answer(null, sessions.machine().image(), raft.applied(), null));
     }
 
     @Override
@@ -266,6 +267,6 @@
 
     @Override
     public void log(String line) {
-        around.log(line);
+        environment.log(line);
     }
 }
--- a/src/main/java/rockshift/kit/SimulatedHost.java
+++ b/src/main/java/rockshift/kit/SimulatedHost.java
@@ -24,7 +24,7 @@
  * A member of a simulated cluster with the machine it runs on: its disk, its clock, what it hears and what it
  * is made to suffer. Its state machine is the list of all changes.
  */
-final class SimulatedHost implements Engine.Surroundings, Sessions.Machine {
+final class SimulatedHost implements Engine.Environment, Sessions.Machine {
     /** Tenths of a ms between two looks at the clock. */
     private static final long TICK = 150;
 
--- a/src/main/java/rockshift/operator/Lines.java
+++ b/src/main/java/rockshift/operator/LineIndex.java
@@ -9,11 +9,11 @@
  * braces and missing values without a word. Knows words, strings, comments and brackets, and no more of the
  * language.
  */
-final class Lines {
+final class LineIndex {
     private final Map<String, Integer> byPath = new HashMap<>();
     private final String file;
 
-    Lines(String file, String text) throws InvalidFileException {
+    LineIndex(String file, String text) throws InvalidFileException {
         this.file = file;
         scan(text);
     }
--- a/src/main/java/rockshift/operator/OperatorFile.java
+++ b/src/main/java/rockshift/operator/OperatorFile.java
@@ -27,7 +27,7 @@
     }
 
     static Section parse(String file, String text) throws InvalidFileException {
-        Lines lines = new Lines(file, text);
+        LineIndex lines = new LineIndex(file, text);
         try {
             Map<String, Object> values = new HCLParser().parse(text);
             return new Section(file, lines, "", values);
--- a/src/main/java/rockshift/operator/Section.java
+++ b/src/main/java/rockshift/operator/Section.java
@@ -20,13 +20,13 @@
     private static final Pattern BYTES = Pattern.compile("(\\d+)(B|KB|MB)");
 
     private final String file;
-    private final Lines lines;
+    private final LineIndex lines;
     private final String path;
     private final Map<String, Object> values;
     private final TreeSet<String> read = new TreeSet<>();
     private final List<Section> inner = new ArrayList<>();
 
-    Section(String file, Lines lines, String path, Map<String, Object> values) {
+    Section(String file, LineIndex lines, String path, Map<String, Object> values) {
         this.file = file;
         this.lines = lines;
         this.path = path;
