--- a/src/main/java/rockshift/distribution/HeldState.java
+++ b/src/main/java/rockshift/distribution/HeldState.java
@@ -34,6 +34,36 @@
         return digest;
     }
 
+    /**
+     * Refuses a snapshot that would go back, or that another cluster wrote.
+     *
+     * @param adopted the cluster to go over to; 0 if there is none
+     */
+    void checkFollows(Revision next, long adopted) throws Refusal {
+        boolean follows = revision.isNone() || revision.sameCluster(next);
+        if (next.isNone() || next.number() < 0) {
+            throw new Refusal(RejectionReason.MALFORMED, "revision: " + next);
+        } else if (next.cluster() != adopted && (!follows || adopted != 0)) {
+            throw new Refusal(RejectionReason.OTHER_CLUSTER, "revision: " + next + ", held " + revision);
+        } else if (follows && next.number() < revision.number()) {
+            throw new Refusal(RejectionReason.FUTURE_REVISION,
+                    "revision: " + next + " is older than " + revision);
+        }
+    }
+
+    /** Refuses a heartbeat that says what is held to be something else. */
+    void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws Refusal {
+        Revision current = heartbeat.current();
+        String place = "current: " + current + ", held " + revision;
+        if (!revision.sameCluster(current)) {
+            throw new Refusal(RejectionReason.OTHER_CLUSTER, place);
+        } else if (current.number() < revision.number()) {
+            throw new Refusal(RejectionReason.FUTURE_REVISION, place);
+        } else if (heartbeat.digest() != digest) {
+            throw new Refusal(RejectionReason.DIGEST_MISMATCH, place);
+        }
+    }
+
     /** Takes a whole state in place of what was held. */
     void replace(Revision at, long epoch, Map<String, Long> whole) {
         revision = at;
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -172,15 +172,9 @@
         return connections.size();
     }
 
-    /** Differences sent to a connection that it has not acknowledged. */
-    int unacknowledged(long connection) {
-        Subscription subscription = connections.get(connection);
-        return subscription == null ? 0 : subscription.unacknowledged();
-    }
-
     private void subscribe(Subscription subscription, DistributionMessage.Subscribe message, long now)
             throws Refusal {
-        SubscribeCheck.check(message, subscription, served, limits);
+        RequestCheck.check(message, subscription, served, limits);
         if (refusedForNow(subscription, message, now)) {
             return;
         }
@@ -237,11 +231,16 @@
         return true;
     }
 
-    /** The same subscriber on another connection: that one is dead, though it is not noticed yet. */
+    /**
+     * The same subscriber on another connection: that one is dead, though it is not noticed yet. If it is
+     * not, two go by one name, and the earlier is told to stay away for long, so that they do not drive each
+     * other out all the time.
+     */
     private void takeOver(String name, long now) {
         Subscription earlier = byName.get(name);
         if (earlier != null) {
-            close(earlier, RejectionReason.REPLACED, "subscriber: " + name, now);
+            reject(earlier, RejectionReason.REPLACED, "subscriber: " + name, limits.timing().mostBackOff(),
+                    now);
         }
     }
 
@@ -283,18 +282,13 @@
 
     private void acknowledge(Subscription subscription, DistributionMessage.Acknowledge message, long now)
             throws Refusal {
-        if (!subscription.subscribed()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER, "acknowledge before subscribe");
-        } else if (message.scopeEpoch() > subscription.scopeEpoch()) {
-            throw new Refusal(RejectionReason.MALFORMED,
-                    "scopeEpoch: " + message.scopeEpoch() + " was never asked for");
-        }
+        RequestCheck.checkSubscribed(message, subscription);
         subscription.heard(now);
         subscription.echo(message.sentMillis());
         if (message.scopeEpoch() < subscription.scopeEpoch()) {
             return;
         }
-        checkInForce(subscription, message);
+        RequestCheck.check(message, subscription, store.current());
         if (subscription.transfer() != null) {
             subscription.transfer().taken(message.snapshotParts());
         }
@@ -303,25 +297,6 @@
         account(subscription);
     }
 
-    private void checkInForce(Subscription subscription, DistributionMessage.Acknowledge message)
-            throws Refusal {
-        Revision inForce = message.inForce();
-        Summary summary = message.summary();
-        if (message.snapshotParts() < 0 || summary.subscribers() < 0 || summary.behind() < 0
-                || summary.unreachable() < 0) {
-            throw new Refusal(RejectionReason.MALFORMED, "negative count");
-        } else if (!inForce.isNone() && !inForce.sameCluster(store.current())) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER, "inForce: " + inForce);
-        } else if (inForce.number() < subscription.inForce().number()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER,
-                    "inForce: " + inForce + " after " + subscription.inForce());
-        }
-        Revision most = subscription.transfer() == null ? subscription.told() : store.current();
-        if (inForce.number() > most.number()) {
-            throw new Refusal(RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + most);
-        }
-    }
-
     private Collection<Subscription> concerned() {
         Optional<List<ConfigurationStore.Change>> changes = store.changesSince(published.number());
         Set<Subscription> concerned = new LinkedHashSet<>();
--- a/src/main/java/rockshift/distribution/SubscribeCheck.java
+++ b/src/main/java/rockshift/distribution/RequestCheck.java
@@ -2,9 +2,9 @@
 
 import java.util.Collection;
 
-/** Checks a request to subscribe by itself, before anything is spent on it. */
-final class SubscribeCheck {
-    private SubscribeCheck() {}
+/** Checks what a subscriber sends by itself, before anything is spent on it. */
+final class RequestCheck {
+    private RequestCheck() {}
 
     /**
      * Refuses what no publisher of this kind could ever take.
@@ -33,6 +33,37 @@
         checkScope(message.scope(), served, sizes);
     }
 
+    /** Refuses an acknowledgement on a connection that has not subscribed, or of a scope never asked for. */
+    static void checkSubscribed(DistributionMessage.Acknowledge message, Subscription subscription)
+            throws Refusal {
+        if (!subscription.subscribed()) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER, "acknowledge before subscribe");
+        } else if (message.scopeEpoch() > subscription.scopeEpoch()) {
+            throw new Refusal(RejectionReason.MALFORMED,
+                    "scopeEpoch: " + message.scopeEpoch() + " was never asked for");
+        }
+    }
+
+    /** Refuses to take for in force what was never sent, or less than before. */
+    static void check(DistributionMessage.Acknowledge message, Subscription subscription, Revision current)
+            throws Refusal {
+        Revision inForce = message.inForce();
+        Summary summary = message.summary();
+        if (message.snapshotParts() < 0 || summary.subscribers() < 0 || summary.behind() < 0
+                || summary.unreachable() < 0) {
+            throw new Refusal(RejectionReason.MALFORMED, "negative count");
+        } else if (!inForce.isNone() && !inForce.sameCluster(current)) {
+            throw new Refusal(RejectionReason.OTHER_CLUSTER, "inForce: " + inForce);
+        } else if (inForce.number() < subscription.inForce().number()) {
+            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+                    "inForce: " + inForce + " after " + subscription.inForce());
+        }
+        Revision most = subscription.transfer() == null ? subscription.told() : current;
+        if (inForce.number() > most.number()) {
+            throw new Refusal(RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + most);
+        }
+    }
+
     private static void checkScope(Scope scope, Scope served, Limits.Sizes sizes) throws Refusal {
         int names = scope.services().size() + scope.zones().size();
         if (scope.isEmpty()) {
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -1,6 +1,5 @@
 package rockshift.distribution;
 
-import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -47,11 +46,6 @@
         WAITING, CONNECTING, CONNECTED
     }
 
-    /** A state or difference handed over and not yet in force. */
-    private record Delivery(Revision revision, long scopeEpoch) {}
-
-    /** More deliveries are not told apart: the oldest is taken as part of the next. */
-    private static final int MOST_DELIVERIES = 64;
     private static final long NEVER = Long.MIN_VALUE;
 
     private final String name;
@@ -68,9 +62,7 @@
     private boolean wantsSnapshot;
     private long adopted;
     private SnapshotAssembly assembly;
-    private final ArrayDeque<Delivery> deliveries = new ArrayDeque<>();
-    private Revision inForce = Revision.NONE;
-    private long inForceEpoch;
+    private final InForceTracker inForce = new InForceTracker();
 
     private Phase phase = Phase.WAITING;
     private boolean started;
@@ -78,6 +70,7 @@
     private int upstream;
     private long waitUntil;
     private long connectBy;
+    private long connectedAt;
     private long heardAt;
     private long acknowledgedAt;
     private Summary summarySent;
@@ -105,7 +98,7 @@
         this.upstreams = upstreams;
         this.limits = limits;
         this.effects = effects;
-        this.summary = below == null ? () -> Summary.ofOne(name, reportedInForce().number()) : below;
+        this.summary = below == null ? () -> Summary.ofOne(name, inForce.of(scopeEpoch).number()) : below;
         this.held = new HeldState(limits.sizes());
         this.backOff = new BackOff(limits.timing(), random);
         this.upstream = random.nextInt(upstreams);
@@ -116,8 +109,7 @@
         Map<String, Long> digests = new HashMap<>();
         items.forEach(item -> digests.put(item.key(), item.digest()));
         held.replace(revision, scopeEpoch, digests);
-        inForce = revision;
-        inForceEpoch = scopeEpoch;
+        inForce.begin(revision, scopeEpoch);
     }
 
     /** The connection that was asked for is up. */
@@ -126,6 +118,7 @@
             return;
         }
         phase = Phase.CONNECTED;
+        connectedAt = now;
         heardAt = now;
         subscribe(now);
     }
@@ -170,16 +163,7 @@
      * several.
      */
     public void acknowledged(Revision revision, long now) {
-        if (deliveries.stream().noneMatch(each -> each.revision().equals(revision))) {
-            return;
-        }
-        Delivery done = deliveries.poll();
-        while (!done.revision().equals(revision)) {
-            done = deliveries.poll();
-        }
-        inForce = deliveries.isEmpty() ? held.revision() : done.revision();
-        inForceEpoch = done.scopeEpoch();
-        if (phase == Phase.CONNECTED) {
+        if (inForce.acknowledged(revision, held.revision()) && phase == Phase.CONNECTED) {
             acknowledge(now);
         }
     }
@@ -287,7 +271,7 @@
 
     private void take(DistributionMessage.SnapshotPart part, long now) throws Refusal {
         if (assembly == null) {
-            checkFollows(part.revision());
+            held.checkFollows(part.revision(), adopted);
             assembly = new SnapshotAssembly(part, limits.sizes());
         }
         assembly.add(part, scope);
@@ -300,72 +284,46 @@
         wantsSnapshot = false;
         adopted = 0;
         if (!held.revision().sameCluster(whole.revision())) {
-            inForce = Revision.NONE;
+            inForce.begin(Revision.NONE, scopeEpoch);
             freshAt = NEVER;
         }
         held.replace(whole.revision(), scopeEpoch, whole.digests());
-        delivered();
+        inForce.delivered(held.revision(), scopeEpoch);
         effects.snapshot(whole.revision(), whole.items());
     }
 
-    private void checkFollows(Revision revision) throws Refusal {
-        Revision holds = held.revision();
-        boolean follows = holds.isNone() || holds.sameCluster(revision);
-        if (revision.isNone() || revision.number() < 0) {
-            throw new Refusal(RejectionReason.MALFORMED, "revision: " + revision);
-        } else if (!follows && revision.cluster() != adopted
-                || adopted != 0 && revision.cluster() != adopted) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER, "revision: " + revision + ", held " + holds);
-        } else if (follows && revision.number() < holds.number()) {
-            throw new Refusal(RejectionReason.FUTURE_REVISION,
-                    "revision: " + revision + " is older than " + holds);
-        }
-    }
-
     private void take(DistributionMessage.Difference difference, long now) throws Refusal {
         if (assembly != null) {
             throw new Refusal(RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
         }
         held.apply(difference, scope);
-        delivered();
+        inForce.delivered(held.revision(), scopeEpoch);
         effects.difference(difference.to(), difference.updates());
     }
 
-    private void delivered() {
-        if (deliveries.size() == MOST_DELIVERIES) {
-            deliveries.poll();
-        }
-        deliveries.add(new Delivery(held.revision(), scopeEpoch));
-    }
-
     private void take(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
         if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > now) {
             throw new Refusal(RejectionReason.MALFORMED, "heartbeat: stale for " + heartbeat.staleMillis()
                     + " ms, answers " + heartbeat.echoMillis() + " at " + now);
         }
         if (!heartbeat.current().isNone()) {
-            checkStandsAt(heartbeat);
-            advance(heartbeat.current());
-            freshAt = Math.max(freshAt, heartbeat.echoMillis() - heartbeat.staleMillis());
-            subscribed = true;
-            backOff.reset();
+            standsAt(heartbeat, now);
         }
         acknowledge(now);
         leaveIfStale(heartbeat, now);
     }
 
-    private void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws Refusal {
-        Revision current = heartbeat.current();
-        Revision holds = held.revision();
+    private void standsAt(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
         if (assembly != null || held.scopeEpoch() != scopeEpoch || wantsSnapshot) {
             throw new Refusal(RejectionReason.OUT_OF_ORDER,
-                    "current: " + current + " before the whole snapshot");
-        } else if (!holds.sameCluster(current)) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER, "current: " + current + ", held " + holds);
-        } else if (current.number() < holds.number()) {
-            throw new Refusal(RejectionReason.FUTURE_REVISION, "current: " + current + ", held " + holds);
-        } else if (heartbeat.digest() != held.digest()) {
-            throw new Refusal(RejectionReason.DIGEST_MISMATCH, "current: " + current + ", held " + holds);
+                    "current: " + heartbeat.current() + " before the whole snapshot");
+        }
+        held.checkStandsAt(heartbeat);
+        advance(heartbeat.current());
+        freshAt = Math.max(freshAt, heartbeat.echoMillis() - heartbeat.staleMillis());
+        subscribed = true;
+        if (now - connectedAt >= limits.timing().silence()) {
+            backOff.reset();
         }
     }
 
@@ -374,9 +332,7 @@
             return;
         }
         held.advance(current);
-        if (deliveries.isEmpty()) {
-            inForce = current;
-        }
+        inForce.advanced(current);
         effects.advanced(current);
     }
 
@@ -427,12 +383,7 @@
     private void acknowledge(long now) {
         acknowledgedAt = now;
         summarySent = summary.get();
-        effects.send(new DistributionMessage.Acknowledge(scopeEpoch, reportedInForce(),
+        effects.send(new DistributionMessage.Acknowledge(scopeEpoch, inForce.of(scopeEpoch),
                 assembly == null ? 0 : assembly.received(), summarySent, now));
     }
-
-    /** What is in force of the scope that is asked for now. */
-    private Revision reportedInForce() {
-        return inForceEpoch == scopeEpoch ? inForce : Revision.NONE;
-    }
 }
