--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -227,7 +227,7 @@
         }
     }
 
-    /** Asks that a replica be kept out, by everyone or by those target it concerns. */
+    /** Asks that a replica be kept out, by everyone or by those whom it concerns. */
     abstract static class KeepOutCommand extends ReplicaCommand {
         @Option(names = "--service", defaultValue = "",
                 description = "the service that it concerns; every one if left out")
--- a/src/main/java/rockshift/kit/GovernorProcesses.java
+++ b/src/main/java/rockshift/kit/GovernorProcesses.java
@@ -10,7 +10,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Governors that agree, as processes on loopback, with a relay on each link between two of them and one
+ * Governors that agree, as processes on loopback, with a faulty link between any two of them and one
  * before each for commands, and a stand-in for discovery. It owns the processes that it starts and ends them
  * all, also when it is ended itself.
  */
