--- a/src/main/java/rockshift/Logic.java
+++ b/src/main/java/rockshift/Logic.java
@@ -118,9 +118,9 @@
     private static final double REPEATS_STEP = 0.2;
     /** Share of what pushes a cold replica over that it may be sent, by the tries now made. */
     private static final double COLD_PART = 0.3;
-    /** Times its part of the fleet's capacity that a cold replica may be of any one table. */
+    /** Times its part of the fleet's capacity that a cold replica may be of a whole table. */
     private static final double COLD_SPREAD = 1.5;
-    /** Times a cold replica's part that a proxy may bring of a class: a hotter one could push it over. */
+    /** Times a cold replica's part that a proxy with a whole table may bring of a class: more is too hot. */
     private static final double HOT = 40;
     /** Tenths of a ms: a shunned replica's first rest; it doubles up to the longest. */
     private static final long REST = 60_000;
@@ -537,8 +537,7 @@
             for (int k = 0; k < classes && proxy.place != null; k++) {
                 double few = Math.min(CAPACITY_MEMORY, DEMAND_TRIES * 10_000 / proxy.rate[k]);
                 double step = 1 - Math.exp(-proxy.span[k] / (DEMAND_MEMORY + few));
-                proxy.rate[k] += step * (proxy.came[k] * 10_000 / Math.max(1, proxy.span[k]) - proxy.rate[k]);
-                proxy.came[k] = proxy.span[k] = 0;
+                proxy.reckon(k, step);
                 proxy.place.requests.get(k).weight += proxy.rate[k];
                 expected += proxy.rate[k] / 10_000;
                 proxy.place.hottest = Math.max(proxy.place.hottest, proxy.rate[k]);
@@ -547,9 +546,8 @@
         requests = places.stream().filter(place -> place.joined > 0)
                 .flatMap(place -> place.requests.stream()).toList();
         double all = Math.max(expected * 10_000, Double.MIN_NORMAL);
-        for (Request request : requests) {
-            request.weight = (request.weight / all + LEAST_DEMAND / requests.size()) / (1 + LEAST_DEMAND);
-        }
+        double even = LEAST_DEMAND / requests.size();
+        requests.forEach(request -> request.weight = (request.weight / all + even) / (1 + LEAST_DEMAND));
         replicas.values().forEach(replica -> replica.used.clear());
         requests.forEach(request -> request.paths.values().forEach(path -> path.link.used.add(path)));
         links = replicas.values().stream().filter(replica -> !replica.used.isEmpty()).toList();
@@ -604,8 +602,7 @@
             replica.capacity = sum > 0 ? replica.capacity / sum : 0;
         }
         for (Request request : requests) {
-            request.utopic = request.paths.values().stream().filter(this::open)
-                    .mapToDouble(path -> path.link.capacity).sum();
+            request.utopic = request.reach(this::open);
             for (Path path : request.paths.values()) {
                 boolean known = path.open && request.oldWeight > 0
                         && path.link.oldCapacity > 0 && path.link.capacity > 0;
@@ -700,10 +697,7 @@
     /** One iteration of FD-ADMM. Each path has one link, so its two duals are opposite: one is kept. */
     private void iterate(double penalty) {
         for (Replica link : links) {
-            for (Path path : link.used) {
-                path.mean = (path.x + path.z) / 2;
-                path.dual += (path.x - path.mean) / penalty;
-            }
+            link.used.forEach(path -> path.average(penalty));
             project(link, penalty);
         }
         // The switching cost and the cost of crossing, in mean lines moved an iteration.
@@ -871,18 +865,24 @@
         double beside = sum > 0 ? 1 - top / sum : 1;
         double least = FLOOR / allowed.size();
         double all = 1;
-        // Guards a cold replica when one place asks for far more than it reported, or its proxies leave their
-        // best line out as they failed there: no table leans on it more than the fleet does, of what all get.
+        // Guards a cold replica when proxies leave out lines where they failed. In a short table all warm
+        // ones may go: cold ones share what comes then by capacity, and none stays beside a proxy that could
+        // push all of them over. No whole table leans on a cold one more than the fleet does.
+        boolean whole = lines == Double.MAX_VALUE;
+        double fleet = expected * 10_000 * Math.max(1, number("proxies", 0) / proxies.size());
+        double cold = request.reach(path -> path.allowed && warmth(path.link) < 1);
+        double bearable = COLD_PART * number("fall.multiple", 1) * cold * fleet / classes;
         for (int i = 0; i < ITERATIONS; i++) {
             double left = all;
             all = 0;
             for (Path path : allowed) {
                 double part = sum > 0 ? Math.max(least, path.z / sum)
                         : path.published > 0 ? path.published / request.scale : 1.0 / allowed.size();
-                double fair = path.link.capacity / Math.max(request.utopic, Double.MIN_NORMAL);
-                double most = Math.max(least, left * (COLD_SPREAD * beside * fair + least));
-                boolean hot = top > 0 && request.place.hottest > HOT * path.link.capacity * expected * 10_000;
-                path.target = warmth(path.link) == 1 ? part : hot ? 0 : Math.min(part, most);
+                double fair = beside * path.link.capacity / Math.max(request.utopic, Double.MIN_NORMAL);
+                double most = whole ? Math.min(part, left * (COLD_SPREAD * fair + least)) : left * fair;
+                double hot = whole ? HOT * path.link.capacity * expected * 10_000 : bearable;
+                double held = top > 0 && request.place.hottest > hot ? 0 : Math.max(least, most);
+                path.target = warmth(path.link) == 1 ? part : held;
                 all += path.target;
             }
         }
--- a/src/main/java/rockshift/Path.java
+++ b/src/main/java/rockshift/Path.java
@@ -22,6 +22,12 @@
         link.paths.add(this);
     }
 
+    /** The consensus mean of both copies, and the dual that follows it. */
+    void average(double penalty) {
+        mean = (x + z) / 2;
+        dual += (x - mean) / penalty;
+    }
+
     /**
      * Carries the copies over to a changed capacity and demand in proportion: they stay feasible when
      * a capacity falls, and small requests are not bent by what large ones gain. A new path starts at
--- a/src/main/java/rockshift/Proxy.java
+++ b/src/main/java/rockshift/Proxy.java
@@ -39,4 +39,10 @@
         span = new double[rate.length];
         toldAt = new long[rate.length];
     }
+
+    /** Moves a class's rate by a part of the way to what was reported since the last reckoning. */
+    void reckon(int type, double step) {
+        rate[type] += step * (came[type] * 10_000 / Math.max(1, span[type]) - rate[type]);
+        came[type] = span[type] = 0;
+    }
 }
--- a/src/main/java/rockshift/Request.java
+++ b/src/main/java/rockshift/Request.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.TreeMap;
+import java.util.function.Predicate;
 
 /** A class at a place: a table, numbered as the request, over the paths dealt to the place. */
 final class Request {
@@ -26,6 +27,11 @@
         this.number = number;
     }
 
+    /** The capacity of the links at the end of such paths. */
+    double reach(Predicate<Path> such) {
+        return paths.values().stream().filter(such).mapToDouble(path -> path.link.capacity).sum();
+    }
+
     /** The paper's start of the penalty, from utopic totals and lower bounds; the weights sum to 1. */
     static double penalty(List<Request> requests, double alpha) {
         double lowest = requests.stream().filter(request -> request.utopic > 0)
