--- a/src/main/java/rockshift/Known.java
+++ b/src/main/java/rockshift/Known.java
@@ -46,6 +46,8 @@
     double flowSpan;
     double heardSpan;
     long fadedAt;
+    /** Transactions a second of a class that the hottest proxy brought of late: any may be the next. */
+    double hottest;
     /** The shortest promised time: answers that take longer are late. */
     final double promised;
 
--- a/src/main/java/rockshift/Logic.java
+++ b/src/main/java/rockshift/Logic.java
@@ -358,11 +358,9 @@
             for (int i = 0; i < ITERATIONS; i++) {
                 iterate(penalty);
             }
-        }
-        publish(orders, ordinary);
-        if (ordinary) {
             dues.add(new Due(now + GATHER, true, 0, false));
         }
+        publish(orders, ordinary);
     }
 
     /**
@@ -469,6 +467,7 @@
         usual = proxies.values().stream().mapToDouble(proxy -> proxy.usualRate).sum();
         usualThen = usualThen * thenKept + usual * (1 - thenKept);
         usualFlow = usualFlow * flowThenKept + usual * (1 - flowThenKept);
+        hottest *= Math.exp((double) (fadedAt - now) / REMEMBERED);
         fadedAt = now;
         // What a cold replica answers tells nothing of what it will when it is warm.
         replicas.values().forEach(each -> each.fade(warmth(each) < 1 ? 0 : capacityKept, healthKept));
@@ -536,11 +535,11 @@
         for (Proxy proxy : proxies.values()) {
             for (int k = 0; k < classes && proxy.place != null; k++) {
                 double few = Math.min(CAPACITY_MEMORY, DEMAND_TRIES * 10_000 / proxy.rate[k]);
-                double step = 1 - Math.exp(-proxy.span[k] / (DEMAND_MEMORY + few));
-                proxy.reckon(k, step);
+                proxy.reckon(k, 1 - Math.exp(-proxy.span[k] / (DEMAND_MEMORY + few)));
                 proxy.place.requests.get(k).weight += proxy.rate[k];
                 expected += proxy.rate[k] / 10_000;
                 proxy.place.hottest = Math.max(proxy.place.hottest, proxy.rate[k]);
+                hottest = Math.max(hottest, proxy.rate[k]);
             }
         }
         requests = places.stream().filter(place -> place.joined > 0)
@@ -866,10 +865,11 @@
         double least = FLOOR / allowed.size();
         double all = 1;
         // Guards a cold replica when proxies leave out lines where they failed. In a short table all warm
-        // ones may go: cold ones share what comes then by capacity, and none stays beside a proxy that could
-        // push all of them over. No whole table leans on a cold one more than the fleet does.
+        // ones may go: cold ones share what comes then by capacity, and none stays while the hottest proxy of
+        // late could push all over, as any may be the next. No whole table leans on one more than all do.
         boolean whole = lines == Double.MAX_VALUE;
         double fleet = expected * 10_000 * Math.max(1, number("proxies", 0) / proxies.size());
+        double brought = whole ? request.place.hottest : hottest;
         double cold = request.reach(path -> path.allowed && warmth(path.link) < 1);
         double bearable = COLD_PART * number("fall.multiple", 1) * cold * fleet / classes;
         for (int i = 0; i < ITERATIONS; i++) {
@@ -881,7 +881,7 @@
                 double fair = beside * path.link.capacity / Math.max(request.utopic, Double.MIN_NORMAL);
                 double most = whole ? Math.min(part, left * (COLD_SPREAD * fair + least)) : left * fair;
                 double hot = whole ? HOT * path.link.capacity * expected * 10_000 : bearable;
-                double held = top > 0 && request.place.hottest > hot ? 0 : Math.max(least, most);
+                double held = top > 0 && brought > hot ? 0 : Math.max(least, most);
                 path.target = warmth(path.link) == 1 ? part : held;
                 all += path.target;
             }
--- a/src/test/java/rockshift/LogicTest.java
+++ b/src/test/java/rockshift/LogicTest.java
@@ -203,6 +203,23 @@
         assertThat(host.tables.get(host.tableOf(0)).keySet()).doesNotContainAnyElementsOf(cold);
     }
 
+    /** Saskatoon-main, herd+mass --nodes 30, seed 37: a caller grew from 1 to 27 a second between two reports. */
+    @Test
+    void whereOneProxyWasHotNoOtherShortTableHasColdLinesThatOneLikeItCouldPushOver() {
+        FakeHost host = large("class.0.name", "cut").pass(3);
+        for (int i = 0; i < 4; i++) {
+            host.logic.usage(host.now, 0, "cut", 60, SECOND);
+            host.pass(1);
+        }
+        host.logic.left(host.now, 0);
+        Set<Long> cold = LongStream.rangeClosed(1, 40).boxed().collect(Collectors.toSet());
+        host.logic.listed(host.now,
+                cold.stream().map(id -> ready(id, id % 2 == 1 ? "east" : "west", host.now)).toList(), true);
+        host.pass(2);
+        assertThat(host.tables.get(host.tableOf(1)).keySet()).isNotEmpty()
+                .doesNotContainAnyElementsOf(cold);
+    }
+
     /** What a cold replica may be of a table is bounded, but alone it is all that there is. */
     @Test
     void aColdReplicaLeftAloneKeepsItsLine() {
