--- a/src/main/java/rockshift/Channel.java
+++ b/src/main/java/rockshift/Channel.java
@@ -35,6 +35,14 @@
         unanswered += all;
     }
 
+    /** Counts a message beside the first of a turn: it has a head of its own, and no mark. */
+    private void countFurther(Proxy proxy, long now) {
+        proxy.messages.add(now);
+        proxy.lines += head;
+        queued += head;
+        unanswered += head;
+    }
+
     /** Closes the turn's messages under one number; false where there is none. */
     boolean mark(Orders orders, long now) {
         if (written.isEmpty()) {
@@ -42,6 +50,9 @@
         }
         serial = serial % LAST_SERIAL + 1;
         for (Proxy proxy : written) {
+            for (int further = orders.messages(proxy.number) - 1; further > 0; further--) {
+                countFurther(proxy, now);
+            }
             proxy.marks.add(new long[] {serial, now, (long) proxy.lines});
             proxy.lines = 0;
         }
--- a/src/main/java/rockshift/Known.java
+++ b/src/main/java/rockshift/Known.java
@@ -21,6 +21,7 @@
     Reach reach = Reach.FULL;
     final List<String> zones;
     final int classes;
+    private final ClassNames classNames;
     final TreeMap<Long, Replica> replicas = new TreeMap<>();
     final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
     /** Proxies that still hold what they came with, in the order of joining. */
@@ -58,6 +59,7 @@
         zones = Arrays.asList(terms.getOrDefault("zones", "").split(","));
         // Sites with slices hand out tables of their own: none is laid there.
         classes = number("slices", 0) > 0 ? 0 : (int) number("classes", 0);
+        classNames = ClassNames.of(terms);
         came = new double[classes];
         promised = IntStream.range(0, classes)
                 .mapToDouble(k -> number("class." + k + ".promised.time", Double.MAX_VALUE)).min().orElse(0);
@@ -68,6 +70,14 @@
         return value == null || value.isEmpty() ? otherwise : Double.parseDouble(value);
     }
 
+    /**
+     * Turns in which a proxy may be sent something, by the limit of its messages: one turn may take several.
+     */
+    final double turns(double messages) {
+        int further = Math.max(0, classes - 1) / Orders.MOST_PARTS;
+        return messages > 0 ? Math.max(1, messages - further) : 0;
+    }
+
     /** What came and was met counts less as time passes. */
     final void fadeFlow(double kept) {
         tried *= kept;
@@ -182,15 +192,14 @@
     public void usage(long now, int number, String type, int count, long span) {
         this.now = now;
         Proxy proxy = proxies.get(number);
-        for (int k = 0; proxy != null && span > 0 && k < classes; k++) {
-            if (type.equals(terms.get("class." + k + ".name"))) {
-                came[k] += count;
-                // There is no report of a span in which nothing came: the next one covers those before it.
-                long covered = span * Math.max(1, Math.round((now - proxy.toldAt[k]) / (double) span));
-                proxy.came[k] += count;
-                proxy.span[k] += covered;
-                proxy.toldAt[k] += covered;
-            }
+        int k = classNames.number(type);
+        if (proxy != null && span > 0 && k >= 0 && k < classes) {
+            came[k] += count;
+            // There is no report of a span in which nothing came: the next one covers those before it.
+            long covered = span * Math.max(1, Math.round((now - proxy.toldAt[k]) / (double) span));
+            proxy.came[k] += count;
+            proxy.span[k] += covered;
+            proxy.toldAt[k] += covered;
         }
     }
 
--- a/src/main/java/rockshift/Logic.java
+++ b/src/main/java/rockshift/Logic.java
@@ -185,7 +185,7 @@
         head = number("message.head", 0);
         limit = number("channel.limit", Double.MAX_VALUE);
         pace = number("channel.pace", Double.MAX_VALUE) / 10_000;
-        cap = number("messages.limit", 0);
+        cap = turns(number("messages.limit", 0));
         grace = number("drain.grace", Double.POSITIVE_INFINITY);
         channel = new Channel(head, pace, now);
         coldShare = number("cold.share", 0.1);
@@ -277,9 +277,9 @@
     }
 
     private void lay(Orders orders, Proxy proxy, boolean brief, double cost) {
-        double told = brief ? orders.bind(proxy.place.shared.number, proxy.number, 0) : 0;
+        double told = brief ? orders.bind(proxy.place.shared.number, proxy.number, ClassSet.all()) : 0;
         for (Request request : brief ? List.<Request>of() : proxy.place.requests) {
-            told += orders.bind(request.number, proxy.number, 1 << request.type);
+            told += orders.bind(request.number, proxy.number, request.classes);
         }
         proxy.bound = true;
         proxy.brief = brief;
@@ -802,7 +802,7 @@
             weights -= old > 0 && !guard ? cost : 0;
             if (change.path == null) {
                 change.request.sentLevel = change.to;
-                orders.admit(change.request.number, 1 << change.request.type, change.to * all, AGAIN);
+                orders.admit(change.request.number, change.request.classes, change.to * all, AGAIN);
                 change.request.sent++;
                 place.sent++;
             } else {
--- a/src/main/java/rockshift/Orders.java
+++ b/src/main/java/rockshift/Orders.java
@@ -2,6 +2,12 @@
 
 /** What a host carries out for one instance of {@link Logic}, in the order of the calls. */
 public interface Orders {
+    /**
+     * Parts that one message may have, by the host that allows the fewest: each tells of one table, or of a
+     * level.
+     */
+    int MOST_PARTS = 64;
+
     /** Sets one line of a table; weight 0 removes it. Answers how many lines each bound proxy is sent. */
     int line(int table, long replica, double weight);
 
@@ -13,13 +19,20 @@
     int withdraw(long replica, boolean out, int proxy);
 
     /**
-     * Puts a joined proxy on a table for the classes whose bits are set (0: all of them). Answers how many
-     * lines the proxy is sent beside those of the table, its levels and the one for the binding.
+     * Puts a joined proxy on a table for some classes. Answers how many lines the proxy is sent beside those
+     * of the table, its levels and the one for the binding.
      */
-    int bind(int table, int proxy, int classes);
+    int bind(int table, int proxy, ClassSet classes);
 
-    /** Sets the admitted level of a table's classes, and how often its proxies try again (0 to 3). */
-    void admit(int table, int classes, double level, int again);
+    /** Sets the admitted level of some classes of a table, and how often its proxies try again (0 to 3). */
+    void admit(int table, ClassSet classes, double level, int again);
+
+    /**
+     * How many messages this turn's orders for a proxy come to; more than one where they have too many parts.
+     */
+    default int messages(int proxy) {
+        return 1;
+    }
 
     /** Numbers the messages of this turn; each proxy reached answers with the number. */
     void mark(int serial);
--- a/src/main/java/rockshift/Request.java
+++ b/src/main/java/rockshift/Request.java
@@ -9,6 +9,8 @@
     final Place place;
     final int type;
     final int number;
+    /** The class alone, as the host is told of it. */
+    final ClassSet classes;
     final TreeMap<Long, Path> paths = new TreeMap<>();
     double weight;
     double oldWeight;
@@ -25,6 +27,7 @@
         this.place = place;
         this.type = type;
         this.number = number;
+        classes = ClassSet.of(type);
     }
 
     /** The capacity of the links at the end of such paths. */
--- a/src/main/java/rockshift/net/Configuration.java
+++ b/src/main/java/rockshift/net/Configuration.java
@@ -1,19 +1,21 @@
 package rockshift.net;
 
 import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.File;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.StringJoiner;
 import java.util.stream.Collectors;
-import java.util.stream.IntStream;
 import java.util.stream.Stream;
+import rockshift.ClassNames;
 import rockshift.Terms;
 
 /**
@@ -48,6 +50,7 @@
         int descriptors = USUAL_DESCRIPTORS;
         DiscoveryClient.Listing known = null;
         Terms terms = new Terms();
+        Map<String, JsonLocation> places = new HashMap<>();
         String field = "";
         try (JsonParser json = new JsonFactory().createParser(new File(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
@@ -63,7 +66,7 @@
                     case "seed" -> seed = Long.parseUnsignedLong(json.getText(), 16);
                     case "known" -> known = DiscoveryClient.read(json);
                     case "limits" -> descriptors = sockets(json, descriptors);
-                    case "settings" -> flatten("", json, terms);
+                    case "settings" -> flatten("", json, terms, places);
                     default -> json.skipChildren();
                 }
             }
@@ -76,19 +79,30 @@
         require(file, "discovery", discovery);
         require(file, "seed", seed);
         require(file, "known", known);
+        checkSettings(file, terms.map(), places);
+        return new Configuration(name, listen, discovery, seed, descriptors, known, terms.map());
+    }
+
+    /** Names the first of the terms that is missing or can't be used. */
+    private static void checkSettings(String file, Map<String, String> terms,
+            Map<String, JsonLocation> places) throws InvalidFileException {
         for (String needed : new String[] {"zones", "classes", "proxies"}) {
-            require(file, "settings (" + needed + ")", terms.map().get(needed));
+            require(file, "settings (" + needed + ")", terms.get(needed));
         }
         try {
-            List<String> classes = classNames(terms.map());
-            for (int k = 0; k < classes.size(); k++) {
-                require(file, "settings (class." + k + ".name)", classes.get(k));
+            for (int k = 0; k < Integer.parseInt(terms.get("classes")); k++) {
+                require(file, "settings (class." + k + ".name)", terms.get("class." + k + ".name"));
             }
-            Double.parseDouble(terms.map().get("proxies"));
+            ClassNames.of(terms);
+            Double.parseDouble(terms.get("proxies"));
         } catch (NumberFormatException wrong) {
             throw new InvalidFileException(file + ": field settings: " + wrong.getMessage());
+        } catch (ClassNames.InvalidNameException wrong) {
+            JsonLocation place = places.get("classes." + wrong.number() + ".name");
+            throw new InvalidFileException(
+                    file + ": line " + place.getLineNr() + ", column " + place.getColumnNr()
+                            + ": field settings (" + wrong.field() + ") " + wrong.getMessage());
         }
-        return new Configuration(name, listen, discovery, seed, descriptors, known, terms.map());
     }
 
     /**
@@ -129,12 +143,6 @@
                 .filter(field -> !field.isEmpty()).collect(Collectors.joining(", "));
     }
 
-    /** The names of the classes, in the order of their bits. */
-    static List<String> classNames(Map<String, String> terms) {
-        return IntStream.range(0, Integer.parseInt(terms.get("classes")))
-                .mapToObj(k -> terms.get("class." + k + ".name")).toList();
-    }
-
     private static void require(String file, String field, Object value) throws InvalidFileException {
         if (value == null) {
             throw new InvalidFileException(file + ": field " + field + " is missing");
@@ -163,13 +171,17 @@
         return told;
     }
 
-    /** Nested values as paths: plain lists joined by commas, lists of objects numbered and counted. */
-    private static void flatten(String path, JsonParser json, Terms terms) throws IOException {
+    /**
+     * Nested values as paths: plain lists joined by commas, lists of objects numbered and counted. Where a
+     * plain value stands is noted under its path.
+     */
+    private static void flatten(String path, JsonParser json, Terms terms, Map<String, JsonLocation> places)
+            throws IOException {
         if (json.currentToken() == JsonToken.START_OBJECT) {
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 String step = path.isEmpty() ? json.currentName() : path + "." + json.currentName();
                 json.nextToken();
-                flatten(step, json, terms);
+                flatten(step, json, terms, places);
             }
         } else if (json.currentToken() == JsonToken.START_ARRAY) {
             StringJoiner plain = new StringJoiner(",");
@@ -178,13 +190,14 @@
                 if (json.currentToken().isScalarValue()) {
                     plain.add(json.getText());
                 } else {
-                    flatten(path + "." + objects++, json, terms);
+                    flatten(path + "." + objects++, json, terms, places);
                 }
             }
             terms.put(objects > 0 ? path + ".count" : path,
                     objects > 0 ? Integer.toString(objects) : plain.toString());
         } else if (json.currentToken() != JsonToken.VALUE_NULL) {
             terms.put(path, json.getText());
+            places.put(path, json.currentTokenLocation());
         }
     }
 }
--- a/src/main/java/rockshift/net/DiscoveryClient.java
+++ b/src/main/java/rockshift/net/DiscoveryClient.java
@@ -108,6 +108,18 @@
         }
     }
 
+    /**
+     * Notes what a replica is called. Two under one number would count as one: the later is named, as staff
+     * must rename it.
+     */
+    static void name(Map<Long, String> names, long number, String name) {
+        String before = names.put(number, name);
+        if (before != null && !before.equals(name)) {
+            LOG.error("replicas {} and {} have the same number, and count as one: rename one of them", before,
+                    name);
+        }
+    }
+
     static void take(Listing listing, EventLoop loop) {
         loop.listed(listing.entries, !listing.whole, listing.names);
     }
@@ -322,7 +334,7 @@
             throw new JsonParseException(json, "an entry without instanceId, zone or a known lifecycle");
         }
         long number = number(id);
-        names.put(number, id);
+        name(names, number, id);
         return new Listed(number, zone, kind, health, started);
     }
 
--- a/src/main/java/rockshift/net/EventLoop.java
+++ b/src/main/java/rockshift/net/EventLoop.java
@@ -10,6 +10,7 @@
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rockshift.ClassNames;
 import rockshift.Listed;
 import rockshift.Logic;
 import rockshift.Reach;
@@ -45,7 +46,7 @@
 
     EventLoop(long seed, Map<String, String> terms) {
         logic = new Logic(now(), seed, terms);
-        tables = new Tables(Configuration.classNames(terms), delay -> wakeAt = now() + delay);
+        tables = new Tables(ClassNames.of(terms), delay -> wakeAt = now() + delay);
         spacing = Long.parseLong(terms.getOrDefault("turn.spacing", "0"));
     }
 
--- a/src/main/java/rockshift/net/RespCodec.java
+++ b/src/main/java/rockshift/net/RespCodec.java
@@ -286,7 +286,19 @@
     /** The bytes of one message. */
     public static byte[] message(List<String> strings) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(ascii("*" + strings.size() + "\r\n"));
+        out.writeBytes(head(strings.size()));
+        out.writeBytes(strings(strings));
+        return out.toByteArray();
+    }
+
+    /** The bytes that begin a message of so many strings. */
+    static byte[] head(int strings) {
+        return ascii("*" + strings + "\r\n");
+    }
+
+    /** The bytes of strings in a message. */
+    static byte[] strings(List<String> strings) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (String string : strings) {
             byte[] text = string.getBytes(StandardCharsets.UTF_8);
             out.writeBytes(ascii("$" + text.length + "\r\n"));
--- a/src/main/java/rockshift/net/Streams.java
+++ b/src/main/java/rockshift/net/Streams.java
@@ -30,6 +30,7 @@
 import org.apache.hc.core5.util.Timeout;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rockshift.ClassNames;
 
 /**
  * The listener and the connections of proxies, collectors and strangers: bytes in, bytes out, and who each
@@ -82,7 +83,7 @@
 
     private final EventLoop loop;
     private final Set<String> zones;
-    private final List<String> classes;
+    private final ClassNames classes;
     private final int proxies;
     /** Whether reports of load tell how busy a replica was. */
     private final boolean loads;
@@ -102,7 +103,7 @@
     Streams(EventLoop loop, Map<String, String> terms, int descriptors) {
         this.loop = loop;
         zones = Set.of(terms.get("zones").split(","));
-        classes = Configuration.classNames(terms);
+        classes = ClassNames.of(terms);
         proxies = (int) Double.parseDouble(terms.get("proxies"));
         loads = List.of(terms.getOrDefault("load.values", "").split(",")).contains(RespCodec.BUSY);
         most = Math.max(1, descriptors - RESERVED);
--- a/src/main/java/rockshift/net/Tables.java
+++ b/src/main/java/rockshift/net/Tables.java
@@ -1,9 +1,9 @@
 package rockshift.net;
 
-import java.io.ByteArrayOutputStream;
-import java.math.BigDecimal;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,13 +16,16 @@
 import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rockshift.ClassNames;
+import rockshift.ClassSet;
 import rockshift.Listed;
 import rockshift.Orders;
 
 /**
  * What each table, level, binding and withdrawal stands at, and so what each joined proxy is sent: one
- * message a turn. It is used by the thread of {@link EventLoop} alone. It must never decide what stands in a
- * table, hold a message back, or add a line that the module is not told of.
+ * message a turn, or as few as the protocol allows. It is used by the thread of {@link EventLoop} alone. It
+ * must never decide what stands in a table, hold a message back, or add a line that the module is not told
+ * of.
  */
 final class Tables implements Orders {
     private static final Logger LOG = LoggerFactory.getLogger(Tables.class);
@@ -37,21 +40,40 @@
         void send(byte[] message);
     }
 
-    private record Level(int classes, double level, int again) {}
+    private record Level(ClassSet classes, double level, int again) {}
 
     private static final class Table {
         final TreeMap<Long, Double> lines = new TreeMap<>();
-        final LinkedHashMap<Integer, Level> levels = new LinkedHashMap<>();
+        final LinkedHashMap<ClassSet, Level> levels = new LinkedHashMap<>();
         /** What this turn changed. */
         final TreeMap<Long, Double> newLines = new TreeMap<>();
-        final LinkedHashMap<Integer, Level> newLevels = new LinkedHashMap<>();
+        final LinkedHashMap<ClassSet, Level> newLevels = new LinkedHashMap<>();
+        /**
+         * What proxies that are bound for some classes are told in this turn, as far as it was asked for
+         * already.
+         */
+        final Map<ClassSet, List<UpdatePart>> wholeParts = new HashMap<>();
+        final Map<ClassSet, List<UpdatePart>> newParts = new HashMap<>();
+
+        /** Forgets what was encoded, as the table changes or the turn ends. */
+        void forgetParts() {
+            wholeParts.clear();
+            newParts.clear();
+        }
+
+        /** Ends a turn. */
+        void settle() {
+            newLines.clear();
+            newLevels.clear();
+            forgetParts();
+        }
     }
 
     /** A joined proxy. */
     private static final class Seat {
         final Stream stream;
         /** Tables, with the classes that they are for; those bound in this turn. */
-        final TreeMap<Integer, Integer> bound = new TreeMap<>();
+        final TreeMap<Integer, ClassSet> bound = new TreeMap<>();
         final Set<Integer> fresh = new TreeSet<>();
         /** What the proxy was told on this stream: whether a replica is shut out. */
         final Map<Long, Boolean> told = new HashMap<>();
@@ -63,6 +85,11 @@
             this.stream = stream;
         }
 
+        /** Whether this turn laid a table under it, or shuts a replica out or lets one back. */
+        boolean concerned() {
+            return !fresh.isEmpty() || !out.isEmpty() || !back.isEmpty();
+        }
+
         /** Whether the message grows by telling the proxy if it may send to a replica. */
         boolean tell(long replica, boolean shut) {
             Boolean before = told.put(replica, shut);
@@ -76,9 +103,12 @@
 
     /** Of replicas that the module knows: what they are called outside. */
     private final Map<Long, String> names = new HashMap<>();
-    private final List<String> classNames;
+    private final ClassNames classNames;
     private final LongConsumer waker;
     private final Map<Integer, Table> tables = new HashMap<>();
+    /** The tables that this turn changed, and those that a proxy was told whole. */
+    private final Set<Table> changed = new HashSet<>();
+    private final Set<Table> told = new HashSet<>();
     private final TreeMap<Integer, Seat> seats = new TreeMap<>();
     private final Set<Long> withdrawn = new TreeSet<>();
     /** Replicas that some governor may have shut out of a proxy before: only these need letting back. */
@@ -88,7 +118,7 @@
     private final Map<Integer, Set<Long>> shut = new HashMap<>();
     private int serial;
 
-    Tables(List<String> classNames, LongConsumer waker) {
+    Tables(ClassNames classNames, LongConsumer waker) {
         this.classNames = classNames;
         this.waker = waker;
     }
@@ -109,7 +139,7 @@
             suspect.clear();
             allSuspect = true;
         }
-        names.putAll(called);
+        called.forEach((replica, name) -> DiscoveryClient.name(names, replica, name));
     }
 
     /** Staff keep replicas out that are listed as ready: any may be shut out. */
@@ -142,15 +172,23 @@
         return tables.computeIfAbsent(number, absent -> new Table());
     }
 
+    /** A table that this turn changes. */
+    private Table changed(int number) {
+        Table table = table(number);
+        changed.add(table);
+        table.forgetParts();
+        return table;
+    }
+
     @Override
     public int line(int table, long replica, double weight) {
-        Table changed = table(table);
-        boolean enters = weight > 0 && !changed.lines.containsKey(replica);
-        changed.newLines.put(replica, weight);
+        Table to = changed(table);
+        boolean enters = weight > 0 && !to.lines.containsKey(replica);
+        to.newLines.put(replica, weight);
         if (weight > 0) {
-            changed.lines.put(replica, weight);
+            to.lines.put(replica, weight);
         } else {
-            changed.lines.remove(replica);
+            to.lines.remove(replica);
         }
         boolean told = false;
         for (Seat seat : seats.values()) {
@@ -166,7 +204,7 @@
      * replica in its table that may ever have been shut out whether it may send there.
      */
     @Override
-    public int bind(int table, int proxy, int classes) {
+    public int bind(int table, int proxy, ClassSet classes) {
         Seat seat = seats.get(proxy);
         if (seat == null) {
             return 0;
@@ -193,11 +231,11 @@
     }
 
     @Override
-    public void admit(int table, int classes, double level, int again) {
-        Table changed = table(table);
-        Level to = new Level(classes, level, again);
-        changed.levels.put(classes, to);
-        changed.newLevels.put(classes, to);
+    public void admit(int table, ClassSet classes, double level, int again) {
+        Table to = changed(table);
+        Level admitted = new Level(classes, level, again);
+        to.levels.put(classes, admitted);
+        to.newLevels.put(classes, admitted);
     }
 
     @Override
@@ -226,93 +264,108 @@
                 .quoteReplacement(names.get(Long.parseLong(found.group(1))))));
     }
 
-    /** Sends each proxy what this turn ordered for it, as one message. */
+    /** Sends each proxy what this turn ordered for it. */
     void flush() {
-        seats.forEach((proxy, seat) -> {
-            List<List<String>> parts = new ArrayList<>();
-            seat.bound.forEach((number, classes) -> {
-                Table table = tables.get(number);
-                boolean whole = seat.fresh.contains(number);
-                tell(parts, classes, whole, whole ? table.lines : table.newLines,
-                        whole ? table.levels : table.newLevels);
-            });
-            if (parts.isEmpty() && (!seat.out.isEmpty() || !seat.back.isEmpty())) {
-                parts.add(new ArrayList<>(List.of(RespCodec.UPDATE)));
-            }
-            if (!parts.isEmpty()) {
-                close(parts, proxy, seat);
-            }
-            seat.fresh.clear();
-            seat.out.clear();
-            seat.back.clear();
-        });
-        for (Table table : tables.values()) {
-            table.newLines.clear();
-            table.newLevels.clear();
-        }
+        seats.forEach(this::send);
+        changed.forEach(Table::settle);
+        told.forEach(Table::settle);
+        changed.clear();
+        told.clear();
         serial = 0;
     }
 
-    /** Adds the parts that tell one table's lines and levels, if there is anything to tell. */
-    private void tell(List<List<String>> parts, int bits, boolean whole, Map<Long, Double> lines,
-            Map<Integer, Level> levels) {
-        List<String> first = null;
-        if (whole || !lines.isEmpty()) {
-            first = part(parts, bits);
-            if (whole) {
-                first.addAll(List.of(RespCodec.WHOLE, "1"));
-            }
-            StringJoiner list = new StringJoiner(",");
-            lines.forEach((replica, weight) -> list.add(names.get(replica) + ":" + plain(weight)));
-            first.addAll(List.of(RespCodec.LINES, list.toString()));
+    private void send(int proxy, Seat seat) {
+        if (changed.isEmpty() && !seat.concerned()) {
+            return;
         }
-        for (Level level : levels.values()) {
-            int meant = level.classes == 0 ? bits : bits == 0 ? level.classes : bits & level.classes;
-            List<String> part = meant == bits && first != null ? first : part(parts, meant);
-            part.addAll(List.of(RespCodec.LEVEL, plain(level.level), RespCodec.AGAIN,
-                    Integer.toString(level.again)));
-            first = part == first ? null : first;
+        UpdateMessage message = new UpdateMessage();
+        seat.bound.forEach((number, classes) -> parts(seat, number, classes).forEach(message::add));
+        if (message.isEmpty() && seat.concerned()) {
+            message.add(new UpdatePart.Builder(classNames, ClassSet.all()).build());
         }
-    }
-
-    private List<String> part(List<List<String>> parts, int bits) {
-        List<String> part = new ArrayList<>(List.of(RespCodec.UPDATE));
-        if (bits != 0) {
-            StringJoiner meant = new StringJoiner("+");
-            for (int k = 0; k < classNames.size(); k++) {
-                if ((bits & 1 << k) != 0) {
-                    meant.add(classNames.get(k));
-                }
+        if (!message.isEmpty()) {
+            tellWhoIsShutOut(message, proxy, seat);
+            if (serial > 0) {
+                message.mark(serial);
             }
-            part.addAll(List.of(RespCodec.CLASSES, meant.toString()));
+            seat.stream.send(message.encode());
         }
-        parts.add(part);
-        return part;
+        seat.fresh.clear();
+        seat.out.clear();
+        seat.back.clear();
     }
 
-    /** Ends a proxy's message with what concerns all its tables, and sends it. */
-    private void close(List<List<String>> parts, int proxy, Seat seat) {
-        List<String> last = parts.get(parts.size() - 1);
+    /** Adds what concerns all tables of a proxy, and notes what it keeps of that across its streams. */
+    private void tellWhoIsShutOut(UpdateMessage message, int proxy, Seat seat) {
         Set<Long> kept = shut.computeIfAbsent(proxy, number -> new TreeSet<>());
         if (!seat.out.isEmpty()) {
-            last.addAll(List.of(RespCodec.OUT, named(seat.out)));
+            message.out(named(seat.out));
             kept.addAll(seat.out);
         }
         if (!seat.back.isEmpty()) {
-            last.addAll(List.of(RespCodec.BACK, named(seat.back)));
+            message.back(named(seat.back));
             kept.removeAll(seat.back);
         }
-        if (serial > 0) {
-            last.addAll(List.of(RespCodec.MARK, Integer.toString(serial)));
+    }
+
+    @Override
+    public int messages(int proxy) {
+        Seat seat = seats.get(proxy);
+        int parts = 0;
+        if (seat != null) {
+            for (Map.Entry<Integer, ClassSet> bound : seat.bound.entrySet()) {
+                parts += parts(seat, bound.getKey(), bound.getValue()).size();
+            }
+        }
+        return Math.max(1, UpdateMessage.messages(parts));
+    }
+
+    /**
+     * The parts that tell a proxy of one of its tables in this turn; encoded once for all who are told the
+     * same.
+     */
+    private List<UpdatePart> parts(Seat seat, int number, ClassSet classes) {
+        Table table = tables.get(number);
+        if (seat.fresh.contains(number)) {
+            told.add(table);
+            return table.wholeParts.computeIfAbsent(classes,
+                    meant -> encode(meant, table.lines, table.levels, true));
+        } else if (changed.contains(table)) {
+            return table.newParts.computeIfAbsent(classes,
+                    meant -> encode(meant, table.newLines, table.newLevels, false));
         }
-        ByteArrayOutputStream message = new ByteArrayOutputStream();
-        for (List<String> part : parts) {
-            if (part != last) {
-                part.addAll(List.of(RespCodec.MORE, "1"));
+        return List.of();
+    }
+
+    private List<UpdatePart> encode(ClassSet classes, Map<Long, Double> lines, Map<ClassSet, Level> levels,
+            boolean whole) {
+        List<UpdatePart> parts = new ArrayList<>();
+        Level beside = null;
+        if (whole || !lines.isEmpty()) {
+            UpdatePart.Builder part = new UpdatePart.Builder(classNames, classes).lines(whole, lines, names);
+            beside = forAll(classes, levels.values());
+            if (beside != null) {
+                part.level(beside.level, beside.again);
             }
-            message.writeBytes(RespCodec.message(part));
+            parts.add(part.build());
         }
-        seat.stream.send(message.toByteArray());
+        for (Level level : levels.values()) {
+            ClassSet meant = classes.intersection(level.classes);
+            if (level != beside && !meant.isEmpty()) {
+                parts.add(new UpdatePart.Builder(classNames, meant).level(level.level, level.again).build());
+            }
+        }
+        return parts;
+    }
+
+    /** The first level that holds for all of some classes, or null: it needs no part of its own. */
+    private static Level forAll(ClassSet classes, Collection<Level> levels) {
+        for (Level level : levels) {
+            if (classes.intersection(level.classes).equals(classes)) {
+                return level;
+            }
+        }
+        return null;
     }
 
     private String named(Set<Long> replicas) {
@@ -320,8 +373,4 @@
         replicas.forEach(replica -> list.add(names.get(replica)));
         return list.toString();
     }
-
-    private static String plain(double number) {
-        return BigDecimal.valueOf(number).toPlainString();
-    }
 }
--- a/src/test/java/rockshift/drill/DrillTest.java
+++ b/src/test/java/rockshift/drill/DrillTest.java
@@ -1,12 +1,14 @@
 package rockshift.drill;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
+import rockshift.ClassSet;
 
 class DrillTest {
     private static final String HELLO =
@@ -34,6 +36,39 @@
                 "ATTACH_TABLE 3 1 0 4\n", "NOTIFY_ME 3 100000 round\n").endsWith("ACK 1\n");
     }
 
+    /** Masks of 32 bits named class 0 in place of class 32; the wire sets no bound. */
+    @Test
+    void eachOfManyClassesIsNamedByItsOwnBit() throws IOException {
+        StringBuilder hello = new StringBuilder(
+                "HELLO 3 7 dcs=a domain.backlog=9000.0 domain.channel_rate=5000 classes.count=70");
+        for (int k = 0; k < 70; k++) {
+            hello.append(" classes.").append(k).append(".name=class-").append(k);
+        }
+        play("CLOCK 9000000 1\n" + hello + "\nSHEET 0 1\nROW 11 a k 0 Ready 1 -\nTARGETS 3 FULL 1 0\n"
+                + "JOINED 3 1 a 4 70\nOVER_TO_YOU\n");
+        String[] masks =
+                out.toString(StandardCharsets.UTF_8).lines().filter(line -> line.startsWith("ATTACH_TABLE"))
+                        .map(line -> line.split(" ")[2]).toArray(String[]::new);
+        assertThat(masks).hasSize(70).doesNotHaveDuplicates().contains("1", "4294967296",
+                "590295810358705651712");
+    }
+
+    @Test
+    void aTableBeyondWhatTheWireHasNumbersForIsNamed() {
+        assertThat(Codec.table(65_534)).isEqualTo(65_534);
+        assertThatThrownBy(() -> Codec.table(65_535)).hasMessage("table 65535: the wire has 65535 tables");
+        assertThatThrownBy(() -> Codec.mask(ClassSet.of())).hasMessageContaining("no classes");
+        assertThat(Codec.mask(ClassSet.all())).isZero();
+    }
+
+    @Test
+    void classNamesThatRepeatEndTheRun() throws IOException {
+        assertThat(play("CLOCK 9000000 1\n" + HELLO.replace("count=1", "count=2 classes.1.name=cut")
+                + "OVER_TO_YOU\n"))
+                .isEqualTo(1);
+        assertThat(out.size()).isZero();
+    }
+
     @Test
     void aMalformedLineEndsTheRun() throws IOException {
         assertThat(play("CLOCK 9000000 1\n" + HELLO + "LEFT 3 x\nOVER_TO_YOU\n")).isEqualTo(1);
--- a/src/test/java/rockshift/net/GovernorFixture.java
+++ b/src/test/java/rockshift/net/GovernorFixture.java
@@ -278,6 +278,22 @@
             return part;
         }
 
+        /** The parts of the messages up to the one that is to be answered, message by message. */
+        List<List<Map<String, String>>> messages() throws IOException, RespCodec.Broken {
+            List<List<Map<String, String>>> messages = new ArrayList<>();
+            List<Map<String, String>> message = new ArrayList<>();
+            Map<String, String> part;
+            do {
+                part = hear();
+                message.add(part);
+                if (!part.containsKey("more")) {
+                    messages.add(message);
+                    message = new ArrayList<>();
+                }
+            } while (!part.containsKey("ticket"));
+            return messages;
+        }
+
         /** Asks whether the governor is there, and reads on until it says so. */
         void assertAnswered() throws IOException, RespCodec.Broken {
             say("ping");
--- a/src/test/java/rockshift/net/GovernorTest.java
+++ b/src/test/java/rockshift/net/GovernorTest.java
@@ -18,7 +18,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -98,6 +101,42 @@
         collector.assertAnswered();
     }
 
+    /** Terms with classes of such names, each other one of which keeps to the proxy's zone. */
+    private static String classes(int count) {
+        String names = IntStream.range(0, count).mapToObj(k -> "{\"name\":\"class-" + k + "\"}")
+                .collect(Collectors.joining(","));
+        String atHome = IntStream.range(0, count).mapToObj(k -> Boolean.toString(k % 2 == 0))
+                .collect(Collectors.joining(","));
+        return TERMS.replaceAll("\"classes\":\\[.*?]", "\"classes\":[" + names + "]")
+                .replace("\"domain\":{", "\"domain\":{\"class_own_zone\":[" + atHome + "],");
+    }
+
+    /**
+     * From 32 classes on, a proxy was sent tables for class-0+class-32 and so on, and one class went by the
+     * table of another. A message has 64 parts at most, and each class brings one.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = {31, 32, 33, 40, 64, 65, 70})
+    void eachOfManyClassesGetsItsOwnTableAndNoOther(int count) throws Exception {
+        String west = entry("s-2", "Ready", 0).replace("east", "west");
+        Serve serve =
+                started(configuration("127.0.0.1:0", 1024, classes(count), entry("s-1", "Ready", 0), west));
+        Peer proxy = proxy(serve, 3);
+        List<List<Map<String, String>>> messages = proxy.messages();
+        assertThat(messages).hasSize(count > 64 ? 2 : 1).allMatch(message -> message.size() <= 64);
+        List<Map<String, String>> parts = messages.stream().flatMap(List::stream).toList();
+        assertThat(parts).extracting(part -> part.get("classes"))
+                .containsExactlyElementsOf(IntStream.range(0, count).mapToObj(k -> "class-" + k).toList());
+        for (int k = 0; k < count; k++) {
+            String[] lines = k % 2 == 0 ? new String[] {"s-1:1.0"} : new String[] {"s-1:0.5", "s-2:0.5"};
+            assertThat(parts.get(k)).as("class %d", k).containsEntry("whole", "1");
+            assertThat(parts.get(k).get("lines").split(",")).as("class %d", k)
+                    .containsExactlyInAnyOrder(lines);
+        }
+        proxy.say("usage sidecar 3 kind class-" + (count - 1) + " n 1 bad 0 window 1000").assertAnswered();
+        assertThat(lines("dropped")).isEmpty();
+    }
+
     // ---- peers that do harm ----
 
     @ParameterizedTest
@@ -519,6 +558,41 @@
         assertThat(logged.toString(StandardCharsets.UTF_8).trim()).contains(file, told).doesNotContain("\n");
     }
 
+    @ParameterizedTest
+    @CsvSource({"licence, cut, class.1.name, 'cut' repeats class.0.name",
+        "licence, '', class.1.name, is empty",
+        "cut, a+b, class.0.name, 'a+b' holds '+'", "licence, 'a,b', class.1.name, 'a,b' holds ','",
+        "licence, a:b, class.1.name, 'a:b' holds ':'"})
+    @Timeout(60)
+    void aClassNameThatCanNotBeUsedIsNamedWithItsFieldAndPlace(String name, String bad, String field,
+            String why)
+            throws Exception {
+        String terms =
+                TERMS.replace("\"classes\"", "\n\"classes\"").replace("\"" + name + "\"", "\"" + bad + "\"");
+        String file = configuration("127.0.0.1:0", 1024, terms, entry("s-1", "Ready", 0));
+        int column = terms.lines().toList().get(1).lastIndexOf("\"" + bad + "\"") + 1;
+        assertThat(Serve.run(Map.of("RELAY_CONFIG", file), new ProcessSignals(), null)).isEqualTo(2);
+        assertThat(logged.toString(StandardCharsets.UTF_8).trim()).doesNotContain("\n")
+                .startsWith(file + ": line 2, column " + column + ": field settings (" + field + ") ")
+                .contains(why);
+    }
+
+    /** A new file whose classes can't be told apart leaves what was read before in force. */
+    @Test
+    void aNewFileWithARepeatedClassNameLosesNothing() throws Exception {
+        String file =
+                configuration("127.0.0.1:0", 1024, TERMS, entry("s-1", "Ready", 0), entry("s-2", "Ready", 0));
+        Serve serve = started(file);
+        Peer proxy = proxy(serve, 3);
+        proxy.hear("ticket", "");
+        configuration("127.0.0.1:0", 1024, TERMS.replace("licence", "cut"), entry("s-1", "Ready", 0));
+        serve.reload(file);
+        assertThat(lines("the file before stays in force")).singleElement().asString()
+                .contains("class.1.name");
+        discovery.say(list(8, true, entry("s-1", "Ready", 0), entry("s-2", "Terminating", 0)));
+        assertThat(proxy.hear("lines", "s-2:0.0")).containsEntry("classes", "cut");
+    }
+
     @ParameterizedTest
     @CsvSource({"'', JSON", "'[]', JSON", "'{\"seed\":\"x\"}', seed", "'{\"listen\":\"x\"}', listen",
         "'{\"known\":3}', known",
