--- a/src/main/java/rockshift/Logic.java
+++ b/src/main/java/rockshift/Logic.java
@@ -865,11 +865,11 @@
         double least = FLOOR / allowed.size();
         double all = 1;
         // Guards a cold replica when proxies leave out lines where they failed. In a short table all warm
-        // ones may go: cold ones share what comes then by capacity, and none stays while the hottest proxy of
-        // late could push all over, as any may be the next. No whole table leans on one more than all do.
+        // ones may go: cold ones share what comes then by capacity, and none stays where a proxy brings part
+        // of what pushes all over, or one elsewhere brought all of it. Whole tables lean on none, either.
         boolean whole = lines == Double.MAX_VALUE;
         double fleet = expected * 10_000 * Math.max(1, number("proxies", 0) / proxies.size());
-        double brought = whole ? request.place.hottest : hottest;
+        double brought = Math.max(request.place.hottest, whole ? 0 : COLD_PART * hottest);
         double cold = request.reach(path -> path.allowed && warmth(path.link) < 1);
         double bearable = COLD_PART * number("fall.multiple", 1) * cold * fleet / classes;
         for (int i = 0; i < ITERATIONS; i++) {
