--- a/src/main/java/rockshift/net/DiscoveryClient.java
+++ b/src/main/java/rockshift/net/DiscoveryClient.java
@@ -203,8 +203,11 @@
         }
     }
 
-    /** One line for each trouble, not for each try. */
+    /** One line for each trouble, not for each try; none of a call that was dropped on purpose. */
     private void complain(Throwable cause) {
+        if (closed || !host.equals(told)) {
+            return;
+        }
         String line = cause.toString().lines().findFirst().orElse("");
         if (!line.equals(complaint)) {
             LOG.warn("discovery: {}, list of version {} kept", line, version);
