--- a/src/main/java/rockshift/Channel.java
+++ b/src/main/java/rockshift/Channel.java
@@ -4,13 +4,18 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The way to the proxies: what was written in this turn, what waits, and what nobody has answered yet. */
+/**
+ * The way to the proxies: what was written in this turn, what waits, and what nobody has answered
+ * yet.
+ */
 final class Channel {
     private static final int LAST_SERIAL = 65_535;
 
     private final double head;
+
     /** Lines a tenth of a millisecond. */
     private final double pace;
+
     private final List<Proxy> written = new ArrayList<>();
     private double queued;
     private double unanswered;
@@ -23,7 +28,10 @@
         at = now;
     }
 
-    /** Counts lines of the message that a proxy gets in this turn; the first bring its head and the mark. */
+    /**
+     * Counts lines of the message that a proxy gets in this turn; the first bring its head and the
+     * mark.
+     */
     void post(Proxy proxy, double lines, long now) {
         if (proxy.lines == 0) {
             proxy.messages.add(now);
@@ -71,9 +79,9 @@
     }
 
     /**
-     * Lines that wait: by the usual pace, or as many as nobody has answered but for those on the way.
-     * Messages leave in turn, so none written before one that any proxy answered still waits, however silent
-     * its own is.
+     * Lines that wait: by the usual pace, or as many as nobody has answered but for those on the
+     * way. Messages leave in turn, so none written before one that any proxy answered still waits,
+     * however silent its own is.
      */
     double queue(long now, double way, long remembered, Collection<Proxy> proxies) {
         if (now != at) {
--- a/src/main/java/rockshift/ClassNames.java
+++ b/src/main/java/rockshift/ClassNames.java
@@ -8,7 +8,10 @@
 
 /** The names of the request classes, by number: each has one, and no two the same. */
 public final class ClassNames {
-    /** What joins class names, lists and pairs on the proxies' streams; no name may hold any of them. */
+    /**
+     * What joins class names, lists and pairs on the proxies' streams; no name may hold any of
+     * them.
+     */
     private static final String SEPARATORS = "+,:";
 
     private final List<String> names;
@@ -50,8 +53,13 @@
         }
         for (char separator : SEPARATORS.toCharArray()) {
             if (name.indexOf(separator) >= 0) {
-                throw new InvalidNameException(number,
-                        "'" + name + "' holds '" + separator + "', which the protocol separates by");
+                throw new InvalidNameException(
+                        number,
+                        "'"
+                                + name
+                                + "' holds '"
+                                + separator
+                                + "', which the protocol separates by");
             }
         }
         Integer before = numbers.putIfAbsent(name, number);
@@ -68,8 +76,8 @@
     /**
      * Names in the order of their numbers.
      *
-     * @throws InvalidNameException for the first that is empty, repeats another or holds a separator of the
-     * protocol
+     * @throws InvalidNameException for the first that is empty, repeats another or holds a
+     *     separator of the protocol
      */
     public static ClassNames of(String... names) {
         return new ClassNames(List.of(names));
@@ -78,8 +86,8 @@
     /**
      * The names in the terms; a class that the terms leave without one can't be named.
      *
-     * @throws InvalidNameException for the first that is empty, repeats another or holds a separator of the
-     * protocol
+     * @throws InvalidNameException for the first that is empty, repeats another or holds a
+     *     separator of the protocol
      */
     public static ClassNames of(Map<String, String> terms) {
         String count = terms.getOrDefault("classes", "");
--- a/src/main/java/rockshift/ClassSet.java
+++ b/src/main/java/rockshift/ClassSet.java
@@ -5,8 +5,9 @@
 import java.util.stream.IntStream;
 
 /**
- * An immutable set of request classes, each by its number in the terms. There may be any number of classes.
- * The set of all classes is a value of its own: it stays all of them however many there are.
+ * An immutable set of request classes, each by its number in the terms. There may be any number of
+ * classes. The set of all classes is a value of its own: it stays all of them however many there
+ * are.
  */
 public final class ClassSet {
     private static final ClassSet ALL = new ClassSet(null);
@@ -88,7 +89,9 @@
     @Override
     public boolean equals(Object other) {
         return other == this
-                || other instanceof ClassSet that && numbers != null && numbers.equals(that.numbers);
+                || other instanceof ClassSet that
+                        && numbers != null
+                        && numbers.equals(that.numbers);
     }
 
     @Override
@@ -99,7 +102,8 @@
     /** The numbers with a plus sign between them, or "all". */
     @Override
     public String toString() {
-        return numbers == null ? "all"
+        return numbers == null
+                ? "all"
                 : numbers.stream().mapToObj(Integer::toString).collect(Collectors.joining("+"));
     }
 }
--- a/src/main/java/rockshift/Known.java
+++ b/src/main/java/rockshift/Known.java
@@ -9,13 +9,19 @@
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 
-/** What one governor knows: inputs write down what they tell, and {@link Logic} decides what follows. */
+/**
+ * What one governor knows: inputs write down what they tell, and {@link Logic} decides what
+ * follows.
+ */
 abstract class Known {
     final Map<String, String> terms;
+
     /**
-     * Terms that staff agreed to change since; and by replica, who is to be kept out if it started no later.
+     * Terms that staff agreed to change since; and by replica, who is to be kept out if it started
+     * no later.
      */
     final TreeMap<String, String> agreedTerms = new TreeMap<>();
+
     final TreeMap<Long, Long> asked = new TreeMap<>();
     long agreedVersion;
     Reach reach = Reach.FULL;
@@ -24,31 +30,48 @@
     private final ClassNames classNames;
     final TreeMap<Long, Replica> replicas = new TreeMap<>();
     final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
+
     /** Proxies that still hold what they came with, in the order of joining. */
     final LinkedHashMap<Integer, Proxy> waiting = new LinkedHashMap<>();
+
     final ArrayDeque<String> notes = new ArrayDeque<>();
     long now;
     boolean timerSet;
+
     /** A replica in a table changed; proxies joined. */
     boolean urgent = true;
+
     boolean unsettled;
+
     /** When a replica last left, as the list or staff have it. */
     long lostAt = Long.MIN_VALUE / 2;
+
     /** By class, what came; the tries seen; and the time that both and answers cover. */
     final double[] came;
+
     double tried;
-    /** Answers, the tenths of a ms that they took together, and the shortest mean of that so far. */
+
+    /**
+     * Answers, the tenths of a ms that they took together, and the shortest mean of that so far.
+     */
     double answers;
+
     double answerTime;
     private double leastTime = Double.MAX_VALUE;
     double flowTime;
     double heardTime;
+
     /** The same, begun with the first report's span instead of the time until it was taken in. */
     double flowSpan;
+
     double heardSpan;
     long fadedAt;
-    /** Transactions a second of a class that the hottest proxy brought of late: any may be the next. */
+
+    /**
+     * Transactions a second of a class that the hottest proxy brought of late: any may be the next.
+     */
     double hottest;
+
     /** The shortest promised time: answers that take longer are late. */
     final double promised;
 
@@ -61,8 +84,11 @@
         classes = number("slices", 0) > 0 ? 0 : (int) number("classes", 0);
         classNames = ClassNames.of(terms);
         came = new double[classes];
-        promised = IntStream.range(0, classes)
-                .mapToDouble(k -> number("class." + k + ".promised.time", Double.MAX_VALUE)).min().orElse(0);
+        promised =
+                IntStream.range(0, classes)
+                        .mapToDouble(k -> number("class." + k + ".promised.time", Double.MAX_VALUE))
+                        .min()
+                        .orElse(0);
     }
 
     final double number(String name, double otherwise) {
@@ -71,7 +97,8 @@
     }
 
     /**
-     * Turns in which a proxy may be sent something, by the limit of its messages: one turn may take several.
+     * Turns in which a proxy may be sent something, by the limit of its messages: one turn may take
+     * several.
      */
     final double turns(double messages) {
         int further = Math.max(0, classes - 1) / Orders.MOST_PARTS;
@@ -88,7 +115,10 @@
         }
     }
 
-    /** The part of their time that answers lately waited: what they take beyond the shortest mean so far. */
+    /**
+     * The part of their time that answers lately waited: what they take beyond the shortest mean so
+     * far.
+     */
     final double waited() {
         double took = answers > 0 ? answerTime / answers : Double.MAX_VALUE;
         leastTime = Math.min(leastTime, took);
@@ -125,8 +155,8 @@
     }
 
     /**
-     * What staff agreed, as it stands since a version: replicas to keep out, each up to a last start, and
-     * changed terms. One that is older than what is known means nothing.
+     * What staff agreed, as it stands since a version: replicas to keep out, each up to a last
+     * start, and changed terms. One that is older than what is known means nothing.
      */
     public void agreed(long now, long version, Map<Long, Long> out, Map<String, String> changed) {
         this.now = now;
@@ -141,7 +171,8 @@
     }
 
     /**
-     * Whether this governor may order all, or being cut off from the others only what rules owe, or nothing.
+     * Whether this governor may order all, or being cut off from the others only what rules owe, or
+     * nothing.
      */
     public void reach(long now, Reach to) {
         this.now = now;
@@ -174,8 +205,18 @@
         }
     }
 
-    /** What proxies of a zone met at a replica over a span, the mean time of answers, its load if told. */
-    public void heard(long now, String zone, long id, int count, int failed, long took, long span,
+    /**
+     * What proxies of a zone met at a replica over a span, the mean time of answers, its load if
+     * told.
+     */
+    public void heard(
+            long now,
+            String zone,
+            long id,
+            int count,
+            int failed,
+            long took,
+            long span,
             Double busy) {
         this.now = now;
         Replica replica = replicas.get(id);
@@ -195,7 +236,8 @@
         int k = classNames.number(type);
         if (proxy != null && span > 0 && k >= 0 && k < classes) {
             came[k] += count;
-            // There is no report of a span in which nothing came: the next one covers those before it.
+            // There is no report of a span in which nothing came: the next one covers those before
+            // it.
             long covered = span * Math.max(1, Math.round((now - proxy.toldAt[k]) / (double) span));
             proxy.came[k] += count;
             proxy.span[k] += covered;
@@ -211,7 +253,10 @@
         }
     }
 
-    /** Time has passed; who told of nothing for two report periods, brought nothing in the first of them. */
+    /**
+     * Time has passed; who told of nothing for two report periods, brought nothing in the first of
+     * them.
+     */
     public void woken(long now) {
         this.now = now;
         timerSet = false;
--- a/src/main/java/rockshift/Listed.java
+++ b/src/main/java/rockshift/Listed.java
@@ -8,6 +8,8 @@
 public record Listed(long replica, String zone, String kind, Health health, long started) {
     /** What the list says of a replica: fit for new work, finishing what it has, or removed. */
     public enum Health {
-        READY, DRAINING, GONE
+        READY,
+        DRAINING,
+        GONE
     }
 }
--- a/src/main/java/rockshift/Logic.java
+++ b/src/main/java/rockshift/Logic.java
@@ -19,117 +19,231 @@
 /**
  * All decisions of one governor. The host calls an input method for each thing it learns, then
  * {@link #decide} until that answers false; what is decided comes out through {@link Orders}.
- * Inputs only update what is known. Times are tenths of a millisecond on the host's clock.
- * The mechanism and every exception to it are explained in docs/design.md.
+ * Inputs only update what is known. Times are tenths of a millisecond on the host's clock. The
+ * mechanism and every exception to it are explained in docs/design.md.
  */
 public final class Logic extends Known {
     // ---- constants: unit, and the reason for the size -------------------------------------------
     /** Tenths of a ms: the timer. A tenth of the gathering time, so that nothing due waits long. */
     private static final long TURN = 1_000;
+
     /** Tenths of a ms: the design's gathering time between two batches of differences. */
     private static final long GATHER = 10_000;
+
     /** Share of a line's weight: smaller changes are not sent (the design's tenth). */
     private static final double SKIP = 0.1;
-    /** Share of the channel's limit that joins and ordinary batches may fill (the design's half). */
+
+    /**
+     * Share of the channel's limit that joins and ordinary batches may fill (the design's half).
+     */
     private static final double CHANNEL_PART = 0.5;
-    /** Share of the result that changed weights may cost in orders: what all else that is ordered leaves. */
+
+    /**
+     * Share of the result that changed weights may cost in orders: what all else that is ordered
+     * leaves.
+     */
     private static final double CHANGES_WORTH = 0.03;
+
     /** Share of the message limit left to what can be put off; drains space out the rest. */
     private static final double MESSAGE_PART = 0.6;
-    /** Share of the drains' grace that what can be put off may take of the channel: drains wait behind it. */
+
+    /**
+     * Share of the drains' grace that what can be put off may take of the channel: drains wait
+     * behind it.
+     */
     private static final double PUT_OFF = 0.2;
-    /** Share of the grace after which those who wait count as laid too late: half is for a slower channel. */
+
+    /**
+     * Share of the grace after which those who wait count as laid too late: half is for a slower
+     * channel.
+     */
     private static final double IN_TIME = 0.5;
+
     /** Tenths of a ms: memory of the capacity estimates (the design starts at 10 s). */
     private static final double CAPACITY_MEMORY = 80_000;
+
     /** Answers: a replica heard of less leans on the mean of its kind. */
     private static final double PRIOR = 15;
+
     /** Share: a load report below it is mostly noise, and a rate over it would be as well. */
     private static final double LEAST_LOAD = 0.05;
+
     /** Part of their time: answers that seem to wait less may as well have brought less work. */
     private static final double LEAST_WAITED = 0.25;
+
     /** Tenths of a ms: memory of failures; short, as a failing replica does harm at once. */
     private static final double HEALTH_MEMORY = 50_000;
-    /** Tenths of a ms: memory of a proxy's rate; short, as callers come and go, but a few reports long; and
-     * transactions that it reaches back for, as by fewer a rate is chance: no further than capacities do. */
+
+    /**
+     * Tenths of a ms: memory of a proxy's rate; short, as callers come and go, but a few reports
+     * long; and transactions that it reaches back for, as by fewer a rate is chance: no further
+     * than capacities do.
+     */
     private static final double DEMAND_MEMORY = 15_000;
+
     private static final double DEMAND_TRIES = 3;
+
     /** Exponent of the fairness; 1 is the design's start. */
     private static final double ALPHA = 1;
-    /** Mean lines that a line must be off, in the units of the dual, before it moves: the switching cost. */
+
+    /**
+     * Mean lines that a line must be off, in the units of the dual, before it moves: the switching
+     * cost.
+     */
     private static final double THETA = 0.07;
-    /** Mean lines for the whole price of crossing zones: what a path that crosses bears in the solve. */
+
+    /**
+     * Mean lines for the whole price of crossing zones: what a path that crosses bears in the
+     * solve.
+     */
     private static final double NEAR = 3;
-    /** Mean lines that a path bears beside, where all answers come late from afar: slow ways are left. */
+
+    /**
+     * Mean lines that a path bears beside, where all answers come late from afar: slow ways are
+     * left.
+     */
     private static final double LATE = 0.5;
-    /** Iterations a report round (the design's 5); most steps of the root search, and where it ends. */
+
+    /**
+     * Iterations a report round (the design's 5); most steps of the root search, and where it ends.
+     */
     private static final int ITERATIONS = 5;
+
     private static final int BISECTIONS = 40;
     private static final double PRECISION = 1e-12;
+
     /** Share of an even line that every line keeps: enough to go on hearing of the replica. */
     private static final double FLOOR = 0.02;
+
     /** Demand that all requests in use share beside their own, so that each keeps a fair table. */
     private static final double LEAST_DEMAND = 0.02;
-    /** Transactions a line should get before its idle connection closes: fewer seldom find one open. */
+
+    /**
+     * Transactions a line should get before its idle connection closes: fewer seldom find one open.
+     */
     private static final double REUSE = 3.3;
-    /** Tables to hold each replica, so that load can shift; least lines of one; the part of them near. */
+
+    /**
+     * Tables to hold each replica, so that load can shift; least lines of one; the part of them
+     * near.
+     */
     private static final double DEGREE = 12;
+
     private static final double LEAST_LINES = 8;
     private static final double NEAR_LINES = 0.75;
-    /** Times its demand that a place should reach in capacity, as a few proxies may bring most of it; times
-     * the lines wanted up to which the fleet is laid whole; and the part left at which a table is filled. */
+
+    /**
+     * Times its demand that a place should reach in capacity, as a few proxies may bring most of
+     * it; times the lines wanted up to which the fleet is laid whole; and the part left at which a
+     * table is filled.
+     */
     private static final double SPARE = 1.5;
+
     private static final double WHOLE = 1.5;
     private static final double REFILL = 0.75;
-    /** Tenths of a ms for which gone replicas are known, as proxies join with old tables; and open marks. */
+
+    /**
+     * Tenths of a ms for which gone replicas are known, as proxies join with old tables; and open
+     * marks.
+     */
     private static final long REMEMBERED = 600_000;
+
     /** Tries: fewer say nothing about a replica. */
     private static final double FEW_TRIES = 3;
-    /** Share of failures beside twice the median that shuns a replica: what all suffer shuns nobody. */
+
+    /**
+     * Share of failures beside twice the median that shuns a replica: what all suffer shuns nobody.
+     */
     private static final double EXCESS_FAILURES = 0.35;
-    /** Share of the fleet that may be shunned at a time: the rest must bear all. Could keep a dead one. */
+
+    /**
+     * Share of the fleet that may be shunned at a time: the rest must bear all. Could keep a dead
+     * one.
+     */
     private static final double MOST_SHUNNED = 0.25;
+
     /** Load above which failures are put down to too much work. */
     private static final double OVERWORKED = 0.8;
+
     /** Tenths of a ms: memory of what came and was tried; two to four report periods. */
     private static final double FLOW_MEMORY = 40_000;
-    /** Share of the fleet's capacity that may be let in: above it queues outgrow the promised time. */
+
+    /**
+     * Share of the fleet's capacity that may be let in: above it queues outgrow the promised time.
+     */
     private static final double FULL = 0.8;
-    /** Mean load of the fleet below which nothing is refused: a low estimate alone is no evidence. */
+
+    /**
+     * Mean load of the fleet below which nothing is refused: a low estimate alone is no evidence.
+     */
     private static final double BUSY = 0.6;
+
     /** Median share of failures up to which the fleet counts as calm, and its capacity as known. */
     private static final double CALM = 0.05;
+
     /** Part of the way that the calm rate moves a batch, and the part of it that a jam leaves. */
     private static final double STEADY_STEP = 0.3;
+
     private static final double JAM_PART = 0.75;
-    /** Median share of failures that means a jam; and tenths of a ms until reports tell how a pause ended. */
+
+    /**
+     * Median share of failures that means a jam; and tenths of a ms until reports tell how a pause
+     * ended.
+     */
     private static final double JAMMED = 0.6;
+
     private static final long AFTER_PAUSE = 50_000;
-    /** Level gained a batch at most: let in all at once, those who waited would jam the fleet again. */
+
+    /**
+     * Level gained a batch at most: let in all at once, those who waited would jam the fleet again.
+     */
     private static final double RISE = 0.2;
+
     /** Level: changes below it are not sent; and the least level of any class. */
     private static final double LEVEL_STEP = 0.02;
+
     private static final double LEAST_LEVEL = 0.05;
+
     /** Transactions a second at a proxy: the level that refuses none, where levels are rates. */
     private static final double ALL = 1e6;
-    /** Times a refused client comes again, at most; the refused share that tells; the step of learning. */
+
+    /**
+     * Times a refused client comes again, at most; the refused share that tells; the step of
+     * learning.
+     */
     private static final double MOST_REPEATS = 3;
+
     private static final double TRUSTED = 0.15;
     private static final double REPEATS_STEP = 0.2;
+
     /** Share of what pushes a cold replica over that it may be sent, by the tries now made. */
     private static final double COLD_PART = 0.3;
+
     /** Times its part of the fleet's capacity that a cold replica may be of a whole table. */
     private static final double COLD_SPREAD = 1.5;
-    /** Times a cold replica's part that a proxy with a whole table may bring of a class: more is too hot. */
+
+    /**
+     * Times a cold replica's part that a proxy with a whole table may bring of a class: more is too
+     * hot.
+     */
     private static final double HOT = 40;
+
     /** Tenths of a ms: a shunned replica's first rest; it doubles up to the longest. */
     private static final long REST = 60_000;
+
     private static final long LONGEST_REST = 150_000;
+
     /** Tenths of a ms: the return after a rest, over which the weight grows from TRIAL to full. */
     private static final long RETURN = 50_000;
+
     private static final double TRIAL = 0.15;
-    /** Share of the channel's limit that drains may fill: the rest is a margin for a channel that is slow. */
+
+    /**
+     * Share of the channel's limit that drains may fill: the rest is a margin for a channel that is
+     * slow.
+     */
     private static final double PRESSING_PART = 0.6;
+
     /** Trying again only after proof that the first try never ran: safe for every class. */
     private static final int AGAIN = 1;
 
@@ -145,13 +259,20 @@
     private final double warmAfter;
     private final Channel channel;
     private final List<Place> places = new ArrayList<>();
-    /** Requests that have proxies now, and the links that they use; lines that a table should have. */
+
+    /**
+     * Requests that have proxies now, and the links that they use; lines that a table should have.
+     */
     private List<Request> requests = List.of();
+
     private List<Replica> links = List.of();
     private double lines;
-    private final TreeSet<Due> dues = new TreeSet<>(
-            Comparator.comparingLong(Due::at).thenComparing(Due::batch).thenComparing(Due::replica)
-                    .thenComparing(Due::far));
+    private final TreeSet<Due> dues =
+            new TreeSet<>(
+                    Comparator.comparingLong(Due::at)
+                            .thenComparing(Due::batch)
+                            .thenComparing(Due::replica)
+                            .thenComparing(Due::far));
     private boolean held;
     // By class: the level, and what it was over time.
     private final double all;
@@ -161,13 +282,17 @@
     private double expected;
     private double fleetRate;
     private double steadyRate;
+
     /** What joined proxies usually get, and its means over what capacities and flows remember. */
     private double usual;
+
     private double usualThen;
     private double usualFlow;
     private double fleetLoad;
+
     /** The load of a replica that tells none. */
     private double untold = 1;
+
     private double medianFailures;
     private long pausedUntil;
     private long warnedAt;
@@ -222,7 +347,10 @@
         return true;
     }
 
-    /** Counts a proxy to its place; tables that nobody used, or that are not there yet, are laid first. */
+    /**
+     * Counts a proxy to its place; tables that nobody used, or that are not there yet, are laid
+     * first.
+     */
     private void settle(Proxy proxy) {
         int each = places.size() / zones.size();
         if (each > 0 && proxy.place == null) {
@@ -242,21 +370,31 @@
         }
     }
 
-    /** Lays the tables of its place under the proxy that waits longest and has some; none without a line. */
+    /**
+     * Lays the tables of its place under the proxy that waits longest and has some; none without a
+     * line.
+     */
     private boolean join(Orders orders) {
         for (Proxy proxy : waiting.values()) {
             Place place = proxy.place;
-            // Guards the drains where many come at once, as all tables would reach the last too late: one is
-            // for all classes first, the strictest; others repeat as if nothing were ordered, if it is safe.
-            boolean brief = queue() > putOff() / 2 && place != null && place.shared.filled > 0
-                    && number("again.unset", 0) <= AGAIN;
+            // Guards the drains where many come at once, as all tables would reach the last too
+            // late: one is
+            // for all classes first, the strictest; others repeat as if nothing were ordered, if it
+            // is safe.
+            boolean brief =
+                    queue() > putOff() / 2
+                            && place != null
+                            && place.shared.filled > 0
+                            && number("again.unset", 0) <= AGAIN;
             double cost = laying(place, brief);
-            // The longer it waits, the less it stands behind; after half the grace it presses like a drain.
+            // The longer it waits, the less it stands behind; after half the grace it presses like
+            // a drain.
             double ripe = Math.min(1, (now - proxy.joinedAt) / (IN_TIME * grace));
             if (cost == Double.MAX_VALUE || spent(proxy, 1)) {
                 continue;
             } else if (queue() > putOff() + ripe * (limit * PRESSING_PART - putOff())
-                    || queue() + cost + head + 1 > limit * (ripe < 1 ? CHANNEL_PART : PRESSING_PART)) {
+                    || queue() + cost + head + 1
+                            > limit * (ripe < 1 ? CHANNEL_PART : PRESSING_PART)) {
                 return false;
             }
             waiting.remove(proxy.number);
@@ -265,8 +403,15 @@
             return true;
         }
         boolean calm = waiting.isEmpty() && reach == Reach.FULL && queue() <= putOff() / 2;
-        Optional<Proxy> next = proxies.values().stream().filter(proxy -> calm && proxy.brief
-                && laying(proxy.place, false) < Double.MAX_VALUE && !spent(proxy, MESSAGE_PART)).findFirst();
+        Optional<Proxy> next =
+                proxies.values().stream()
+                        .filter(
+                                proxy ->
+                                        calm
+                                                && proxy.brief
+                                                && laying(proxy.place, false) < Double.MAX_VALUE
+                                                && !spent(proxy, MESSAGE_PART))
+                        .findFirst();
         next.ifPresent(proxy -> lay(orders, proxy, false, laying(proxy.place, false)));
         return next.isPresent();
     }
@@ -277,7 +422,8 @@
     }
 
     private void lay(Orders orders, Proxy proxy, boolean brief, double cost) {
-        double told = brief ? orders.bind(proxy.place.shared.number, proxy.number, ClassSet.all()) : 0;
+        double told =
+                brief ? orders.bind(proxy.place.shared.number, proxy.number, ClassSet.all()) : 0;
         for (Request request : brief ? List.<Request>of() : proxy.place.requests) {
             told += orders.bind(request.number, proxy.number, request.classes);
         }
@@ -286,21 +432,31 @@
         channel.post(proxy, cost + told, now);
     }
 
-    /** Lines beside head and mark that laying a place's tables, or one, comes to; too many for none. */
+    /**
+     * Lines beside head and mark that laying a place's tables, or one, comes to; too many for none.
+     */
     private double laying(Place place, boolean brief) {
         boolean none = place == null || !place.laid || place.filled == 0 || reach == Reach.HOLD;
-        return none ? Double.MAX_VALUE : brief ? place.shared.filled + 2 : place.filled + 2 * classes;
+        return none
+                ? Double.MAX_VALUE
+                : brief ? place.shared.filled + 2 : place.filled + 2 * classes;
     }
 
     /**
-     * Guards drains where the channel leaves proxies waiting with what they came with: who would be laid too
-     * late is told to keep off all who left, where that is less to send than its tables. They are let in
-     * again when none waits, so that no cold one meets old weights; that loses some of their work.
+     * Guards drains where the channel leaves proxies waiting with what they came with: who would be
+     * laid too late is told to keep off all who left, where that is less to send than its tables.
+     * They are let in again when none waits, so that no cold one meets old weights; that loses some
+     * of their work.
      */
     private boolean withdraw(Orders orders) {
         if (waiting.isEmpty()) {
-            Replica back = reach != Reach.FULL ? null : replicas.values().stream()
-                    .filter(replica -> replica.usable() && replica.withdrawn).findFirst().orElse(null);
+            Replica back =
+                    reach != Reach.FULL
+                            ? null
+                            : replicas.values().stream()
+                                    .filter(replica -> replica.usable() && replica.withdrawn)
+                                    .findFirst()
+                                    .orElse(null);
             if (back != null) {
                 back.withdrawn = false;
                 proxies.values().forEach(proxy -> tell(orders, proxy, List.of(back), false));
@@ -312,16 +468,21 @@
             return false;
         }
         warnedAt = now;
-        List<Replica> out = replicas.values().stream().filter(replica -> !replica.usable()).toList();
+        List<Replica> out =
+                replicas.values().stream().filter(replica -> !replica.usable()).toList();
         double ahead = queue();
         boolean told = false;
         for (Proxy proxy : waiting.values()) {
             double cost = laying(proxy.place, true);
             ahead += cost + head + 1;
             long since = Math.max(proxy.joinedAt, proxy.warnedAt);
-            boolean late = now - since + ahead / pace + number("transit.longest", 0) > IN_TIME * grace;
-            if (late && proxy.warnedAt < lostAt && out.size() < cost
-                    && queue() + out.size() + head + 1 <= limit * PRESSING_PART && !spent(proxy, 1)) {
+            boolean late =
+                    now - since + ahead / pace + number("transit.longest", 0) > IN_TIME * grace;
+            if (late
+                    && proxy.warnedAt < lostAt
+                    && out.size() < cost
+                    && queue() + out.size() + head + 1 <= limit * PRESSING_PART
+                    && !spent(proxy, 1)) {
                 proxy.warnedAt = now;
                 tell(orders, proxy, out, true);
                 told = true;
@@ -364,30 +525,41 @@
     }
 
     /**
-     * Keeps out whom staff asked to, unless nobody else could answer: no proxy is left without a replica. A
-     * class that must stay in its zone keeps one in each. Could go on with one that staff need to stop.
+     * Keeps out whom staff asked to, unless nobody else could answer: no proxy is left without a
+     * replica. A class that must stay in its zone keeps one in each. Could go on with one that
+     * staff need to stop.
      */
     private void heed() {
         boolean bound = IntStream.range(0, classes).anyMatch(k -> homebound[k]);
-        replicas.values().forEach(replica -> replica.keptOut =
-                replica.started <= asked.getOrDefault(replica.id, Long.MIN_VALUE));
+        replicas.values()
+                .forEach(
+                        replica ->
+                                replica.keptOut =
+                                        replica.started
+                                                <= asked.getOrDefault(replica.id, Long.MIN_VALUE));
         lostAt = asked.isEmpty() ? lostAt : now;
         List<Replica> left = replicas.values().stream().filter(Replica::usable).toList();
-        replicas.values().forEach(replica -> replica.keptOut = replica.keptOut
-                && left.stream().anyMatch(other -> !bound || other.zone.equals(replica.zone)));
+        for (Replica replica : replicas.values()) {
+            replica.keptOut =
+                    replica.keptOut
+                            && left.stream()
+                                    .anyMatch(other -> !bound || other.zone.equals(replica.zone));
+        }
     }
 
     /**
-     * Deals each place its replicas. Where whole tables fit the channel and the connections, all get all.
-     * Else a zone's proxies fall into several places, three lines in four near, dealt so that each
-     * replica is held about equally often, and more where demand needs it; what was dealt stays.
+     * Deals each place its replicas. Where whole tables fit the channel and the connections, all
+     * get all. Else a zone's proxies fall into several places, three lines in four near, dealt so
+     * that each replica is held about equally often, and more where demand needs it; what was dealt
+     * stays.
      */
     private void deal() {
         List<Replica> usable = replicas.values().stream().filter(Replica::usable).toList();
         if (places.isEmpty() && !usable.isEmpty() && !proxies.isEmpty() && classes > 0) {
             open(usable.size());
         }
-        replicas.values().stream().filter(other -> !other.usable() && other.heldNear + other.heldFar > 0)
+        replicas.values().stream()
+                .filter(other -> !other.usable() && other.heldNear + other.heldFar > 0)
                 .forEach(gone -> places.forEach(place -> place.remove(gone)));
         for (Place place : places) {
             double has = place.members.size();
@@ -407,38 +579,50 @@
         for (Place place : places) {
             for (Request request : place.requests) {
                 place.members.forEach(
-                        (id, member) -> request.paths.computeIfAbsent(id, key -> new Path(request, member)));
+                        (id, member) ->
+                                request.paths.computeIfAbsent(
+                                        id, key -> new Path(request, member)));
             }
         }
     }
 
     /** Adds so many of those that the fewest places hold, of its zone or of the others. */
     private void fill(Place place, List<Replica> usable, boolean near, double more) {
-        usable.stream().filter(replica -> place.lacks(replica, near) && !replica.near.shunned)
-                .sorted(Comparator.comparingInt((Replica other) -> near ? other.heldNear : other.heldFar)
-                        .thenComparingLong(replica -> order(place, replica)))
-                .limit((long) Math.max(0, more)).forEach(place::add);
+        usable.stream()
+                .filter(replica -> place.lacks(replica, near) && !replica.near.shunned)
+                .sorted(
+                        Comparator.comparingInt(
+                                        (Replica other) -> near ? other.heldNear : other.heldFar)
+                                .thenComparingLong(replica -> order(place, replica)))
+                .limit((long) Math.max(0, more))
+                .forEach(place::add);
     }
 
     /** Adds a replica to the shortest tables of its zone or the others. */
     private void spread(Replica replica, boolean near, double more) {
         if (more >= 1) {
-            places.stream().filter(place -> place.lacks(replica, near))
-                    .sorted(Comparator.comparingInt((Place place) -> place.members.size())
-                            .thenComparingLong(place -> order(place, replica)))
-                    .limit((long) more).forEach(place -> place.add(replica));
+            places.stream()
+                    .filter(place -> place.lacks(replica, near))
+                    .sorted(
+                            Comparator.comparingInt((Place place) -> place.members.size())
+                                    .thenComparingLong(place -> order(place, replica)))
+                    .limit((long) more)
+                    .forEach(place -> place.add(replica));
         }
     }
 
-    /** The same at every governor and after a restart: a proxy that moves finds its replicas again. */
+    /**
+     * The same at every governor and after a restart: a proxy that moves finds its replicas again.
+     */
     private static long order(Place place, Replica replica) {
         return new SplittableRandom(replica.id * Short.MAX_VALUE + place.number).nextLong();
     }
 
     /** Opens the places, by what was told at start and what the first proxies usually get. */
     private void open(int usable) {
-        double usual = proxies.values().stream().flatMapToDouble(proxy -> Arrays.stream(proxy.rate)).sum()
-                / proxies.size();
+        double usual =
+                proxies.values().stream().flatMapToDouble(proxy -> Arrays.stream(proxy.rate)).sum()
+                        / proxies.size();
         double kept = usual * number("idle.close", Double.MAX_VALUE) / 10_000 / REUSE;
         double all = Math.max(proxies.size(), number("proxies", 0));
         double fits = (limit * number("governors", 1) / all - head) / classes - 2;
@@ -458,9 +642,12 @@
         double capacityKept = Math.exp((fadedAt - now) / CAPACITY_MEMORY);
         double healthKept = Math.exp((fadedAt - now) / HEALTH_MEMORY);
         double flowKept = Math.exp((fadedAt - now) / FLOW_MEMORY);
-        // Reports tell of a time when others were joined: when governors die, the last one has all their
-        // proxies, and its estimates would stay at its old part of the fleet as long as they remember. Two
-        // report periods pass until new proxies are in. Could mistake one that gets far from its usual.
+        // Reports tell of a time when others were joined: when governors die, the last one has all
+        // their
+        // proxies, and its estimates would stay at its old part of the fleet as long as they
+        // remember. Two
+        // report periods pass until new proxies are in. Could mistake one that gets far from its
+        // usual.
         double lag = 2 * number("report.period", 0);
         double thenKept = flowTime > 0 ? Math.exp((fadedAt - now) / (CAPACITY_MEMORY + lag)) : 0;
         double flowThenKept = flowTime > 0 ? Math.exp((fadedAt - now) / (FLOW_MEMORY + lag)) : 0;
@@ -470,12 +657,17 @@
         hottest *= Math.exp((double) (fadedAt - now) / REMEMBERED);
         fadedAt = now;
         // What a cold replica answers tells nothing of what it will when it is warm.
-        replicas.values().forEach(each -> each.fade(warmth(each) < 1 ? 0 : capacityKept, healthKept));
+        replicas.values()
+                .forEach(each -> each.fade(warmth(each) < 1 ? 0 : capacityKept, healthKept));
         if (heardTime > 0) {
             boolean first = flowTime == 0;
-            flowSpan = first ? heardTime * flowKept : flowSpan * flowKept + FLOW_MEMORY * (1 - flowKept);
-            heardSpan = (first ? heardTime : heardSpan) * capacityKept
-                    + (first ? 0 : CAPACITY_MEMORY * (1 - capacityKept));
+            flowSpan =
+                    first
+                            ? heardTime * flowKept
+                            : flowSpan * flowKept + FLOW_MEMORY * (1 - flowKept);
+            heardSpan =
+                    (first ? heardTime : heardSpan) * capacityKept
+                            + (first ? 0 : CAPACITY_MEMORY * (1 - capacityKept));
             heardTime = heardTime * capacityKept + CAPACITY_MEMORY * (1 - capacityKept);
             flowTime = flowTime * flowKept + FLOW_MEMORY * (1 - flowKept);
             fadeFlow(flowKept);
@@ -490,17 +682,33 @@
         return usual > 0 && then > 0 ? usual / then : 1;
     }
 
-    /** Replicas are judged by their share of failures against the fleet's median, who loses most first. */
+    /**
+     * Replicas are judged by their share of failures against the fleet's median, who loses most
+     * first.
+     */
     private void judge() {
-        double[] shares = replicas.values().stream().filter(Replica::usable).map(Replica::seen)
-                .filter(view -> view.tries >= FEW_TRIES).mapToDouble(View::failureShare).sorted().toArray();
+        double[] shares =
+                replicas.values().stream()
+                        .filter(Replica::usable)
+                        .map(Replica::seen)
+                        .filter(view -> view.tries >= FEW_TRIES)
+                        .mapToDouble(View::failureShare)
+                        .sorted()
+                        .toArray();
         medianFailures = shares.length == 0 ? 0 : shares[(shares.length - 1) / 2];
-        double room = MOST_SHUNNED * links.size() - links.stream().filter(link -> link.near.shunned).count();
-        for (Replica replica : links.stream().sorted(Comparator.comparing(r -> -r.lost())).toList()) {
-            // A cut between zones looks like death from one side only: while its own zone does well with a
-            // replica, the others alone shun it. Could keep a dying one for those near it a little longer.
+        double room =
+                MOST_SHUNNED * links.size()
+                        - links.stream().filter(link -> link.near.shunned).count();
+        for (Replica replica :
+                links.stream().sorted(Comparator.comparing(r -> -r.lost())).toList()) {
+            // A cut between zones looks like death from one side only: while its own zone does well
+            // with a
+            // replica, the others alone shun it. Could keep a dying one for those near it a little
+            // longer.
             boolean well = replica.near.tries >= FEW_TRIES && !failing(replica.near);
-            if (replica.usable() && failing(well ? replica.far : replica.seen()) && (well || room > 0)) {
+            if (replica.usable()
+                    && failing(well ? replica.far : replica.seen())
+                    && (well || room > 0)) {
                 room -= well || replica.near.shunned ? 0 : 1;
                 shun(replica, well ? replica.far : replica.near);
             }
@@ -508,11 +716,12 @@
     }
 
     /**
-     * Too much work makes a replica fail as well, and shunning it would push the next one over: a busy one
-     * is left to the capacity estimate. A hung one tells no load, and counts as idle.
+     * Too much work makes a replica fail as well, and shunning it would push the next one over: a
+     * busy one is left to the capacity estimate. A hung one tells no load, and counts as idle.
      */
     private boolean failing(View view) {
-        return view.tries >= FEW_TRIES && view.busy <= OVERWORKED * view.tries
+        return view.tries >= FEW_TRIES
+                && view.busy <= OVERWORKED * view.tries
                 && view.failureShare() > 2 * medianFailures + EXCESS_FAILURES;
     }
 
@@ -520,11 +729,20 @@
         if (!view.shunned) {
             boolean far = view == replica.far;
             view.shunned = true;
-            view.rest = now - view.returned > RETURN + GATHER ? REST : Math.min(LONGEST_REST, 2 * view.rest);
+            view.rest =
+                    now - view.returned > RETURN + GATHER
+                            ? REST
+                            : Math.min(LONGEST_REST, 2 * view.rest);
             dues.add(new Due(now + view.rest + chance.nextLong(GATHER), false, replica.id, far));
-            notes.add(String.format(Locale.ROOT,
-                    "replica %d shunned%s, failures %.2f, median %.2f, load %.2f", replica.id,
-                    far ? " by far" : "", replica.seen().failureShare(), medianFailures, busy(replica)));
+            notes.add(
+                    String.format(
+                            Locale.ROOT,
+                            "replica %d shunned%s, failures %.2f, median %.2f, load %.2f",
+                            replica.id,
+                            far ? " by far" : "",
+                            replica.seen().failureShare(),
+                            medianFailures,
+                            busy(replica)));
         }
     }
 
@@ -542,45 +760,58 @@
                 hottest = Math.max(hottest, proxy.rate[k]);
             }
         }
-        requests = places.stream().filter(place -> place.joined > 0)
-                .flatMap(place -> place.requests.stream()).toList();
+        requests =
+                places.stream()
+                        .filter(place -> place.joined > 0)
+                        .flatMap(place -> place.requests.stream())
+                        .toList();
         double all = Math.max(expected * 10_000, Double.MIN_NORMAL);
         double even = LEAST_DEMAND / requests.size();
-        requests.forEach(request -> request.weight = (request.weight / all + even) / (1 + LEAST_DEMAND));
+        requests.forEach(
+                request -> request.weight = (request.weight / all + even) / (1 + LEAST_DEMAND));
         replicas.values().forEach(replica -> replica.used.clear());
-        requests.forEach(request -> request.paths.values().forEach(path -> path.link.used.add(path)));
+        requests.forEach(
+                request -> request.paths.values().forEach(path -> path.link.used.add(path)));
         links = replicas.values().stream().filter(replica -> !replica.used.isEmpty()).toList();
     }
 
     /**
-     * Capacities as shares of their sum. A replica's is its answered rate over its load: what it would
-     * answer if it were busy all the time, of which our own proxies' part is ours. The answered rate
-     * alone follows the weight that it was given, and feeds on itself. Few answers lean on the kind's mean.
+     * Capacities as shares of their sum. A replica's is its answered rate over its load: what it
+     * would answer if it were busy all the time, of which our own proxies' part is ours. The
+     * answered rate alone follows the weight that it was given, and feeds on itself. Few answers
+     * lean on the kind's mean.
      */
     private void estimate() {
-        // Where nobody tells a load, what answers waited does: a part of their time that is its square, as
-        // two cores wait. Taken for full, a fleet would be let in 0.8 of what it answers, ever less.
-        untold = links.stream().anyMatch(link -> link.busyTries > 0) ? 1
-                : Math.sqrt(Math.max(LEAST_WAITED, waited()));
+        // Where nobody tells a load, what answers waited does: a part of their time that is its
+        // square, as
+        // two cores wait. Taken for full, a fleet would be let in 0.8 of what it answers, ever
+        // less.
+        untold =
+                links.stream().anyMatch(link -> link.busyTries > 0)
+                        ? 1
+                        : Math.sqrt(Math.max(LEAST_WAITED, waited()));
         TreeMap<String, DoubleSummaryStatistics> kinds = new TreeMap<>();
         DoubleSummaryStatistics fleet = new DoubleSummaryStatistics();
         for (Replica replica : links) {
             if (replica.usable() && replica.answered >= 1) {
                 double own = replica.answered / busy(replica);
                 fleet.accept(own);
-                kinds.computeIfAbsent(replica.kind, kind -> new DoubleSummaryStatistics()).accept(own);
+                kinds.computeIfAbsent(replica.kind, kind -> new DoubleSummaryStatistics())
+                        .accept(own);
             }
         }
         double sum = 0;
         double reach = 0;
         double busy = 0;
         for (Replica replica : links) {
-            double mean = fleet.getCount() > 0 ? kinds.getOrDefault(replica.kind, fleet).getAverage() : 1;
+            double mean =
+                    fleet.getCount() > 0 ? kinds.getOrDefault(replica.kind, fleet).getAverage() : 1;
             double own = replica.answered / busy(replica);
             double back = Math.min(1, TRIAL + (1 - TRIAL) * (now - replica.near.returned) / RETURN);
             double part = replica.near.shunned || !replica.usable() ? 0 : back * warmth(replica);
             replica.oldCapacity = replica.capacity;
-            replica.capacity = part * (replica.answered * own + PRIOR * mean) / (replica.answered + PRIOR);
+            replica.capacity =
+                    part * (replica.answered * own + PRIOR * mean) / (replica.answered + PRIOR);
             sum += replica.capacity;
             // What none of our proxies can reach, as behind a cut, is no capacity to admit by.
             if (replica.used.stream().anyMatch(path -> open(path))) {
@@ -591,7 +822,8 @@
         double rate = heardTime > 0 ? reach / heardTime : 0;
         fleetRate = grown(usualThen) * rate;
         fleetLoad = reach > 0 ? busy / reach : 0;
-        // Guards a cold replica when all try far more than the fleet can do, or much of it is cold; could
+        // Guards a cold replica when all try far more than the fleet can do, or much of it is cold;
+        // could
         // hold a new one back after a storm. Proxies just joined count by what they usually get.
         double asked = Math.max(expected, flowTime > 0 ? tried / flowTime : 0);
         double strain = rate > 0 ? asked / rate : 0;
@@ -603,8 +835,11 @@
         for (Request request : requests) {
             request.utopic = request.reach(this::open);
             for (Path path : request.paths.values()) {
-                boolean known = path.open && request.oldWeight > 0
-                        && path.link.oldCapacity > 0 && path.link.capacity > 0;
+                boolean known =
+                        path.open
+                                && request.oldWeight > 0
+                                && path.link.oldCapacity > 0
+                                && path.link.capacity > 0;
                 path.open = open(path);
                 path.allowed = allowed(path);
                 path.carry(known, ALPHA);
@@ -614,19 +849,26 @@
 
     /** Whether a request may use a path at all; some classes must stay in their zone. */
     private boolean allowed(Path path) {
-        return path.link.usable() && (path.near || !homebound[path.request.type])
+        return path.link.usable()
+                && (path.near || !homebound[path.request.type])
                 && path.request.place.members.containsKey(path.link.id);
     }
 
-    /** Part of its full capacity that a replica has at least: a new one starts cold and warms evenly. */
+    /**
+     * Part of its full capacity that a replica has at least: a new one starts cold and warms
+     * evenly.
+     */
     private double warmth(Replica replica) {
         double age = Math.max(0, now - replica.started);
-        return replica.started == 0 || age >= warmAfter ? 1 : coldShare + (1 - coldShare) * age / warmAfter;
+        return replica.started == 0 || age >= warmAfter
+                ? 1
+                : coldShare + (1 - coldShare) * age / warmAfter;
     }
 
     /** Share of its time that a replica was busy, for all who send to it. */
     private double busy(Replica replica) {
-        return Math.max(LEAST_LOAD, replica.busyTries > 0 ? replica.busySum / replica.busyTries : untold);
+        return Math.max(
+                LEAST_LOAD, replica.busyTries > 0 ? replica.busySum / replica.busyTries : untold);
     }
 
     /** Shunned near means for all, shunned far for those of other zones. */
@@ -635,44 +877,58 @@
     }
 
     /**
-     * Levels: no more is let in than the fleet can answer, the lesser benefit refused first where the goal
-     * allows it. Guards against too much demand and lost capacity of any cause, where admission is a share.
-     * Could refuse too much while capacity is underrated, so a fleet that is not busy refuses nothing.
+     * Levels: no more is let in than the fleet can answer, the lesser benefit refused first where
+     * the goal allows it. Guards against too much demand and lost capacity of any cause, where
+     * admission is a share. Could refuse too much while capacity is underrated, so a fleet that is
+     * not busy refuses nothing.
      */
     private void setLevels() {
         if (!terms.getOrDefault("admission", "").equals("share") || flowTime == 0) {
             return;
         }
-        // A refused client comes again; taken for new demand, it would have ever more refused. How often is
-        // learned from what passed beyond the tries seen, slowly, as tries end late. Could let in too much.
+        // A refused client comes again; taken for new demand, it would have ever more refused. How
+        // often is
+        // learned from what passed beyond the tries seen, slowly, as tries end late. Could let in
+        // too much.
         double passed = IntStream.range(0, classes).mapToDouble(k -> came[k] * letIn[k]).sum();
         double refused = 1 - passed / Arrays.stream(came).sum();
-        double found = Math.max(0, Math.min(MOST_REPEATS, (passed / Math.max(1, tried) - 1) / refused));
+        double found =
+                Math.max(0, Math.min(MOST_REPEATS, (passed / Math.max(1, tried) - 1) / refused));
         repeats += refused > TRUSTED ? REPEATS_STEP * (found - repeats) : 0;
-        // At a start the times are too safe, up to a half: only an overworked fleet gets more than is told.
+        // At a start the times are too safe, up to a half: only an overworked fleet gets more than
+        // is told.
         boolean calm = fleetLoad < OVERWORKED;
         double[] each = new double[classes];
         double demand = 0;
         double benefits = 0;
         for (int k = 0; k < classes; k++) {
-            each[k] = grown(usualFlow) * came[k] / (calm ? flowSpan : Math.max(flowTime, flowSpan / 2))
-                    / (1 + repeats * (1 - letIn[k]));
+            each[k] =
+                    grown(usualFlow)
+                            * came[k]
+                            / (calm ? flowSpan : Math.max(flowTime, flowSpan / 2))
+                            / (1 + repeats * (1 - letIn[k]));
             demand += each[k];
             benefits += each[k] * number("class." + k + ".benefit", 1);
         }
-        // In a jam answers fall though the capacity is there, and refusing by them would refuse nearly all:
+        // In a jam answers fall though the capacity is there, and refusing by them would refuse
+        // nearly all:
         // the rate of calmer times holds the room up. Too high where much capacity is really lost.
         double step = steadyRate == 0 ? 1 : medianFailures < CALM ? STEADY_STEP : 0;
         steadyRate += step * (fleetRate / Math.max(usual, Double.MIN_NORMAL) - steadyRate);
         double able = calm ? fleetRate * heardTime / heardSpan : fleetRate;
         double room = FULL * Math.max(able, JAM_PART * steadyRate * usual);
-        // In a full jam servers work on what nobody waits for any more, whatever is still let in. Letting in
-        // next to nothing until the oldest has timed out frees them at once; costs that time if it is wrong.
+        // In a full jam servers work on what nobody waits for any more, whatever is still let in.
+        // Letting in
+        // next to nothing until the oldest has timed out frees them at once; costs that time if it
+        // is wrong.
         if (medianFailures > JAMMED && fleetLoad > OVERWORKED && now > pausedUntil + AFTER_PAUSE) {
             for (int k = 0; k < classes; k++) {
-                pausedUntil = Math.max(pausedUntil, now + (long) number("class." + k + ".time.limit", 0));
+                pausedUntil =
+                        Math.max(pausedUntil, now + (long) number("class." + k + ".time.limit", 0));
             }
-            notes.add(String.format(Locale.ROOT, "jam, median of failures %.2f, pausing", medianFailures));
+            notes.add(
+                    String.format(
+                            Locale.ROOT, "jam, median of failures %.2f, pausing", medianFailures));
         }
         double ofWorst = number("goal.worst.class", 0);
         int lesser = -1;
@@ -693,7 +949,9 @@
         }
     }
 
-    /** One iteration of FD-ADMM. Each path has one link, so its two duals are opposite: one is kept. */
+    /**
+     * One iteration of FD-ADMM. Each path has one link, so its two duals are opposite: one is kept.
+     */
     private void iterate(double penalty) {
         for (Replica link : links) {
             link.used.forEach(path -> path.average(penalty));
@@ -707,7 +965,9 @@
         }
     }
 
-    /** The root search for the class total, and the request's copies: the switching cost holds them. */
+    /**
+     * The root search for the class total, and the request's copies: the switching cost holds them.
+     */
     private void root(Request request, double penalty, double theta, double cross, double line) {
         List<Path> open = request.paths.values().stream().filter(path -> path.open).toList();
         double rate = request.total / request.scale;
@@ -715,8 +975,13 @@
         double[] move = new double[current.length];
         for (int i = 0; i < move.length; i++) {
             Path path = open.get(i);
-            double late = path.link.far.tries > 0 ? LATE * path.link.far.late / path.link.far.tries : 0;
-            move[i] = path.mean - penalty * path.dual - (path.near ? 0 : (cross + late) * line) - current[i];
+            double late =
+                    path.link.far.tries > 0 ? LATE * path.link.far.late / path.link.far.tries : 0;
+            move[i] =
+                    path.mean
+                            - penalty * path.dual
+                            - (path.near ? 0 : (cross + late) * line)
+                            - current[i];
         }
         double high = 2;
         double low = 0;
@@ -749,11 +1014,15 @@
     /** The link's copies: the nearest point whose sum stays within the capacity. */
     private void project(Replica link, double penalty) {
         link.used.forEach(path -> path.z = path.open ? path.mean + penalty * path.dual : 0);
-        double cut = Simplex.cut(link.used.stream().mapToDouble(path -> path.z).toArray(), link.capacity);
+        double cut =
+                Simplex.cut(
+                        link.used.stream().mapToDouble(path -> path.z).toArray(), link.capacity);
         link.used.forEach(path -> path.z = Math.max(0, path.z - cut));
     }
 
-    /** A line of a request's table, or its level where no path is named, and how much it matters. */
+    /**
+     * A line of a request's table, or its level where no path is named, and how much it matters.
+     */
     private record Change(Request request, Path path, double to, double size) {}
 
     private void publish(Orders orders, boolean gathered) {
@@ -761,8 +1030,12 @@
         double span = number("messages.span", 0);
         double room = limit * PRESSING_PART - queue();
         // Who waits may hold what left long ago: nothing that can be put off goes before it.
-        boolean first = waiting.values().stream()
-                .anyMatch(proxy -> proxy.joinedAt < now && laying(proxy.place, true) < Double.MAX_VALUE);
+        boolean first =
+                waiting.values().stream()
+                        .anyMatch(
+                                proxy ->
+                                        proxy.joinedAt < now
+                                                && laying(proxy.place, true) < Double.MAX_VALUE);
         double ordinary = first ? 0 : putOff() - queue();
         double share = Math.min(CHANNEL_PART, CHANGES_WORTH / number("price.orders", 0));
         double weights = gathered ? share * pace * 10_000 : 0;
@@ -770,24 +1043,38 @@
             proxy.messages.removeIf(at -> at <= now - span);
             if (proxy.bound && cap > 0 && proxy.messages.size() >= most) {
                 proxy.place.full = true;
-                proxy.place.barred |= proxy.messages.size() >= cap
-                        || now - proxy.messages.getLast() < span / (cap - most);
+                proxy.place.barred |=
+                        proxy.messages.size() >= cap
+                                || now - proxy.messages.getLast() < span / (cap - most);
             }
         }
-        Set<Request> bare = requests.stream().filter(request -> request.paths.values().stream()
-                .noneMatch(path -> path.published > 0 && path.allowed)).collect(Collectors.toSet());
+        Set<Request> bare =
+                requests.stream()
+                        .filter(
+                                request ->
+                                        request.paths.values().stream()
+                                                .noneMatch(
+                                                        path -> path.published > 0 && path.allowed))
+                        .collect(Collectors.toSet());
         for (Change change : changes()) {
-            // What left the list comes out, and a table without a line gets one: at once, also when cut off.
-            // All else but a cold replica's cut is gathered, or rides along: in a release it would fill the
-            // channel by handfuls, each with its heads. Who doubles as the largest line left, rides too.
+            // What left the list comes out, and a table without a line gets one: at once, also when
+            // cut off.
+            // All else but a cold replica's cut is gathered, or rides along: in a release it would
+            // fill the
+            // channel by handfuls, each with its heads. Who doubles as the largest line left, rides
+            // too.
             Place place = change.request.place;
             boolean owed = change.path != null && (change.to == 0 || bare.contains(change.request));
             double old = change.path == null ? 0 : change.path.published;
             boolean cold = change.to < old && warmth(change.path.link) < 1;
             boolean lift = place.sent > 0 && old > 0 && change.to > 2 * old;
             boolean guard = owed || lift || cold && (!first || 2 * change.to < old);
-            boolean atOnce = owed || lift || cold && 2 * change.to < old || place.bound == 0
-                    || place.sent > 0 && old == 0 && change.path != null;
+            boolean atOnce =
+                    owed
+                            || lift
+                            || cold && 2 * change.to < old
+                            || place.bound == 0
+                            || place.sent > 0 && old == 0 && change.path != null;
             if (reach == Reach.HOLD || reach == Reach.WITHDRAW && !owed || !gathered && !atOnce) {
                 continue;
             }
@@ -813,30 +1100,44 @@
             }
         }
         for (Proxy proxy : proxies.values()) {
-            double sent = !proxy.bound ? 0 : proxy.brief ? proxy.place.shared.sent : proxy.place.sent;
+            double sent =
+                    !proxy.bound ? 0 : proxy.brief ? proxy.place.shared.sent : proxy.place.sent;
             if (sent > 0) {
                 channel.post(proxy, sent, now);
             }
         }
         for (Place place : places) {
             place.published(orders);
-            place.requests.forEach(request -> request.paths.values().removeIf(path -> path.published == 0
-                    && !path.allowed && path.link.paths.remove(path)));
+            place.requests.forEach(
+                    request ->
+                            request.paths
+                                    .values()
+                                    .removeIf(
+                                            path ->
+                                                    path.published == 0
+                                                            && !path.allowed
+                                                            && path.link.paths.remove(path)));
         }
         for (Replica old : List.copyOf(replicas.values())) {
-            if (old.health == Listed.Health.GONE && !old.inTables() && now > old.changed + REMEMBERED) {
+            if (old.health == Listed.Health.GONE
+                    && !old.inTables()
+                    && now > old.changed + REMEMBERED) {
                 replicas.remove(old.id);
                 orders.forget(old.id);
             }
         }
     }
 
-    /** What differs enough from what was sent: removals first, then levels and new lines, then by size. */
+    /**
+     * What differs enough from what was sent: removals first, then levels and new lines, then by
+     * size.
+     */
     private List<Change> changes() {
         List<Change> changes = new ArrayList<>();
         for (Request request : requests) {
             double share = Math.round(level[request.type] * 100) / 100.0;
-            if (Math.abs(share - request.sentLevel) > LEVEL_STEP || share == 1 && request.sentLevel < 1) {
+            if (Math.abs(share - request.sentLevel) > LEVEL_STEP
+                    || share == 1 && request.sentLevel < 1) {
                 changes.add(new Change(request, null, share, 1));
             }
             target(request);
@@ -845,7 +1146,9 @@
                 double to = path.allowed ? (float) (path.target * request.scale) : 0;
                 double size = Math.abs(to - old) / request.scale;
                 if (to == 0 ? old > 0 : size * request.scale > SKIP * old) {
-                    changes.add(new Change(request, path, to, to == 0 ? 2 : old == 0 ? 1 + size : size));
+                    changes.add(
+                            new Change(
+                                    request, path, to, to == 0 ? 2 : old == 0 ? 1 + size : size));
                 }
             }
         }
@@ -854,19 +1157,27 @@
     }
 
     /**
-     * The published point: each line's part of its table, and the scale of what stands there. What remains
-     * of a table after removals keeps its scale, so that no line need be sent anew for another's going.
+     * The published point: each line's part of its table, and the scale of what stands there. What
+     * remains of a table after removals keeps its scale, so that no line need be sent anew for
+     * another's going.
      */
     private void target(Request request) {
         List<Path> allowed = request.paths.values().stream().filter(path -> path.allowed).toList();
         double sum = allowed.stream().mapToDouble(path -> path.z).sum();
-        double top = allowed.stream().mapToDouble(way -> warmth(way.link) == 1 ? way.z : 0).max().orElse(0);
+        double top =
+                allowed.stream()
+                        .mapToDouble(way -> warmth(way.link) == 1 ? way.z : 0)
+                        .max()
+                        .orElse(0);
         double beside = sum > 0 ? 1 - top / sum : 1;
         double least = FLOOR / allowed.size();
         double all = 1;
-        // Guards a cold replica when proxies leave out lines where they failed. In a short table all warm
-        // ones may go: cold ones share what comes then by capacity, and none stays where a proxy brings part
-        // of what pushes all over, or one elsewhere brought all of it. Whole tables lean on none, either.
+        // Guards a cold replica when proxies leave out lines where they failed. In a short table
+        // all warm
+        // ones may go: cold ones share what comes then by capacity, and none stays where a proxy
+        // brings part
+        // of what pushes all over, or one elsewhere brought all of it. Whole tables lean on none,
+        // either.
         boolean whole = lines == Double.MAX_VALUE;
         double fleet = expected * 10_000 * Math.max(1, number("proxies", 0) / proxies.size());
         double brought = Math.max(request.place.hottest, whole ? 0 : COLD_PART * hottest);
@@ -876,10 +1187,16 @@
             double left = all;
             all = 0;
             for (Path path : allowed) {
-                double part = sum > 0 ? Math.max(least, path.z / sum)
-                        : path.published > 0 ? path.published / request.scale : 1.0 / allowed.size();
-                double fair = beside * path.link.capacity / Math.max(request.utopic, Double.MIN_NORMAL);
-                double most = whole ? Math.min(part, left * (COLD_SPREAD * fair + least)) : left * fair;
+                double part =
+                        sum > 0
+                                ? Math.max(least, path.z / sum)
+                                : path.published > 0
+                                        ? path.published / request.scale
+                                        : 1.0 / allowed.size();
+                double fair =
+                        beside * path.link.capacity / Math.max(request.utopic, Double.MIN_NORMAL);
+                double most =
+                        whole ? Math.min(part, left * (COLD_SPREAD * fair + least)) : left * fair;
                 double hot = whole ? HOT * path.link.capacity * expected * 10_000 : bearable;
                 double held = top > 0 && brought > hot ? 0 : Math.max(least, most);
                 path.target = warmth(path.link) == 1 ? part : held;
@@ -887,11 +1204,15 @@
             }
         }
         double standing = allowed.stream().mapToDouble(path -> path.published).sum();
-        double targets = allowed.stream().mapToDouble(path -> path.published > 0 ? path.target : 0).sum();
+        double targets =
+                allowed.stream().mapToDouble(path -> path.published > 0 ? path.target : 0).sum();
         request.scale = request.place.bound > 0 && targets > 0 ? standing / targets : 1;
     }
 
-    /** Lines that may wait at most before what can be put off: one message to each proxy goes in any case. */
+    /**
+     * Lines that may wait at most before what can be put off: one message to each proxy goes in any
+     * case.
+     */
     private double putOff() {
         double usual = Math.max(PUT_OFF * grace * pace, proxies.size() * (head + 2));
         return Math.min(limit * CHANNEL_PART, usual);
--- a/src/main/java/rockshift/Path.java
+++ b/src/main/java/rockshift/Path.java
@@ -1,6 +1,9 @@
 package rockshift;
 
-/** A request's way to a replica: its own copy, the link's copy, their mean, the dual, and what was sent. */
+/**
+ * A request's way to a replica: its own copy, the link's copy, their mean, the dual, and what was
+ * sent.
+ */
 final class Path {
     final Request request;
     final Replica link;
@@ -11,8 +14,10 @@
     double dual;
     double target;
     double published;
+
     /** As of the last batch: whether the request may use it, and does. */
     boolean allowed;
+
     boolean open;
 
     Path(Request request, Replica link) {
@@ -29,12 +34,13 @@
     }
 
     /**
-     * Carries the copies over to a changed capacity and demand in proportion: they stay feasible when
-     * a capacity falls, and small requests are not bent by what large ones gain. A new path starts at
-     * the optimum of the undisturbed problem, so that it need not be sought.
+     * Carries the copies over to a changed capacity and demand in proportion: they stay feasible
+     * when a capacity falls, and small requests are not bent by what large ones gain. A new path
+     * starts at the optimum of the undisturbed problem, so that it need not be sought.
      */
     void carry(boolean known, double alpha) {
-        double scale = known ? link.capacity / link.oldCapacity * request.weight / request.oldWeight : 0;
+        double scale =
+                known ? link.capacity / link.oldCapacity * request.weight / request.oldWeight : 0;
         double start = request.weight * link.capacity / Math.max(request.utopic, Double.MIN_NORMAL);
         x = !open ? 0 : known ? x * scale : start;
         z = !open ? 0 : known ? z * scale : start;
--- a/src/main/java/rockshift/Place.java
+++ b/src/main/java/rockshift/Place.java
@@ -10,17 +10,24 @@
     final String zone;
     final TreeMap<Long, Replica> members = new TreeMap<>();
     final List<Request> requests = new ArrayList<>();
+
     /** The one whose table does for all classes where it must. */
     final Request shared;
+
     /** Transactions a second of a class that its hottest proxy brings. */
     double hottest;
+
     int joined;
     int bound;
+
     /** Whether the tables are in use and up to the last batch. */
     boolean laid;
+
     /** Lines that its tables have together. */
     int filled;
-    // While a batch is published: lines so far, and whether a proxy may get no more messages, or none now.
+
+    // While a batch is published: lines so far, and whether a proxy may get no more messages, or
+    // none now.
     double sent;
     boolean full;
     boolean barred;
@@ -55,26 +62,34 @@
     }
 
     /**
-     * Ends the batch: the tables of a place that has proxies are up to it. Others keep no lines, as no batch
-     * would take out who leaves; they are laid anew for who joins.
+     * Ends the batch: the tables of a place that has proxies are up to it. Others keep no lines, as
+     * no batch would take out who leaves; they are laid anew for who joins.
      */
     void published(Orders orders) {
         laid = joined > 0;
         filled = 0;
         for (Request request : requests) {
-            request.filled = !laid ? 0
-                    : (int) request.paths.values().stream().filter(path -> path.published > 0).count();
+            request.filled =
+                    !laid
+                            ? 0
+                            : (int)
+                                    request.paths.values().stream()
+                                            .filter(path -> path.published > 0)
+                                            .count();
             request.sent = 0;
             filled += request.filled;
         }
         sent = 0;
         full = barred = false;
         if (!laid) {
-            requests.stream().flatMap(request -> request.paths.values().stream())
-                    .filter(path -> path.published > 0).forEach(path -> {
-                        path.published = 0;
-                        orders.line(path.request.number, path.link.id, 0);
-                    });
+            requests.stream()
+                    .flatMap(request -> request.paths.values().stream())
+                    .filter(path -> path.published > 0)
+                    .forEach(
+                            path -> {
+                                path.published = 0;
+                                orders.line(path.request.number, path.link.id, 0);
+                            });
         }
     }
 
--- a/src/main/java/rockshift/Proxy.java
+++ b/src/main/java/rockshift/Proxy.java
@@ -8,26 +8,38 @@
     final int number;
     final int zone;
     final double usualRate;
+
     /** By class: transactions a second, and what was reported since that was last reckoned. */
     final double[] rate;
+
     final double[] came;
     final double[] span;
+
     /** By class, until when it is known what came, about: reports lag. */
     final long[] toldAt;
+
     long joinedAt;
+
     /** When it was last told to keep off all who left. */
     long warnedAt = Long.MIN_VALUE / 2;
+
     /** Times of the messages that count against the limit. */
     final ArrayDeque<Long> messages = new ArrayDeque<>();
+
     /** Marks without an answer: serial, time, lines. */
     final ArrayDeque<long[]> marks = new ArrayDeque<>();
+
     /** When the newest message that it has answered was written. */
     long answered;
+
     /** Lines of the message that it gets in this turn. */
     double lines;
+
     Place place;
+
     /** Whether it has its tables, and whether one of them does for all classes as yet. */
     boolean bound;
+
     boolean brief;
 
     Proxy(int number, int zone, double[] rate) {
--- a/src/main/java/rockshift/Replica.java
+++ b/src/main/java/rockshift/Replica.java
@@ -11,10 +11,13 @@
     Listed.Health health = Listed.Health.READY;
     long started;
     long changed;
+
     /** Whether staff asked that it take nothing new, and the fleet can spare it. */
     boolean keptOut;
+
     /** Whether a proxy was told to keep off whatever its tables say. */
     boolean withdrawn;
+
     // Evidence, faded: for the capacity, then for the health.
     double answered;
     double busySum;
@@ -23,8 +26,13 @@
     final View far = new View();
     double capacity;
     double oldCapacity;
-    /** All paths here, and those of requests in use; how many places of its zone and of others hold it. */
+
+    /**
+     * All paths here, and those of requests in use; how many places of its zone and of others hold
+     * it.
+     */
     final List<Path> paths = new ArrayList<>();
+
     final List<Path> used = new ArrayList<>();
     int heldNear;
     int heldFar;
@@ -57,7 +65,8 @@
     }
 
     void heard(String from, int count, int failed, int late, Double load) {
-        view(from).add(count, failed, from.equals(zone) ? 0 : late, load == null ? 0 : count * load);
+        view(from)
+                .add(count, failed, from.equals(zone) ? 0 : late, load == null ? 0 : count * load);
         answered += Math.max(0, count - failed);
         busySum += load == null ? 0 : count * load;
         busyTries += load == null ? 0 : count;
--- a/src/main/java/rockshift/Request.java
+++ b/src/main/java/rockshift/Request.java
@@ -9,17 +9,25 @@
     final Place place;
     final int type;
     final int number;
+
     /** The class alone, as the host is told of it. */
     final ClassSet classes;
+
     final TreeMap<Long, Path> paths = new TreeMap<>();
     double weight;
     double oldWeight;
     double utopic;
     double total;
     double sentLevel;
-    /** Lines that its table has since the last batch; lines sent of it so far, while one is published. */
+
+    /**
+     * Lines that its table has since the last batch; lines sent of it so far, while one is
+     * published.
+     */
     int filled;
+
     double sent;
+
     /** What the standing weights sum to, where the targets sum to 1. */
     double scale = 1;
 
@@ -35,10 +43,16 @@
         return paths.values().stream().filter(such).mapToDouble(path -> path.link.capacity).sum();
     }
 
-    /** The paper's start of the penalty, from utopic totals and lower bounds; the weights sum to 1. */
+    /**
+     * The paper's start of the penalty, from utopic totals and lower bounds; the weights sum to 1.
+     */
     static double penalty(List<Request> requests, double alpha) {
-        double lowest = requests.stream().filter(request -> request.utopic > 0)
-                .mapToDouble(request -> request.weight * request.utopic).min().orElse(1);
+        double lowest =
+                requests.stream()
+                        .filter(request -> request.utopic > 0)
+                        .mapToDouble(request -> request.weight * request.utopic)
+                        .min()
+                        .orElse(1);
         double least = Double.MAX_VALUE;
         double most = 0;
         for (Request request : requests) {
--- a/src/main/java/rockshift/Simplex.java
+++ b/src/main/java/rockshift/Simplex.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * The nearest point whose sum stays within a limit: one and the same amount less of each, and nothing below
- * zero.
+ * The nearest point whose sum stays within a limit: one and the same amount less of each, and
+ * nothing below zero.
  */
 final class Simplex {
     private Simplex() {}
--- a/src/main/java/rockshift/View.java
+++ b/src/main/java/rockshift/View.java
@@ -4,8 +4,10 @@
 final class View {
     double tries;
     double lost;
+
     /** Answers past the promised time, where they came from afar. */
     double late;
+
     double busy;
     boolean shunned;
     long rest;
--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -17,15 +17,23 @@
      * @param out drains and holds in force, by replica
      * @param inForce is run on the module's thread once it has taken effect
      */
-    static void tell(AgreedChangesReceiver receiver, long version, Map<String, Change> out,
+    static void tell(
+            AgreedChangesReceiver receiver,
+            long version,
+            Map<String, Change> out,
             Map<String, Double> terms,
             Runnable inForce) {
         Map<String, Long> until = new HashMap<>();
-        // A drain means the process that ran when it was asked for; a hold means whatever runs under the
+        // A drain means the process that ran when it was asked for; a hold means whatever runs
+        // under the
         // name.
         out.forEach(
-                (name, change) -> until.put(name, change.kind() == Change.Kind.DRAIN && change.started() > 0
-                        ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1 : Long.MAX_VALUE));
+                (name, change) ->
+                        until.put(
+                                name,
+                                change.kind() == Change.Kind.DRAIN && change.started() > 0
+                                        ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1
+                                        : Long.MAX_VALUE));
         Map<String, String> values = new HashMap<>();
         terms.forEach((name, value) -> values.put(name, value.toString()));
         receiver.agreed(version, until, values, inForce);
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -11,8 +11,8 @@
 import rockshift.net.AgreedChangesSource;
 
 /**
- * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is listed
- * comes out.
+ * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is
+ * listed comes out.
  */
 final class ClusterChangesSource implements AgreedChangesSource, LocalGovernor {
     private static final long TENTHS_PER_MILLI = 10;
@@ -56,11 +56,18 @@
         }
         Map<String, Listed> listed = receiver.listed();
         if (!listed.containsKey(change.subject())) {
-            return "unknown-replica: " + change.subject()
+            return "unknown-replica: "
+                    + change.subject()
                     + " is not listed here (--force asks for it all the same)";
         }
-        boolean left = listed.entrySet().stream().anyMatch(entry -> !entry.getKey().equals(change.subject())
-                && !out.containsKey(entry.getKey()) && entry.getValue().health() == Listed.Health.READY);
+        boolean left =
+                listed.entrySet().stream()
+                        .anyMatch(
+                                entry ->
+                                        !entry.getKey().equals(change.subject())
+                                                && !out.containsKey(entry.getKey())
+                                                && entry.getValue().health()
+                                                        == Listed.Health.READY);
         return left ? null : "last-replica: nobody else is listed as ready and not kept out";
     }
 
--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -25,28 +25,51 @@
 import rockshift.operator.Section;
 
 /** What staff ask of the agreement. */
-@Command(name = "cluster", mixinStandardHelpOptions = true,
+@Command(
+        name = "cluster",
+        mixinStandardHelpOptions = true,
         description = "Asks the governors that agree among themselves.",
         synopsisSubcommandLabel = "COMMAND",
-        subcommands = {ClusterCommands.Status.class, ClusterCommands.Propose.class,
-            ClusterCommands.Drain.class, ClusterCommands.Hold.class, ClusterCommands.Back.class,
+        subcommands = {
+            ClusterCommands.Status.class,
+            ClusterCommands.Propose.class,
+            ClusterCommands.Drain.class,
+            ClusterCommands.Hold.class,
+            ClusterCommands.Back.class,
             ClusterCommands.Members.class,
-            ClusterCommands.Transfer.class, ClusterCommands.Snapshot.class, ClusterCommands.ListChanges.class,
-            ExploreCommand.class, MeasureCommands.TrialCommand.class, MeasureCommands.BenchCommand.class})
+            ClusterCommands.Transfer.class,
+            ClusterCommands.Snapshot.class,
+            ClusterCommands.ListChanges.class,
+            ExploreCommand.class,
+            MeasureCommands.TrialCommand.class,
+            MeasureCommands.BenchCommand.class
+        })
 final class ClusterCommands extends CommandGroup {
     /** TargetOptions to ask, and for how long. */
     static final class TargetOptions {
-        @Option(names = "--at", split = ",", paramLabel = "ADDRESS",
+        @Option(
+                names = "--at",
+                split = ",",
+                paramLabel = "ADDRESS",
                 description = "members to ask, by HOST:PORT")
         private List<String> at = List.of();
-        @Option(names = "--operator", paramLabel = "FILE",
+
+        @Option(
+                names = "--operator",
+                paramLabel = "FILE",
                 description = "an operator's file that names the founders")
         private String operator;
-        @Option(names = "--timeout", paramLabel = "SECONDS", defaultValue = "10",
+
+        @Option(
+                names = "--timeout",
+                paramLabel = "SECONDS",
+                defaultValue = "10",
                 description = "how long to go on asking (${DEFAULT-VALUE})")
         private int seconds;
+
         @Option(names = "--json", description = "print the answer as JSON")
         private boolean json;
+
         @Spec(Spec.Target.MIXEE)
         private CommandSpec spec;
 
@@ -56,12 +79,13 @@
                 Section file = OperatorFile.read(operator);
                 ClusterSettings settings = ClusterSettings.read(file);
                 all.add(settings.address());
-                settings.founders().values().stream().filter(address -> !all.contains(address))
+                settings.founders().values().stream()
+                        .filter(address -> !all.contains(address))
                         .forEach(all::add);
             }
             if (all.isEmpty()) {
-                throw new CommandLine.ParameterException(spec.commandLine(),
-                        "name members by --at or --operator");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "name members by --at or --operator");
             }
             return all;
         }
@@ -80,7 +104,8 @@
 
         /** Prints an answer; answers the exit status. */
         int tell(JsonNode answer, String done) {
-            String refused = answer.path("refused").asText(answer.path("answer").path("refused").asText(""));
+            String refused =
+                    answer.path("refused").asText(answer.path("answer").path("refused").asText(""));
             if (json) {
                 out().println(answer);
             } else {
@@ -93,23 +118,29 @@
                 throws InvalidFileException, IOException, InterruptedException {
             try (Client client = client()) {
                 JsonNode answer = client.change(change, force, deadline());
-                return tell(answer, "agreed as version " + answer.path("answer").path("version") + ", entry "
-                        + answer.path("index"));
+                return tell(
+                        answer,
+                        "agreed as version "
+                                + answer.path("answer").path("version")
+                                + ", entry "
+                                + answer.path("index"));
             }
         }
 
-        int ask(ObjectNode call, String done) throws InvalidFileException, IOException, InterruptedException {
+        int ask(ObjectNode call, String done)
+                throws InvalidFileException, IOException, InterruptedException {
             try (Client client = client()) {
                 return tell(client.askLeader(call, deadline()), done);
             }
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true,
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
             description = "Tells where each member stands.")
     static final class Status implements Callable<Integer> {
-        @Mixin
-        private TargetOptions target;
+        @Mixin private TargetOptions target;
 
         @Override
         public Integer call() throws Exception {
@@ -117,12 +148,24 @@
                 Map<String, JsonNode> all = client.statuses();
                 boolean reached = false;
                 if (!target.json) {
-                    target.out().printf("%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s "
-                            + " %s%n",
-                            "address",
-                            "name", "role", "term", "leader", "orders", "agreed", "applied", "version",
-                            "subscribers",
-                            "in force", "behind", "unreachable", "disk");
+                    target.out()
+                            .printf(
+                                    "%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s"
+                                            + "  %s%n",
+                                    "address",
+                                    "name",
+                                    "role",
+                                    "term",
+                                    "leader",
+                                    "orders",
+                                    "agreed",
+                                    "applied",
+                                    "version",
+                                    "subscribers",
+                                    "in force",
+                                    "behind",
+                                    "unreachable",
+                                    "disk");
                 }
                 for (Map.Entry<String, JsonNode> each : all.entrySet()) {
                     JsonNode s = each.getValue();
@@ -130,21 +173,32 @@
                     if (target.json) {
                         target.out().println(s);
                     } else if (s.has("unreached")) {
-                        target.out().printf("%-22s not reached: %s%n", each.getKey(),
-                                s.path("unreached").asText());
+                        target.out()
+                                .printf(
+                                        "%-22s not reached: %s%n",
+                                        each.getKey(), s.path("unreached").asText());
                     } else {
                         JsonNode below = s.path("distribution");
-                        target.out().printf(
-                                "%-22s %-12s %-10s %6d %-12s %-9s %9d %9d %8d %11d %8s %6d %11d  %s%n",
-                                each.getKey(), s.path("name").asText(), s.path("role").asText(),
-                                s.path("term").asLong(),
-                                s.path("leader").asText(), s.path("orders").asText(),
-                                s.path("agreed").asLong(),
-                                s.path("applied").asLong(), s.path("version").asLong(),
-                                below.path("subscribers").asInt(),
-                                below.path("subscribers").asInt() == 0 ? "-" : below.path("lowest").asText(),
-                                below.path("behind").asInt(), below.path("unreachable").asInt(),
-                                s.path("disk").asText());
+                        target.out()
+                                .printf(
+                                        "%-22s %-12s %-10s %6d %-12s %-9s %9d %9d %8d %11d %8s %6d"
+                                                + " %11d  %s%n",
+                                        each.getKey(),
+                                        s.path("name").asText(),
+                                        s.path("role").asText(),
+                                        s.path("term").asLong(),
+                                        s.path("leader").asText(),
+                                        s.path("orders").asText(),
+                                        s.path("agreed").asLong(),
+                                        s.path("applied").asLong(),
+                                        s.path("version").asLong(),
+                                        below.path("subscribers").asInt(),
+                                        below.path("subscribers").asInt() == 0
+                                                ? "-"
+                                                : below.path("lowest").asText(),
+                                        below.path("behind").asInt(),
+                                        below.path("unreachable").asInt(),
+                                        s.path("disk").asText());
                     }
                 }
                 if (!target.json) {
@@ -170,46 +224,59 @@
                 }
             }
             if (subscribers > 0) {
-                out.printf("%d governors subscribe: version %d is in force at all of them, ", subscribers,
-                        lowest);
+                out.printf(
+                        "%d governors subscribe: version %d is in force at all of them, ",
+                        subscribers, lowest);
                 out.printf("%d behind, %d unreachable%n", behind, unreachable);
             }
         }
     }
 
-    @Command(name = "propose", mixinStandardHelpOptions = true,
-            description = "Has a budget or a term set: price.crossing, price.orders, goal.worst.class,"
-                    + " or crossing, moves.")
+    @Command(
+            name = "propose",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Has a budget or a term set: price.crossing, price.orders, goal.worst.class,"
+                            + " or crossing, moves.")
     static final class Propose implements Callable<Integer> {
         /** What is set. */
-        enum What { TERM, BUDGET }
+        enum What {
+            TERM,
+            BUDGET
+        }
+
+        @Mixin private TargetOptions target;
 
-        @Mixin
-        private TargetOptions target;
         @Parameters(index = "0", paramLabel = "term|budget")
         private What what;
+
         @Parameters(index = "1", paramLabel = "NAME")
         private String name;
+
         @Parameters(index = "2", paramLabel = "VALUE")
         private double value;
+
         @Option(names = "--reason", defaultValue = "", description = "for the record")
         private String reason;
 
         @Override
         public Integer call() throws Exception {
-            return target.change(new Change(Change.Kind.valueOf(what.name()), name, 0, value, reason), false);
+            return target.change(
+                    new Change(Change.Kind.valueOf(what.name()), name, 0, value, reason), false);
         }
     }
 
     /** Asks for a change of one replica; the commands differ by which. */
     abstract static class ReplicaCommand implements Callable<Integer> {
         private final Change.Kind kind;
-        @Mixin
-        private TargetOptions target;
+        @Mixin private TargetOptions target;
+
         @Parameters(index = "0", paramLabel = "REPLICA", description = "its name in discovery")
         private String replica;
+
         @Option(names = "--reason", defaultValue = "", description = "for the record")
         private String reason;
+
         @Option(names = "--force", description = "even where the governor asked objects")
         private boolean force;
 
@@ -229,11 +296,18 @@
 
     /** Asks that a replica be kept out, by everyone or by those whom it concerns. */
     abstract static class KeepOutCommand extends ReplicaCommand {
-        @Option(names = "--service", defaultValue = "",
+        @Option(
+                names = "--service",
+                defaultValue = "",
                 description = "the service that it concerns; every one if left out")
         private String service;
-        @Option(names = "--zone", defaultValue = "",
-                description = "the zone that it concerns; that in which the replica is listed if left out")
+
+        @Option(
+                names = "--zone",
+                defaultValue = "",
+                description =
+                        "the zone that it concerns; that in which the replica is listed if left"
+                                + " out")
         private String zone;
 
         KeepOutCommand(Change.Kind kind) {
@@ -246,7 +320,9 @@
         }
     }
 
-    @Command(name = "drain", mixinStandardHelpOptions = true,
+    @Command(
+            name = "drain",
+            mixinStandardHelpOptions = true,
             description = "Has a replica take nothing new, until it starts anew or is let back.")
     static final class Drain extends KeepOutCommand {
         Drain() {
@@ -254,7 +330,9 @@
         }
     }
 
-    @Command(name = "hold", mixinStandardHelpOptions = true,
+    @Command(
+            name = "hold",
+            mixinStandardHelpOptions = true,
             description = "Keeps a replica out, also after it starts anew, until it is let back.")
     static final class Hold extends KeepOutCommand {
         Hold() {
@@ -262,7 +340,9 @@
         }
     }
 
-    @Command(name = "back", mixinStandardHelpOptions = true,
+    @Command(
+            name = "back",
+            mixinStandardHelpOptions = true,
             description = "Lets a drained or held replica back.")
     static final class Back extends ReplicaCommand {
         Back() {
@@ -270,20 +350,29 @@
         }
     }
 
-    @Command(name = "member", mixinStandardHelpOptions = true,
+    @Command(
+            name = "member",
+            mixinStandardHelpOptions = true,
             description = "Changes who takes part, one at a time.",
-            synopsisSubcommandLabel = "COMMAND", subcommands = {Add.class, Remove.class})
+            synopsisSubcommandLabel = "COMMAND",
+            subcommands = {Add.class, Remove.class})
     static final class Members extends CommandGroup {}
 
-    @Command(name = "add", mixinStandardHelpOptions = true,
-            description = "Adds a member that runs already: it is brought up to date first and votes then.")
+    @Command(
+            name = "add",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Adds a member that runs already: it is brought up to date first and votes"
+                            + " then.")
     static final class Add implements Callable<Integer> {
-        @Mixin
-        private TargetOptions target;
+        @Mixin private TargetOptions target;
+
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
+
         @Parameters(index = "1", paramLabel = "ADDRESS")
         private String address;
+
         @Option(names = "--learner", description = "it only follows, and never votes")
         private boolean learner;
 
@@ -292,14 +381,23 @@
             try (Client client = target.client()) {
                 JsonNode self = client.ask(address, Client.call("status"));
                 if (!self.path("name").asText().equals(name)) {
-                    target.out().println(
-                            "refused: at " + address + " is " + self.path("name").asText() + ", not " + name);
+                    target.out()
+                            .println(
+                                    "refused: at "
+                                            + address
+                                            + " is "
+                                            + self.path("name").asText()
+                                            + ", not "
+                                            + name);
                     return Commands.FAILURE;
                 }
                 return target.tell(
                         client.askLeader(
-                                Client.call("add").put("id", self.path("number").asLong()).put("name", name)
-                                        .put("address", address).put("learner", learner),
+                                Client.call("add")
+                                        .put("id", self.path("number").asLong())
+                                        .put("name", name)
+                                        .put("address", address)
+                                        .put("learner", learner),
                                 target.deadline()),
                         name + " added");
             }
@@ -308,8 +406,8 @@
 
     @Command(name = "remove", mixinStandardHelpOptions = true, description = "Removes a member.")
     static final class Remove implements Callable<Integer> {
-        @Mixin
-        private TargetOptions target;
+        @Mixin private TargetOptions target;
+
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
@@ -319,11 +417,13 @@
         }
     }
 
-    @Command(name = "transfer", mixinStandardHelpOptions = true,
+    @Command(
+            name = "transfer",
+            mixinStandardHelpOptions = true,
             description = "Hands leadership to a member.")
     static final class Transfer implements Callable<Integer> {
-        @Mixin
-        private TargetOptions target;
+        @Mixin private TargetOptions target;
+
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
@@ -333,23 +433,26 @@
         }
     }
 
-    @Command(name = "snapshot", mixinStandardHelpOptions = true,
+    @Command(
+            name = "snapshot",
+            mixinStandardHelpOptions = true,
             description = "Has the first member that answers take a snapshot now.")
     static final class Snapshot implements Callable<Integer> {
-        @Mixin
-        private TargetOptions target;
+        @Mixin private TargetOptions target;
 
         @Override
         public Integer call() throws Exception {
-            return target.ask(Client.call("snapshot"), "a snapshot is taken, where there is anything new");
+            return target.ask(
+                    Client.call("snapshot"), "a snapshot is taken, where there is anything new");
         }
     }
 
-    @Command(name = "log", mixinStandardHelpOptions = true,
+    @Command(
+            name = "log",
+            mixinStandardHelpOptions = true,
             description = "Lists changes as they were applied, in order.")
     static final class ListChanges implements Callable<Integer> {
-        @Mixin
-        private TargetOptions target;
+        @Mixin private TargetOptions target;
 
         @Override
         public Integer call() throws Exception {
@@ -359,9 +462,14 @@
                     target.out().println(answer);
                 } else {
                     answer.path("changes")
-                            .forEach(change -> target.out().printf("%9d  %s  %s%n",
-                                    change.path("index").asLong(),
-                                    change.path("change"), change.path("outcome")));
+                            .forEach(
+                                    change ->
+                                            target.out()
+                                                    .printf(
+                                                            "%9d  %s  %s%n",
+                                                            change.path("index").asLong(),
+                                                            change.path("change"),
+                                                            change.path("outcome")));
                 }
                 return Commands.SUCCESS;
             }
--- a/src/main/java/rockshift/cli/CommandGroup.java
+++ b/src/main/java/rockshift/cli/CommandGroup.java
@@ -6,8 +6,7 @@
 
 /** A command that only leads to others: called by itself, it says so. */
 abstract class CommandGroup implements Runnable {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public void run() {
--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -21,7 +21,10 @@
 import rockshift.net.AgreedChangesReceiver;
 import rockshift.net.AgreedChangesSource;
 
-/** Joins a subscription to the governor of its process: what is agreed and concerns it goes to its module. */
+/**
+ * Joins a subscription to the governor of its process: what is agreed and concerns it goes to its
+ * module.
+ */
 final class DistributionChangesSource implements AgreedChangesSource, DistributionListener {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionChangesSource.class);
 
@@ -41,8 +44,15 @@
     public void begin(AgreedChangesReceiver into) throws IOException, InterruptedException {
         receiver = into;
         reactor = new DistributionReactor();
-        client = new DistributionClient(reactor, settings.name(), List.copyOf(settings.upstreams().values()),
-                settings.scope(), settings.limits(), new SplittableRandom(), this);
+        client =
+                new DistributionClient(
+                        reactor,
+                        settings.name(),
+                        List.copyOf(settings.upstreams().values()),
+                        settings.scope(),
+                        settings.limits(),
+                        new SplittableRandom(),
+                        this);
         client.start();
         LOG.info("{} subscribes at {}", settings.name(), settings.upstreams().keySet());
     }
@@ -106,13 +116,18 @@
 
     @Override
     public void cutOff(long ageMillis) {
-        LOG.warn("cut off from what is agreed: what is held, revision {}, is {} ms old and stays in force",
+        LOG.warn(
+                "cut off from what is agreed: what is held, revision {}, is {} ms old and stays in"
+                        + " force",
                 revision,
                 ageMillis);
     }
 
     @Override
     public void back(long afterMillis) {
-        LOG.info("what is agreed is up to date again after {} ms, revision {}", afterMillis, revision);
+        LOG.info(
+                "what is agreed is up to date again after {} ms, revision {}",
+                afterMillis,
+                revision);
     }
 }
--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -11,21 +11,30 @@
 import rockshift.kit.SimulatedCluster;
 
 /** Plays the agreement in simulated worlds. */
-@Command(name = "explore", mixinStandardHelpOptions = true,
-        description = "Plays the agreement's own code in simulated worlds full of faults,"
-                + " and checks what it promises.")
+@Command(
+        name = "explore",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays the agreement's own code in simulated worlds full of faults,"
+                        + " and checks what it promises.")
 final class ExploreCommand implements Callable<Integer> {
     /** Seeds between two words of progress. */
     private static final long STEP = 1_000;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
+
     @Option(names = "--seeds", defaultValue = "1000", description = "how many (${DEFAULT-VALUE})")
     private long seeds;
-    @Option(names = "--first", defaultValue = "1", description = "the first of them (${DEFAULT-VALUE})")
+
+    @Option(
+            names = "--first",
+            defaultValue = "1",
+            description = "the first of them (${DEFAULT-VALUE})")
     private long first;
+
     @Option(names = "--members", defaultValue = "3", description = "3 or 5 (${DEFAULT-VALUE})")
     private int members;
+
     @Option(names = "--seed", description = "plays this one alone, and tells what happens in it")
     private Long seed;
 
@@ -36,17 +45,27 @@
             SimulatedCluster.Result result =
                     new SimulatedCluster(seed, members, new FaultInjection(), true).run();
             result.account().forEach(out::println);
-            out.println("seed " + seed + ": "
-                    + (result.violation() == null ? "no violation" : result.violation()));
+            out.println(
+                    "seed "
+                            + seed
+                            + ": "
+                            + (result.violation() == null ? "no violation" : result.violation()));
             return result.violation() == null ? Commands.SUCCESS : Commands.FAILURE;
         }
         Explorer.Findings all = Explorer.Findings.NONE;
         for (long done = 0; done < seeds; done += STEP) {
             Explorer.Findings part =
-                    Explorer.explore(first + done, Math.min(STEP, seeds - done), members,
+                    Explorer.explore(
+                            first + done,
+                            Math.min(STEP, seeds - done),
+                            members,
                             FaultInjection::new);
             all = all.and(part);
-            part.broken().forEach(result -> out.println("seed " + result.seed() + ": " + result.violation()));
+            part.broken()
+                    .forEach(
+                            result ->
+                                    out.println(
+                                            "seed " + result.seed() + ": " + result.violation()));
             if (System.console() != null) {
                 System.err.print("\r" + Math.min(seeds, done + STEP) + " of " + seeds);
             }
--- a/src/main/java/rockshift/cli/MeasureCommands.java
+++ b/src/main/java/rockshift/cli/MeasureCommands.java
@@ -20,27 +20,42 @@
 final class MeasureCommands {
     private MeasureCommands() {}
 
-    @Command(name = "trial", mixinStandardHelpOptions = true,
-            description = "Starts governors, kills, stops and cuts them at random while clients propose,"
-                    + " and compares them.")
+    @Command(
+            name = "trial",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Starts governors, kills, stops and cuts them at random while clients propose,"
+                            + " and compares them.")
     static final class TrialCommand implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
+
         @Option(names = "--members", defaultValue = "5", description = "3 or 5 (${DEFAULT-VALUE})")
         private int members;
-        @Option(names = "--minutes", defaultValue = "1", description = "how long (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--minutes",
+                defaultValue = "1",
+                description = "how long (${DEFAULT-VALUE})")
         private double minutes;
-        @Option(names = "--seed", defaultValue = "1",
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
                 description = "of the faults and proposals (${DEFAULT-VALUE})")
         private long seed;
-        @Option(names = "--out", paramLabel = "FOLDER", description = "where to keep the table and the chart")
+
+        @Option(
+                names = "--out",
+                paramLabel = "FOLDER",
+                description = "where to keep the table and the chart")
         private Path kept;
 
         @Override
         public Integer call() throws Exception {
             Path folder = Files.createTempDirectory("rockshift-trial");
             Trial.Outcome outcome =
-                    new Trial(folder, members, (long) (minutes * 60), seed, System.err::println).run();
+                    new Trial(folder, members, (long) (minutes * 60), seed, System.err::println)
+                            .run();
             PrintWriter out = spec.commandLine().getOut();
             outcome.troubles().stream().limit(50).forEach(out::println);
             if (kept != null) {
@@ -56,10 +71,14 @@
                 figures.put("out of order", (double) outcome.disordered());
                 figures.put("minority orders", (double) outcome.minority());
                 for (double p : new double[] {50, 90, 99, 99.9, 100}) {
-                    figures.put("agreed in ms p" + p, outcome.agreeing().getValueAtPercentile(p) / 1_000.0);
+                    figures.put(
+                            "agreed in ms p" + p,
+                            outcome.agreeing().getValueAtPercentile(p) / 1_000.0);
                 }
                 table(kept.resolve("trial.csv"), figures);
-                Charts.tail(kept.resolve("trial.png"), "Time until a change was agreed, under faults",
+                Charts.tail(
+                        kept.resolve("trial.png"),
+                        "Time until a change was agreed, under faults",
                         outcome.agreeing());
             }
             out.println(outcome.line());
@@ -67,40 +86,62 @@
         }
     }
 
-    @Command(name = "bench", mixinStandardHelpOptions = true,
-            description = "Measures what agreement costs here, beside what bounds it in the same run.")
+    @Command(
+            name = "bench",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Measures what agreement costs here, beside what bounds it in the same run.")
     static final class BenchCommand implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-        @Option(names = "--changes", defaultValue = "2000",
+        @Spec private CommandSpec spec;
+
+        @Option(
+                names = "--changes",
+                defaultValue = "2000",
                 description = "changes one at a time (${DEFAULT-VALUE})")
         private int changes;
-        @Option(names = "--kills", defaultValue = "50", description = "leaders ended (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--kills",
+                defaultValue = "50",
+                description = "leaders ended (${DEFAULT-VALUE})")
         private int kills;
-        @Option(names = "--memory", paramLabel = "CHANGES",
+
+        @Option(
+                names = "--memory",
+                paramLabel = "CHANGES",
                 description = "measures only what three processes hold of memory")
         private long memory;
-        @Option(names = "--out", paramLabel = "FOLDER", description = "where to keep the table and the chart")
+
+        @Option(
+                names = "--out",
+                paramLabel = "FOLDER",
+                description = "where to keep the table and the chart")
         private Path kept;
 
         @Override
         public Integer call() throws Exception {
             if (memory > 0) {
                 Map<String, Double> held = new LinkedHashMap<>();
-                new ClusterBench(Files.createTempDirectory("rockshift-bench")).memory(memory)
+                new ClusterBench(Files.createTempDirectory("rockshift-bench"))
+                        .memory(memory)
                         .forEach((changes, mb) -> held.put(changes + " changes, MB", mb));
-                return tell(held, "memory", "Memory of a governor that agrees, heap of 64 MB", "MB");
+                return tell(
+                        held, "memory", "Memory of a governor that agrees, heap of 64 MB", "MB");
             }
             Map<String, Double> figures =
-                    new ClusterBench(Files.createTempDirectory("rockshift-bench")).run(changes, kills);
+                    new ClusterBench(Files.createTempDirectory("rockshift-bench"))
+                            .run(changes, kills);
             return tell(figures, "bench", "Agreement beside what bounds it", "ratio");
         }
 
         /** Prints and keeps figures; the chart shows those that can stand beside each other. */
         private int tell(Map<String, Double> figures, String name, String title, String unit)
                 throws IOException {
-            figures.forEach((what, value) -> spec.commandLine().getOut().printf(Locale.ROOT, "%-36s %12.2f%n",
-                    what, value));
+            figures.forEach(
+                    (what, value) ->
+                            spec.commandLine()
+                                    .getOut()
+                                    .printf(Locale.ROOT, "%-36s %12.2f%n", what, value));
             if (kept != null) {
                 Files.createDirectories(kept);
                 table(kept.resolve(name + ".csv"), figures);
@@ -115,7 +156,8 @@
     private static void table(Path file, Map<String, Double> figures) throws IOException {
         StringBuilder text = new StringBuilder("figure,value\n");
         figures.forEach(
-                (name, value) -> text.append(String.format(Locale.ROOT, "\"%s\",%.3f%n", name, value)));
+                (name, value) ->
+                        text.append(String.format(Locale.ROOT, "\"%s\",%.3f%n", name, value)));
         Files.writeString(file, text);
     }
 }
--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -24,7 +24,8 @@
                 file.has("cluster") || distribution == null ? ClusterSettings.read(file) : null;
         file.end();
         if (cluster != null && distribution != null && distribution.relay() == null) {
-            throw file.wrong("distribution", "has no meaning beside cluster: a member knows what is agreed");
+            throw file.wrong(
+                    "distribution", "has no meaning beside cluster: a member knows what is agreed");
         }
         return new OperatorSettings(cluster, distribution);
     }
@@ -36,7 +37,8 @@
         if (settings.cluster != null) {
             return new ClusterChangesSource(settings.cluster);
         } else if (settings.distribution.relay() != null) {
-            throw file.wrong("distribution.relay", "is served by 'rockshift relay', not by a governor");
+            throw file.wrong(
+                    "distribution.relay", "is served by 'rockshift relay', not by a governor");
         }
         return new DistributionChangesSource(settings.distribution);
     }
@@ -58,19 +60,31 @@
     String summary() {
         StringBuilder text = new StringBuilder();
         if (cluster != null) {
-            text.append("member ").append(cluster.name()).append(" of ").append(cluster.founders().isEmpty()
-                    ? "a cluster that it is added to" : cluster.founders().keySet().toString())
-                    .append(", listens on ").append(cluster.listen().getHostString()).append(':')
-                    .append(cluster.listen().getPort()).append(", folder ").append(cluster.folder());
+            text.append("member ")
+                    .append(cluster.name())
+                    .append(" of ")
+                    .append(
+                            cluster.founders().isEmpty()
+                                    ? "a cluster that it is added to"
+                                    : cluster.founders().keySet().toString())
+                    .append(", listens on ")
+                    .append(cluster.listen().getHostString())
+                    .append(':')
+                    .append(cluster.listen().getPort())
+                    .append(", folder ")
+                    .append(cluster.folder());
         }
         if (distribution != null) {
             text.append(cluster == null ? "" : "; ")
                     .append(distribution.relay() == null ? "governor " : "relay ")
-                    .append(distribution.name()).append(" subscribes at ")
+                    .append(distribution.name())
+                    .append(" subscribes at ")
                     .append(distribution.upstreams().keySet());
         }
         if (distribution != null && distribution.relay() != null) {
-            text.append(", listens on ").append(distribution.relay().listen().getHostString()).append(':')
+            text.append(", listens on ")
+                    .append(distribution.relay().listen().getHostString())
+                    .append(':')
                     .append(distribution.relay().listen().getPort());
         }
         return text.toString();
--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -13,12 +13,18 @@
 import rockshift.net.ProcessSignals;
 
 /** Runs a relay until it is told to end. */
-@Command(name = "relay", mixinStandardHelpOptions = true,
-        description = "Hands what is agreed on from members to governors, as the operator's file tells.")
+@Command(
+        name = "relay",
+        mixinStandardHelpOptions = true,
+        description =
+                "Hands what is agreed on from members to governors, as the operator's file tells.")
 final class RelayCommand implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(RelayCommand.class);
 
-    @Option(names = "--operator", paramLabel = "FILE", required = true,
+    @Option(
+            names = "--operator",
+            paramLabel = "FILE",
+            required = true,
             description = "the operator's file with a block distribution that has a block relay")
     private String operator;
 
@@ -28,7 +34,8 @@
         try {
             DistributionSettings settings = OperatorSettings.relay(operator);
             try (DistributionReactor reactor = new DistributionReactor();
-                    RelayProcess relay = new RelayProcess(settings, reactor, new SplittableRandom())) {
+                    RelayProcess relay =
+                            new RelayProcess(settings, reactor, new SplittableRandom())) {
                 CountDownLatch told = new CountDownLatch(1);
                 signals.tell(listener(settings.name(), relay, told));
                 relay.start();
@@ -40,7 +47,8 @@
         }
     }
 
-    private static ProcessSignals.Listener listener(String name, RelayProcess relay, CountDownLatch told) {
+    private static ProcessSignals.Listener listener(
+            String name, RelayProcess relay, CountDownLatch told) {
         return new ProcessSignals.Listener() {
             @Override
             public void reload() {
--- a/src/main/java/rockshift/cluster/AgreedItems.java
+++ b/src/main/java/rockshift/cluster/AgreedItems.java
@@ -6,9 +6,9 @@
 import rockshift.distribution.Item;
 
 /**
- * What is agreed as items of the distribution, and back. An item's value is the change that it stands for, as
- * JSON. It depends on what is agreed alone, so that it is the same on every member, whether that came by the
- * log or by a snapshot.
+ * What is agreed as items of the distribution, and back. An item's value is the change that it
+ * stands for, as JSON. It depends on what is agreed alone, so that it is the same on every member,
+ * whether that came by the log or by a snapshot.
  */
 public final class AgreedItems {
     private static final String OUT = "out/";
@@ -29,7 +29,9 @@
     /** The item of a change that sets something. */
     static Item item(Change change) {
         Change kept =
-                change.scoped() ? change : new Change(change.kind(), change.subject(), 0, change.value(), "");
+                change.scoped()
+                        ? change
+                        : new Change(change.kind(), change.subject(), 0, change.value(), "");
         return new Item(key(change), kept.service(), kept.zone(), kept.json());
     }
 
@@ -38,13 +40,21 @@
         List<Item> items = new ArrayList<>();
         agreed.out().values().forEach(change -> items.add(item(change)));
         agreed.terms()
-                .forEach((name, value) -> items.add(item(new Change(Change.Kind.TERM, name, 0, value, ""))));
-        agreed.budgets().forEach(
-                (name, value) -> items.add(item(new Change(Change.Kind.BUDGET, name, 0, value, ""))));
+                .forEach(
+                        (name, value) ->
+                                items.add(item(new Change(Change.Kind.TERM, name, 0, value, ""))));
+        agreed.budgets()
+                .forEach(
+                        (name, value) ->
+                                items.add(
+                                        item(new Change(Change.Kind.BUDGET, name, 0, value, ""))));
         return items;
     }
 
-    /** The change that an item stands for; an error where it is none, or not the one that its key names. */
+    /**
+     * The change that an item stands for; an error where it is none, or not the one that its key
+     * names.
+     */
     public static Change change(Item item) throws IOException {
         Change change = Change.read(item.value());
         if (!key(change).equals(item.key()) || change.kind() == Change.Kind.BACK) {
--- a/src/main/java/rockshift/cluster/AgreedState.java
+++ b/src/main/java/rockshift/cluster/AgreedState.java
@@ -12,20 +12,31 @@
 import rockshift.raft.Sessions;
 
 /**
- * What all governors agree on: which replicas staff want kept out, budgets, and terms that may change while
- * running. Changes are applied in one order everywhere, and each effective one makes the next version. It
- * knows no replicas but by their names.
+ * What all governors agree on: which replicas staff want kept out, budgets, and terms that may
+ * change while running. Changes are applied in one order everywhere, and each effective one makes
+ * the next version. It knows no replicas but by their names.
  */
 public final class AgreedState implements Sessions.Machine {
-    /** Replicas that may be kept out at a time: a bound on the snapshot, far above a fleet's drains. */
+    /**
+     * Replicas that may be kept out at a time: a bound on the snapshot, far above a fleet's drains.
+     */
     public static final int MOST_OUT = 2_000;
+
     private static final int FORMAT = 1;
     private static final JsonFactory JSON = new JsonFactory();
+
     /** Terms that may change while running, and budgets, with their least and most. */
-    private static final Map<String, double[]> TERMS = Map.of("price.crossing", new double[] {0, 10},
-            "price.orders", new double[] {0, 1}, "goal.worst.class", new double[] {0, 1});
-    private static final Map<String, double[]> BUDGETS = Map.of("crossing", new double[] {0, 1},
-            "moves", new double[] {0, 1});
+    private static final Map<String, double[]> TERMS =
+            Map.of(
+                    "price.crossing",
+                    new double[] {0, 10},
+                    "price.orders",
+                    new double[] {0, 1},
+                    "goal.worst.class",
+                    new double[] {0, 1});
+
+    private static final Map<String, double[]> BUDGETS =
+            Map.of("crossing", new double[] {0, 1}, "moves", new double[] {0, 1});
 
     private long version;
     private final TreeMap<String, Change> out = new TreeMap<>();
@@ -55,14 +66,22 @@
             Map<String, double[]> known = change.kind() == Change.Kind.TERM ? TERMS : BUDGETS;
             double[] range = known.get(change.subject());
             if (range == null) {
-                return "unknown-name: '" + change.subject() + "' is none of "
+                return "unknown-name: '"
+                        + change.subject()
+                        + "' is none of "
                         + String.join(", ", new TreeMap<>(known).keySet());
             } else if (change.value() < range[0] || change.value() > range[1]) {
-                return "out-of-range: " + change.subject() + " must be from " + range[0] + " to " + range[1];
+                return "out-of-range: "
+                        + change.subject()
+                        + " must be from "
+                        + range[0]
+                        + " to "
+                        + range[1];
             }
         } else if (change.kind() == Change.Kind.BACK && !out.containsKey(change.subject())) {
             return "not-out: " + change.subject() + " is neither drained nor held";
-        } else if (change.kind() != Change.Kind.BACK && out.size() >= MOST_OUT
+        } else if (change.kind() != Change.Kind.BACK
+                && out.size() >= MOST_OUT
                 && !out.containsKey(change.subject())) {
             return "too-many: " + MOST_OUT + " replicas are kept out";
         }
@@ -87,9 +106,15 @@
         } catch (IOException malformed) {
             refused = "malformed: " + malformed.getMessage();
         }
-        String quoted = refused == null ? "" : new String(
-                com.fasterxml.jackson.core.io.JsonStringEncoder.getInstance().quoteAsString(refused));
-        return (refused == null ? "{\"version\":" + version + "}" : "{\"refused\":\"" + quoted + "\"}")
+        String quoted =
+                refused == null
+                        ? ""
+                        : new String(
+                                com.fasterxml.jackson.core.io.JsonStringEncoder.getInstance()
+                                        .quoteAsString(refused));
+        return (refused == null
+                        ? "{\"version\":" + version + "}"
+                        : "{\"refused\":\"" + quoted + "\"}")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -142,7 +167,8 @@
                 switch (field) {
                     case "format" -> {
                         if (json.getIntValue() != FORMAT) {
-                            throw new IOException("format " + json.getIntValue() + ", this is " + FORMAT);
+                            throw new IOException(
+                                    "format " + json.getIntValue() + ", this is " + FORMAT);
                         }
                     }
                     case "version" -> version = json.getLongValue();
@@ -158,8 +184,8 @@
                 }
             }
         } catch (IOException damaged) {
-            throw new IllegalStateException("what was agreed can't be read: " + damaged.getMessage(),
-                    damaged);
+            throw new IllegalStateException(
+                    "what was agreed can't be read: " + damaged.getMessage(), damaged);
         }
     }
 
--- a/src/main/java/rockshift/cluster/CborReader.java
+++ b/src/main/java/rockshift/cluster/CborReader.java
@@ -7,14 +7,15 @@
 import java.io.IOException;
 
 /**
- * Reads CBOR items in a fixed order and takes exactly what {@link CborWriter} gave: a missing, further or
- * ill-typed item, or one out of its range, is an error.
+ * Reads CBOR items in a fixed order and takes exactly what {@link CborWriter} gave: a missing,
+ * further or ill-typed item, or one out of its range, is an error.
  */
 final class CborReader {
     private static final CBORFactory CBOR = new CBORFactory();
     private static final byte[] NOTHING = {};
 
     private final CBORParser in;
+
     /** The field that is being read, for what errors say; empty where fields have no names. */
     private String field = "";
 
@@ -52,7 +53,9 @@
         expect(JsonToken.START_ARRAY);
     }
 
-    /** Reads the next token of an array whose items are read one by one; false at the array's end. */
+    /**
+     * Reads the next token of an array whose items are read one by one; false at the array's end.
+     */
     boolean more() throws IOException {
         JsonToken came = next();
         if (came == null) {
--- a/src/main/java/rockshift/cluster/Change.java
+++ b/src/main/java/rockshift/cluster/Change.java
@@ -14,25 +14,43 @@
  * One change of what is agreed, as staff ask for it. The schema stands in docs/raft.md.
  *
  * @param subject the replica, or the name of a budget or term
- * @param started of a drain: the start of the replica that is meant, in ms of Unix time; 0 for whichever runs
+ * @param started of a drain: the start of the replica that is meant, in ms of Unix time; 0 for
+ *     whichever runs
  * @param value of a budget or term
  * @param reason for the record; may be empty
  * @param service of a drain or hold: the service that it concerns; empty for every service
  * @param zone of a drain or hold: the zone that it concerns; empty for every zone
  */
-public record Change(Kind kind, String subject, long started, double value, String reason, String service,
+public record Change(
+        Kind kind,
+        String subject,
+        long started,
+        double value,
+        String reason,
+        String service,
         String zone) {
-    /** Drain until the replica starts anew, hold out until let back, let back; set a budget or a term. */
+    /**
+     * Drain until the replica starts anew, hold out until let back, let back; set a budget or a
+     * term.
+     */
     public enum Kind {
-        DRAIN, HOLD, BACK, BUDGET, TERM
+        DRAIN,
+        HOLD,
+        BACK,
+        BUDGET,
+        TERM
     }
 
     private static final JsonFactory JSON = new JsonFactory();
+
     /** Characters of the longest name and reason. */
     private static final int LONGEST_NAME = 200;
+
     private static final int LONGEST_REASON = 500;
+
     /** Characters of the longest service and zone, and what they may consist of. */
     private static final int LONGEST_SCOPE = 100;
+
     private static final Pattern SCOPE_NAME = Pattern.compile("[\\w.:@/+-]*");
 
     /** A change that can't be understood; the message names the field. */
@@ -51,7 +69,9 @@
 
     /** The same change, as it concerns one zone; unchanged where no change may name that zone. */
     public Change inZone(String name) {
-        return !isScopeName(name) ? this : new Change(kind, subject, started, value, reason, service, name);
+        return !isScopeName(name)
+                ? this
+                : new Change(kind, subject, started, value, reason, service, name);
     }
 
     /** The same change, of the replica that started then. */
@@ -145,7 +165,9 @@
         } else if ((kind == Kind.BUDGET || kind == Kind.TERM) == (value == null)) {
             throw new Malformed("value", value == null ? "is missing" : "has no meaning here");
         }
-        Change change = new Change(kind, subject, started, value == null ? 0 : value, reason, service, zone);
+        Change change =
+                new Change(
+                        kind, subject, started, value == null ? 0 : value, reason, service, zone);
         if (!change.scoped() && !(service + zone).isEmpty()) {
             throw new Malformed(service.isEmpty() ? "zone" : "service", "has no meaning here");
         }
@@ -175,7 +197,8 @@
     }
 
     private static String text(JsonParser in, String field, int longest) throws IOException {
-        if (in.currentToken() != JsonToken.VALUE_STRING || in.getText().length() > longest
+        if (in.currentToken() != JsonToken.VALUE_STRING
+                || in.getText().length() > longest
                 || field.equals("subject") && in.getText().isEmpty()) {
             throw new Malformed(field, "must be text of at most " + longest + " characters");
         }
--- a/src/main/java/rockshift/cluster/Client.java
+++ b/src/main/java/rockshift/cluster/Client.java
@@ -16,8 +16,9 @@
 import rockshift.operator.Section;
 
 /**
- * Speaks to members as staff's commands do: asks one, goes where it points, and asks again under the same
- * serial until it is told what came of it or its time is up. It waits for answers, and is used by one thread.
+ * Speaks to members as staff's commands do: asks one, goes where it points, and asks again under
+ * the same serial until it is told what came of it or its time is up. It waits for answers, and is
+ * used by one thread.
  */
 public final class Client implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,7 +44,9 @@
     private Socket socket;
     private DataInputStream in;
 
-    /** @param patience ms for one call until another member is asked */
+    /**
+     * @param patience ms for one call until another member is asked
+     */
     public Client(List<String> addresses, RandomGenerator chance, int patience) {
         this.addresses = new ArrayDeque<>(addresses);
         this.chance = chance;
@@ -72,7 +75,8 @@
             socket.getOutputStream().write(Frames.frame(Frames.CALL, JSON.writeValueAsBytes(call)));
             while (true) {
                 Frames.Frame frame = Frames.read(in);
-                JsonNode answer = frame.kind() == Frames.REPLY ? JSON.readTree(frame.payload()) : null;
+                JsonNode answer =
+                        frame.kind() == Frames.REPLY ? JSON.readTree(frame.payload()) : null;
                 if (answer != null && answer.path("call").asLong() == number) {
                     return answer;
                 }
@@ -92,7 +96,8 @@
     }
 
     /** Asks members in turn, the one that leads once it is known, until one answers for good. */
-    public JsonNode askLeader(ObjectNode call, long deadlineMs) throws IOException, InterruptedException {
+    public JsonNode askLeader(ObjectNode call, long deadlineMs)
+            throws IOException, InterruptedException {
         String trouble = "no member was asked";
         while (System.nanoTime() / 1_000_000 < deadlineMs) {
             String first = addresses.getFirst();
@@ -103,7 +108,9 @@
                     return answer;
                 }
                 trouble = first + ": " + refused;
-                call.put("again", call.path("again").asBoolean() || refused.equals(Engine.Answer.UNKNOWN));
+                call.put(
+                        "again",
+                        call.path("again").asBoolean() || refused.equals(Engine.Answer.UNKNOWN));
                 String leader = answer.path("leader").asText("");
                 if (leader.isEmpty()) {
                     addresses.addLast(addresses.removeFirst());
@@ -122,7 +129,8 @@
     }
 
     private static boolean passing(String refused) {
-        return List.of("not-leader", Engine.Answer.UNKNOWN, "busy", "handing-over", "disk").contains(refused);
+        return List.of("not-leader", Engine.Answer.UNKNOWN, "busy", "handing-over", "disk")
+                .contains(refused);
     }
 
     /** Has a change agreed, once, however often it must be asked for. */
@@ -133,8 +141,14 @@
             askLeader(call("open").put("session", session), deadlineMs);
         }
         serial++;
-        return askLeader(call("change").put("session", session).put("serial", serial).put("force", force)
-                .put("change", new String(change.json(), java.nio.charset.StandardCharsets.UTF_8)),
+        return askLeader(
+                call("change")
+                        .put("session", session)
+                        .put("serial", serial)
+                        .put("force", force)
+                        .put(
+                                "change",
+                                new String(change.json(), java.nio.charset.StandardCharsets.UTF_8)),
                 deadlineMs);
     }
 
@@ -145,8 +159,10 @@
             try {
                 found.put(address, ask(address, call("status")));
             } catch (IOException failure) {
-                found.put(address,
-                        JSON.createObjectNode().put("unreached", String.valueOf(failure.getMessage())));
+                found.put(
+                        address,
+                        JSON.createObjectNode()
+                                .put("unreached", String.valueOf(failure.getMessage())));
             }
         }
         return found;
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -35,21 +35,29 @@
 
 /**
  * One member of the agreement, running: the engine on a thread of its own, the disk on another, its
- * connections, and how the cluster is founded. It owns the order in which they meet: time first, then what
- * came, then what follows.
+ * connections, and how the cluster is founded. It owns the order in which they meet: time first,
+ * then what came, then what follows.
  */
 public final class ClusterMember implements AutoCloseable, Links.Handler, Engine.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
     private static final JsonFactory JSON = new JsonFactory();
-    /** Inputs that may wait; more are dropped like lost messages, and commands told to come again. */
+
+    /**
+     * Inputs that may wait; more are dropped like lost messages, and commands told to come again.
+     */
     private static final int MOST_WAITING = 20_000;
+
     /** Inputs taken in before the engine decides: a batch. */
     private static final int MOST_AT_ONCE = 1_000;
+
     /** Ms between two looks at the clock, at most; and between two tries of a save that failed. */
     private static final long LONGEST_PAUSE = 10;
+
     private static final long RETRY = 500;
+
     /** Changes that can be listed afterwards. */
     private static final int MOST_RECENT = 4_096;
+
     private static final long NANOS_PER_TENTH = 100_000;
 
     private record Asked(Links.Link link, long number) {}
@@ -72,12 +80,16 @@
     private long recentFrom = 1;
     private final TreeMap<String, Codec.Hello> met = new TreeMap<>();
     private volatile long cluster;
+
     /** The greeting, for other threads, and the members that it names. */
     private volatile byte[] shown;
+
     private Membership shownMembers;
     private Membership heardOf;
+
     /** Addresses of the others; null when they are to be reckoned anew. */
     private Set<String> others;
+
     private volatile boolean closed;
     private volatile boolean leading;
     private long requests;
@@ -95,13 +107,22 @@
             DurableLog.Recovered found = log.open(source.nextLong() >>> 1 | 1);
             id = found.id();
             cluster = found.cluster();
-            distribution = new DistributionService(settings.subscribers(), settings.timing().election(),
-                    new SplittableRandom(source.nextLong()));
+            distribution =
+                    new DistributionService(
+                            settings.subscribers(),
+                            settings.timing().election(),
+                            new SplittableRandom(source.nextLong()));
             links = new Links(this, distribution.port(), new SplittableRandom(source.nextLong()));
-            engine = new Engine(found, settings.timing(), new Rules(),
-                    new SplittableRandom(source.nextLong()),
-                    now(), agreed,
-                    settings.compaction(), this);
+            engine =
+                    new Engine(
+                            found,
+                            settings.timing(),
+                            new Rules(),
+                            new SplittableRandom(source.nextLong()),
+                            now(),
+                            agreed,
+                            settings.compaction(),
+                            this);
         } catch (IOException | RuntimeException failure) {
             disk.close();
             throw failure;
@@ -118,8 +139,13 @@
         distribution.start();
         diskThread.start();
         thread.start();
-        LOG.info("member {} ({}) listens on {}, port {}, {} entries, agreed version {}", settings.name(),
-                Long.toHexString(id), settings.listen().getHostString(), port, engine.raft().log().last(),
+        LOG.info(
+                "member {} ({}) listens on {}, port {}, {} entries, agreed version {}",
+                settings.name(),
+                Long.toHexString(id),
+                settings.listen().getHostString(),
+                port,
+                engine.raft().log().last(),
                 agreed.version());
     }
 
@@ -178,7 +204,8 @@
                 return;
             } catch (RuntimeException failure) {
                 // What it holds in memory may be wrong now: a restart reads the disk anew.
-                LOG.error("failure in the agreement, it stops here; restart this governor", failure);
+                LOG.error(
+                        "failure in the agreement, it stops here; restart this governor", failure);
                 governor.reach(cutOff());
                 return;
             }
@@ -208,7 +235,9 @@
             if (engine.raft().inTouch()) {
                 LOG.info("in touch with most members, leader {}", name(engine.raft().leader()));
             } else if (before) {
-                LOG.warn("cut off from most members: nothing new is agreed here, orders by minority = {}",
+                LOG.warn(
+                        "cut off from most members: nothing new is agreed here, orders by minority"
+                                + " = {}",
                         settings.minority().name().toLowerCase(Locale.ROOT));
             }
         }
@@ -226,16 +255,21 @@
             }
         }
         if (cluster == 0) {
-            settings.founders().forEach((name, address) -> {
-                if (!name.equals(settings.name())) {
-                    all.add(route(name, address));
-                }
-            });
+            settings.founders()
+                    .forEach(
+                            (name, address) -> {
+                                if (!name.equals(settings.name())) {
+                                    all.add(route(name, address));
+                                }
+                            });
         }
         return all;
     }
 
-    /** Whom to reach: the members, or as one that has no entries yet, those that another member named. */
+    /**
+     * Whom to reach: the members, or as one that has no entries yet, those that another member
+     * named.
+     */
     private Membership addressed() {
         Membership members = engine.raft().members();
         return members.all().isEmpty() && heardOf != null ? heardOf : members;
@@ -256,12 +290,18 @@
 
     // ---- founding -------------------------------------------------------------------------------
 
-    /** Has everyone know who this is now: a connection tells it as it begins, and again when it changes. */
+    /**
+     * Has everyone know who this is now: a connection tells it as it begins, and again when it
+     * changes.
+     */
     private void show() {
         try {
             shownMembers = engine.raft().members();
             others = null;
-            shown = Codec.hello(new Codec.Hello(Frames.VERSION, cluster, id, settings.name(), shownMembers));
+            shown =
+                    Codec.hello(
+                            new Codec.Hello(
+                                    Frames.VERSION, cluster, id, settings.name(), shownMembers));
         } catch (IOException impossible) {
             throw new UncheckedIOException(impossible);
         }
@@ -274,25 +314,28 @@
 
     @Override
     public void met(Codec.Hello hello) {
-        offer(() -> {
-            met.put(hello.name(), hello);
-            if (hello.members().get(id) != null) {
-                heardOf = hello.members();
-                others = null;
-            }
-            if (cluster == 0) {
-                found(hello);
-            } else if (hello.cluster() != 0 && hello.cluster() != cluster) {
-                LOG.warn("{} belongs to another cluster, {}, not {}", hello.name(),
-                        Long.toHexString(hello.cluster()),
-                        Long.toHexString(cluster));
-            }
-        });
+        offer(
+                () -> {
+                    met.put(hello.name(), hello);
+                    if (hello.members().get(id) != null) {
+                        heardOf = hello.members();
+                        others = null;
+                    }
+                    if (cluster == 0) {
+                        found(hello);
+                    } else if (hello.cluster() != 0 && hello.cluster() != cluster) {
+                        LOG.warn(
+                                "{} belongs to another cluster, {}, not {}",
+                                hello.name(),
+                                Long.toHexString(hello.cluster()),
+                                Long.toHexString(cluster));
+                    }
+                });
     }
 
     /**
-     * Founders begin once each has met all others blank, one that founds alone at once; who is named by a
-     * cluster that exists becomes part of it.
+     * Founders begin once each has met all others blank, one that founds alone at once; who is
+     * named by a cluster that exists becomes part of it.
      *
      * @param hello what another said, or null as this member begins
      */
@@ -308,7 +351,9 @@
                 LOG.warn(
                         "{} has a cluster that this member is no part of:"
                                 + " add it with 'cluster member add {} {}'",
-                        hello.name(), settings.name(), settings.address());
+                        hello.name(),
+                        settings.name(),
+                        settings.address());
             }
         } catch (IOException failure) {
             LOG.error("can't found the cluster: {}", failure.getMessage());
@@ -348,10 +393,11 @@
     public void message(byte[] payload, long from) throws IOException {
         if (cluster != 0 && from == cluster) {
             Message message = Codec.message(payload);
-            offer(() -> {
-                engine.receive(message);
-                distribution.heard(message, engine.raft());
-            });
+            offer(
+                    () -> {
+                        engine.receive(message);
+                        distribution.heard(message, engine.raft());
+                    });
         }
     }
 
@@ -379,7 +425,9 @@
         }
     }
 
-    /** Tries until the disk takes it: what was durable stays, and the same save can be tried again. */
+    /**
+     * Tries until the disk takes it: what was durable stays, and the same save can be tried again.
+     */
     private void persist(DiskWork work, Runnable done) throws InterruptedException {
         while (!closed) {
             try {
@@ -388,15 +436,17 @@
                     LOG.info("folder {} takes entries again", settings.folder());
                     diskTrouble = "";
                 }
-                inputs.put(() -> {
-                    engine.disk(true);
-                    done.run();
-                });
+                inputs.put(
+                        () -> {
+                            engine.disk(true);
+                            done.run();
+                        });
                 return;
             } catch (IOException failure) {
                 String trouble = String.valueOf(failure.getMessage());
                 if (!trouble.equals(diskTrouble)) {
-                    LOG.error("folder {} takes nothing: {}; no votes and no entries until it does",
+                    LOG.error(
+                            "folder {} takes nothing: {}; no votes and no entries until it does",
                             settings.folder(),
                             trouble);
                     diskTrouble = trouble;
@@ -412,17 +462,19 @@
     }
 
     private void queue(DiskWork work, Runnable done) {
-        diskWork.add(() -> {
-            try {
-                persist(work, done);
-            } catch (InterruptedException stopped) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        diskWork.add(
+                () -> {
+                    try {
+                        persist(work, done);
+                    } catch (InterruptedException stopped) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
     }
 
     @Override
-    public void save(long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+    public void save(
+            long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
         queue(() -> log.save(ballot, from, entries, snapshot), () -> engine.saved(ticket));
     }
 
@@ -436,14 +488,27 @@
     @Override
     public void applied(Entry entry, Sessions.Outcome outcome) {
         if (entry.kind() == Entry.Kind.MEMBERS) {
-            LOG.info("members agreed: {}", entry.members().all().stream().map(member -> member.name() + " "
-                    + member.role().name().toLowerCase(Locale.ROOT)).toList());
+            LOG.info(
+                    "members agreed: {}",
+                    entry.members().all().stream()
+                            .map(
+                                    member ->
+                                            member.name()
+                                                    + " "
+                                                    + member.role().name().toLowerCase(Locale.ROOT))
+                            .toList());
         } else if (entry.kind() == Entry.Kind.CHANGE && outcome.applied()) {
             String change = new String(entry.body(), StandardCharsets.UTF_8);
             String answer = new String(outcome.answer(), StandardCharsets.UTF_8);
             LOG.info("agreed {}: {} {}", entry.index(), change, answer);
             recent.add(
-                    "{\"index\":" + entry.index() + ",\"change\":" + change + ",\"outcome\":" + answer + "}");
+                    "{\"index\":"
+                            + entry.index()
+                            + ",\"change\":"
+                            + change
+                            + ",\"outcome\":"
+                            + answer
+                            + "}");
             if (recent.size() > MOST_RECENT) {
                 recent.removeFirst();
                 recentFrom++;
@@ -454,7 +519,8 @@
     }
 
     private void tellAgreed() {
-        governor.agreed(agreed.version(), new TreeMap<>(agreed.out()), new TreeMap<>(agreed.terms()));
+        governor.agreed(
+                agreed.version(), new TreeMap<>(agreed.out()), new TreeMap<>(agreed.terms()));
     }
 
     @Override
@@ -531,13 +597,25 @@
                 }
                 case "transfer" -> engine.transfer(request, named(call.get("name")));
                 case "remove" ->
-                        engine.member(request, new Member(named(call.get("name")), call.get("name"), "",
-                                Member.Role.LEARNER), true);
-                case "add" -> engine.member(request,
-                        new Member(number(call, "id"), call.get("name"), call.get("address"),
-                                Boolean.parseBoolean(call.get("learner")) ? Member.Role.LEARNER
-                                        : Member.Role.JOINING),
-                        false);
+                        engine.member(
+                                request,
+                                new Member(
+                                        named(call.get("name")),
+                                        call.get("name"),
+                                        "",
+                                        Member.Role.LEARNER),
+                                true);
+                case "add" ->
+                        engine.member(
+                                request,
+                                new Member(
+                                        number(call, "id"),
+                                        call.get("name"),
+                                        call.get("address"),
+                                        Boolean.parseBoolean(call.get("learner"))
+                                                ? Member.Role.LEARNER
+                                                : Member.Role.JOINING),
+                                false);
                 case "change" -> change(request, call);
                 default -> throw new IOException("field op: '" + op + "' is not known");
             }
@@ -553,14 +631,16 @@
     }
 
     private void change(long request, Map<String, String> call) throws IOException {
-        Change change = Change.read(call.getOrDefault("change", "").getBytes(StandardCharsets.UTF_8));
+        Change change =
+                Change.read(call.getOrDefault("change", "").getBytes(StandardCharsets.UTF_8));
         if (change.kind() == Change.Kind.DRAIN && change.started() == 0) {
             change = change.startedAt(governor.started(change.subject()));
         }
         if (change.scoped() && change.zone().isEmpty()) {
             change = change.inZone(governor.zone(change.subject()));
         }
-        // A change sent again must meet its own first time, not this check: only the state can tell which it
+        // A change sent again must meet its own first time, not this check: only the state can tell
+        // which it
         // is.
         boolean first = engine.raft().leads() && !Boolean.parseBoolean(call.get("again"));
         String objection = first ? agreed.check(change) : null;
@@ -581,10 +661,13 @@
     private void reply(long request, Fields fields) {
         Asked to = asked.remove(request);
         if (to != null) {
-            to.link.send(Frames.REPLY, object(json -> {
-                json.writeNumberField("call", to.number);
-                fields.write(json);
-            }));
+            to.link.send(
+                    Frames.REPLY,
+                    object(
+                            json -> {
+                                json.writeNumberField("call", to.number);
+                                fields.write(json);
+                            }));
         }
     }
 
@@ -601,29 +684,32 @@
     }
 
     private static byte[] refusal(long number, String code, String what) {
-        return object(json -> {
-            json.writeNumberField("call", number);
-            json.writeStringField("refused", what == null ? code : code + ": " + what);
-        });
+        return object(
+                json -> {
+                    json.writeNumberField("call", number);
+                    json.writeStringField("refused", what == null ? code : code + ": " + what);
+                });
     }
 
     @Override
     public void answer(long request, Engine.Answer answer) {
-        reply(request, json -> {
-            if (answer.refused() != null) {
-                json.writeStringField("refused", answer.refused());
-            }
-            if (answer.leader() != null) {
-                json.writeStringField("leader", answer.leader());
-            }
-            if (answer.index() > 0) {
-                json.writeNumberField("index", answer.index());
-            }
-            if (answer.body().length > 0) {
-                json.writeFieldName("answer");
-                json.writeRawValue(new String(answer.body(), StandardCharsets.UTF_8));
-            }
-        });
+        reply(
+                request,
+                json -> {
+                    if (answer.refused() != null) {
+                        json.writeStringField("refused", answer.refused());
+                    }
+                    if (answer.leader() != null) {
+                        json.writeStringField("leader", answer.leader());
+                    }
+                    if (answer.index() > 0) {
+                        json.writeNumberField("index", answer.index());
+                    }
+                    if (answer.body().length > 0) {
+                        json.writeFieldName("answer");
+                        json.writeRawValue(new String(answer.body(), StandardCharsets.UTF_8));
+                    }
+                });
     }
 
     private void status(JsonGenerator json) throws IOException {
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -9,30 +9,60 @@
 import rockshift.raft.Timing;
 
 /**
- * What a member is told in the block {@code cluster} of the operator's file: who it is, where it listens and
- * keeps its folder, who founded the cluster, and how long it waits. It is what one reading found and never
- * changes.
+ * What a member is told in the block {@code cluster} of the operator's file: who it is, where it
+ * listens and keeps its folder, who founded the cluster, and how long it waits. It is what one
+ * reading found and never changes.
  *
- * @param founders by name: where those are that begin the cluster; empty for one that is added later
- * @param routes by name: where this member reaches another, if not at the address that all were told
+ * @param founders by name: where those are that begin the cluster; empty for one that is added
+ *     later
+ * @param routes by name: where this member reaches another, if not at the address that all were
+ *     told
  * @param subscribers relays and governors that may subscribe here at a time
  */
-public record ClusterSettings(String name, InetSocketAddress listen, String address, Path folder,
-        Map<String, String> founders, Map<String, String> routes, Timing timing, Engine.Compaction compaction,
-        Minority minority, int subscribers) {
-    /** What a governor still orders when it is cut off from most: all, what rules owe, or nothing. */
+public record ClusterSettings(
+        String name,
+        InetSocketAddress listen,
+        String address,
+        Path folder,
+        Map<String, String> founders,
+        Map<String, String> routes,
+        Timing timing,
+        Engine.Compaction compaction,
+        Minority minority,
+        int subscribers) {
+    /**
+     * What a governor still orders when it is cut off from most: all, what rules owe, or nothing.
+     */
     public enum Minority {
-        SERVE, WITHDRAW, HOLD
+        SERVE,
+        WITHDRAW,
+        HOLD
     }
 
     private static final int LEAST_ELECTION = 50;
     private static final int MOST_FOUNDERS = 5;
 
     /** A member that serves as many subscribers as is usual. */
-    public ClusterSettings(String name, InetSocketAddress listen, String address, Path folder,
+    public ClusterSettings(
+            String name,
+            InetSocketAddress listen,
+            String address,
+            Path folder,
             Map<String, String> founders,
-            Map<String, String> routes, Timing timing, Engine.Compaction compaction, Minority minority) {
-        this(name, listen, address, folder, founders, routes, timing, compaction, minority,
+            Map<String, String> routes,
+            Timing timing,
+            Engine.Compaction compaction,
+            Minority minority) {
+        this(
+                name,
+                listen,
+                address,
+                folder,
+                founders,
+                routes,
+                timing,
+                compaction,
+                minority,
                 DistributionSettings.USUAL_SUBSCRIBERS);
     }
 
@@ -55,25 +85,44 @@
         boolean leases = cluster.flag("leases", true);
         int batch = cluster.whole("batch", 512, 1, 4_096);
         Engine.Compaction compaction =
-                new Engine.Compaction(cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
+                new Engine.Compaction(
+                        cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
                         cluster.bytes("snapshot_bytes", "4MB", 64 << 10, 64 << 20));
-        Minority minority = Minority.valueOf(cluster.word("minority", "withdraw", "serve", "withdraw", "hold")
-                .toUpperCase(java.util.Locale.ROOT));
+        Minority minority =
+                Minority.valueOf(
+                        cluster.word("minority", "withdraw", "serve", "withdraw", "hold")
+                                .toUpperCase(java.util.Locale.ROOT));
         Map<String, String> founders = addresses(cluster, "founder");
         if (!founders.isEmpty() && !founders.containsKey(name)) {
             throw cluster.wrong("founder", "does not name " + name + " itself");
-        } else if (founders.size() > MOST_FOUNDERS || founders.size() == 2 || founders.size() == 4) {
+        } else if (founders.size() > MOST_FOUNDERS
+                || founders.size() == 2
+                || founders.size() == 4) {
             throw cluster.wrong("founder", "must name one, three or five, not " + founders.size());
         }
         Map<String, String> routes = addresses(cluster, "route");
-        int subscribers = cluster.whole("subscribers", DistributionSettings.USUAL_SUBSCRIBERS, 1,
-                DistributionSettings.MOST_SUBSCRIBERS);
+        int subscribers =
+                cluster.whole(
+                        "subscribers",
+                        DistributionSettings.USUAL_SUBSCRIBERS,
+                        1,
+                        DistributionSettings.MOST_SUBSCRIBERS);
         cluster.end();
-        return new ClusterSettings(name, listen, address, folder, founders, routes,
-                new Timing(election, heartbeat, drift, leases, batch), compaction, minority, subscribers);
+        return new ClusterSettings(
+                name,
+                listen,
+                address,
+                folder,
+                founders,
+                routes,
+                new Timing(election, heartbeat, drift, leases, batch),
+                compaction,
+                minority,
+                subscribers);
     }
 
-    private static Map<String, String> addresses(Section cluster, String kind) throws InvalidFileException {
+    private static Map<String, String> addresses(Section cluster, String kind)
+            throws InvalidFileException {
         Map<String, String> found = new LinkedHashMap<>();
         for (Map.Entry<String, Section> each : cluster.blocks(kind).entrySet()) {
             each.getValue().address("address", null);
--- a/src/main/java/rockshift/cluster/Codec.java
+++ b/src/main/java/rockshift/cluster/Codec.java
@@ -12,9 +12,9 @@
 import rockshift.raft.Snapshot;
 
 /**
- * Entries, messages and snapshots as bytes: CBOR arrays of a fixed order, told in docs/raft.md. A reader
- * takes exactly what a writer gave: a missing, further or ill-typed item is an error, and nothing of a spoilt
- * one is used.
+ * Entries, messages and snapshots as bytes: CBOR arrays of a fixed order, told in docs/raft.md. A
+ * reader takes exactly what a writer gave: a missing, further or ill-typed item is an error, and
+ * nothing of a spoilt one is used.
  */
 public final class Codec {
     private Codec() {}
@@ -23,14 +23,22 @@
         out.startArray();
         if (members != null) {
             for (Member member : members.all()) {
-                out.add(member.id()).text(member.name()).text(member.address()).add(member.role().ordinal());
+                out.add(member.id())
+                        .text(member.name())
+                        .text(member.address())
+                        .add(member.role().ordinal());
             }
         }
         out.endArray();
     }
 
     private static void write(CborWriter out, Entry entry) throws IOException {
-        out.add(entry.index(), entry.term(), entry.kind().ordinal(), entry.session(), entry.serial())
+        out.add(
+                        entry.index(),
+                        entry.term(),
+                        entry.kind().ordinal(),
+                        entry.session(),
+                        entry.serial())
                 .binary(entry.body());
         write(out, entry.members());
     }
@@ -58,7 +66,13 @@
         long serial = in.number();
         byte[] body = in.bytes();
         Membership members = readMembers(in);
-        return new Entry(index, term, kind, session, serial, body,
+        return new Entry(
+                index,
+                term,
+                kind,
+                session,
+                serial,
+                body,
                 kind == Entry.Kind.MEMBERS ? members : null);
     }
 
@@ -164,11 +178,16 @@
         reader.startArray();
         long version = reader.number();
         if (version != Frames.VERSION) {
-            throw new Frames.Broken("version",
-                    "it speaks version " + version + ", this is " + Frames.VERSION);
+            throw new Frames.Broken(
+                    "version", "it speaks version " + version + ", this is " + Frames.VERSION);
         }
         Hello hello =
-                new Hello(version, reader.number(), reader.number(), reader.text(), readMembers(reader));
+                new Hello(
+                        version,
+                        reader.number(),
+                        reader.number(),
+                        reader.text(),
+                        readMembers(reader));
         reader.end();
         return hello;
     }
@@ -177,21 +196,37 @@
     public static byte[] message(Message message) throws IOException {
         CborWriter w = new CborWriter();
         w.startArray();
-        int kind = message instanceof Message.Ask ? 0 : message instanceof Message.Vote ? 1
-                : message instanceof Message.Append ? 2 : message instanceof Message.Appended ? 3
-                        : message instanceof Message.Piece ? 4 : message instanceof Message.Taken ? 5 : 6;
+        int kind =
+                message instanceof Message.Ask
+                        ? 0
+                        : message instanceof Message.Vote
+                                ? 1
+                                : message instanceof Message.Append
+                                        ? 2
+                                        : message instanceof Message.Appended
+                                                ? 3
+                                                : message instanceof Message.Piece
+                                                        ? 4
+                                                        : message instanceof Message.Taken ? 5 : 6;
         w.add(kind, message.from(), message.to(), message.term());
         if (message instanceof Message.Ask m) {
             w.add(m.lastIndex(), m.lastTerm()).flag(m.trial(), m.forced());
         } else if (message instanceof Message.Vote m) {
             w.flag(m.trial(), m.given());
         } else if (message instanceof Message.Append m) {
-            w.add(m.prevIndex(), m.prevTerm(), m.commit(), m.round(), m.sentAt(), m.entries().size());
+            w.add(
+                    m.prevIndex(),
+                    m.prevTerm(),
+                    m.commit(),
+                    m.round(),
+                    m.sentAt(),
+                    m.entries().size());
             for (Entry entry : m.entries()) {
                 write(w, entry);
             }
         } else if (message instanceof Message.Appended m) {
-            w.flag(m.ok()).add(m.match(), m.hintTerm(), m.refused(), m.round(), m.sentAt(), m.clock());
+            w.flag(m.ok())
+                    .add(m.match(), m.hintTerm(), m.refused(), m.round(), m.sentAt(), m.clock());
         } else if (message instanceof Message.Piece m) {
             w.add(m.index(), m.snapshotTerm());
             write(w, m.members());
@@ -212,30 +247,60 @@
         long from = r.number();
         long to = r.number();
         long term = r.number();
-        Message message = switch (kind) {
-            case 0 -> new Message.Ask(from, to, term, r.number(), r.number(), r.flag(), r.flag());
-            case 1 -> new Message.Vote(from, to, term, r.flag(), r.flag());
-            case 2 -> {
-                long[] head = {r.number(), r.number(), r.number(), r.number(), r.number()};
-                List<Entry> entries = new ArrayList<>();
-                for (int count = r.whole(Integer.MAX_VALUE); count > 0; count--) {
-                    entries.add(readEntry(r));
-                }
-                yield new Message.Append(from, to, term, head[0], head[1], head[2], head[3], head[4],
-                        entries);
-            }
-            case 3 -> new Message.Appended(from, to, term, r.flag(), r.number(), r.number(), r.number(),
-                    r.number(),
-                    r.number(), r.number());
-            case 4 -> new Message.Piece(from, to, term, r.number(), r.number(), readMembers(r),
-                    r.whole(Integer.MAX_VALUE), (int) r.number(), r.whole(Integer.MAX_VALUE), r.bytes(),
-                    r.number(),
-                    r.number());
-            case 5 -> new Message.Taken(from, to, term, r.number(), r.whole(Integer.MAX_VALUE), r.number(),
-                    r.number(),
-                    r.number());
-            default -> new Message.Campaign(from, to, term);
-        };
+        Message message =
+                switch (kind) {
+                    case 0 ->
+                            new Message.Ask(
+                                    from, to, term, r.number(), r.number(), r.flag(), r.flag());
+                    case 1 -> new Message.Vote(from, to, term, r.flag(), r.flag());
+                    case 2 -> {
+                        long[] head = {r.number(), r.number(), r.number(), r.number(), r.number()};
+                        List<Entry> entries = new ArrayList<>();
+                        for (int count = r.whole(Integer.MAX_VALUE); count > 0; count--) {
+                            entries.add(readEntry(r));
+                        }
+                        yield new Message.Append(
+                                from, to, term, head[0], head[1], head[2], head[3], head[4],
+                                entries);
+                    }
+                    case 3 ->
+                            new Message.Appended(
+                                    from,
+                                    to,
+                                    term,
+                                    r.flag(),
+                                    r.number(),
+                                    r.number(),
+                                    r.number(),
+                                    r.number(),
+                                    r.number(),
+                                    r.number());
+                    case 4 ->
+                            new Message.Piece(
+                                    from,
+                                    to,
+                                    term,
+                                    r.number(),
+                                    r.number(),
+                                    readMembers(r),
+                                    r.whole(Integer.MAX_VALUE),
+                                    (int) r.number(),
+                                    r.whole(Integer.MAX_VALUE),
+                                    r.bytes(),
+                                    r.number(),
+                                    r.number());
+                    case 5 ->
+                            new Message.Taken(
+                                    from,
+                                    to,
+                                    term,
+                                    r.number(),
+                                    r.whole(Integer.MAX_VALUE),
+                                    r.number(),
+                                    r.number(),
+                                    r.number());
+                    default -> new Message.Campaign(from, to, term);
+                };
         r.end();
         return message;
     }
--- a/src/main/java/rockshift/cluster/ConnectionLog.java
+++ b/src/main/java/rockshift/cluster/ConnectionLog.java
@@ -6,8 +6,8 @@
 import org.slf4j.Logger;
 
 /**
- * Logs why connections of one sort ended or were refused: so many lines a second, and of those beyond one
- * line that counts them by reason. It keeps the totals by reason as well.
+ * Logs why connections of one sort ended or were refused: so many lines a second, and of those
+ * beyond one line that counts them by reason. It keeps the totals by reason as well.
  */
 final class ConnectionLog {
     private static final int LINES_A_SECOND = 50;
@@ -19,7 +19,9 @@
     private final Map<String, Integer> unlogged = new TreeMap<>();
     private final Map<String, Long> totals = new TreeMap<>();
 
-    /** @param sort what the lines call the connections */
+    /**
+     * @param sort what the lines call the connections
+     */
     ConnectionLog(Logger log, String sort) {
         this.log = log;
         this.sort = sort;
--- a/src/main/java/rockshift/cluster/CutOffWatch.java
+++ b/src/main/java/rockshift/cluster/CutOffWatch.java
@@ -2,7 +2,10 @@
 
 import java.util.function.LongConsumer;
 
-/** Tells when what a subscriber holds has become older than is tolerated, and when it is up to date again. */
+/**
+ * Tells when what a subscriber holds has become older than is tolerated, and when it is up to date
+ * again.
+ */
 final class CutOffWatch {
     private final long tolerated;
     private final long startedAt;
@@ -26,7 +29,9 @@
         this.back = back;
     }
 
-    /** @param freshAt when what is held was the newest; the lowest long if it never was */
+    /**
+     * @param freshAt when what is held was the newest; the lowest long if it never was
+     */
     void look(long freshAt, long nowMs) {
         long since = Math.max(freshAt, startedAt);
         boolean old = nowMs - since > tolerated;
--- a/src/main/java/rockshift/cluster/Disk.java
+++ b/src/main/java/rockshift/cluster/Disk.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * One folder of files. What was not synced may be gone, in part or whole, after a crash; a rename is whole or
- * not at all.
+ * One folder of files. What was not synced may be gone, in part or whole, after a crash; a rename
+ * is whole or not at all.
  */
 public interface Disk {
     List<String> list() throws IOException;
@@ -13,7 +13,8 @@
     byte[] read(String name) throws IOException;
 
     /**
-     * Adds bytes to the end of a file, making it if it is not there; answers its size by what the disk says.
+     * Adds bytes to the end of a file, making it if it is not there; answers its size by what the
+     * disk says.
      */
     long append(String name, byte[] bytes) throws IOException;
 
--- a/src/main/java/rockshift/cluster/DistributionClient.java
+++ b/src/main/java/rockshift/cluster/DistributionClient.java
@@ -15,9 +15,9 @@
 import rockshift.distribution.Update;
 
 /**
- * A subscriber on sockets: it keeps what concerns a governor up to date and hands it to a listener. Any
- * number of clients share the two threads of one {@link DistributionReactor}. Each decision is the {@link
- * Subscriber}'s; its steps run one at a time.
+ * A subscriber on sockets: it keeps what concerns a governor up to date and hands it to a listener.
+ * Any number of clients share the two threads of one {@link DistributionReactor}. Each decision is
+ * the {@link Subscriber}'s; its steps run one at a time.
  */
 public final class DistributionClient implements AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -36,9 +36,14 @@
      * @param name by which publishers know it; no two clients have the same
      * @param upstreams relays or members, in the order in which they are tried
      */
-    public DistributionClient(DistributionReactor reactor, String name, List<InetSocketAddress> upstreams,
+    public DistributionClient(
+            DistributionReactor reactor,
+            String name,
+            List<InetSocketAddress> upstreams,
             Scope scope,
-            Limits limits, RandomGenerator random, DistributionListener listener) {
+            Limits limits,
+            RandomGenerator random,
+            DistributionListener listener) {
         this.reactor = reactor;
         this.listener = listener;
         port = new UpstreamPort(reactor, upstreams, new PortOwner());
@@ -72,7 +77,10 @@
         subscriber.scope(scope, now());
     }
 
-    /** Follows another cluster from now on, as staff decided; what is held stays until its first snapshot. */
+    /**
+     * Follows another cluster from now on, as staff decided; what is held stays until its first
+     * snapshot.
+     */
     public synchronized void adopt(long cluster) {
         subscriber.adopt(cluster, now());
     }
@@ -102,7 +110,8 @@
     }
 
     /**
-     * What the listener was handed is in force; a listener's own thread must not wait for the client's steps.
+     * What the listener was handed is in force; a listener's own thread must not wait for the
+     * client's steps.
      */
     private void inForce(Revision revision) {
         if (Thread.holdsLock(this)) {
--- a/src/main/java/rockshift/cluster/DistributionCodec.java
+++ b/src/main/java/rockshift/cluster/DistributionCodec.java
@@ -15,19 +15,27 @@
 import rockshift.distribution.Update;
 
 /**
- * Messages of the distribution as bytes: one CBOR array each, its kind first, told in docs/raft.md. A reader
- * takes exactly what a writer gave. What is missing, follows, has the wrong type or goes beyond a bound is an
- * error that names the field.
+ * Messages of the distribution as bytes: one CBOR array each, its kind first, told in docs/raft.md.
+ * A reader takes exactly what a writer gave. What is missing, follows, has the wrong type or goes
+ * beyond a bound is an error that names the field.
  */
 final class DistributionCodec {
     private static final Limits.Sizes SIZES = Limits.standard().sizes();
+
     /** Characters of the longest key, and of what a refusal says. */
     private static final int LONGEST_KEY = 512;
+
     private static final int LONGEST_PLACE = 500;
 
     /** The kinds of messages, in the order of their numbers on the wire. */
     private enum Kind {
-        SUBSCRIBE, ACKNOWLEDGE, SNAPSHOT_PART, DIFFERENCE, HEARTBEAT, NOTICE, REJECTED
+        SUBSCRIBE,
+        ACKNOWLEDGE,
+        SNAPSHOT_PART,
+        DIFFERENCE,
+        HEARTBEAT,
+        NOTICE,
+        REJECTED
     }
 
     private DistributionCodec() {}
@@ -48,7 +56,9 @@
         } else if (message instanceof DistributionMessage.Notice notice) {
             head(out, Kind.NOTICE, notice).text(notice.reason().code()).text(place(notice.place()));
         } else if (message instanceof DistributionMessage.Rejected rejected) {
-            head(out, Kind.REJECTED, rejected).text(rejected.reason().code()).text(place(rejected.place()))
+            head(out, Kind.REJECTED, rejected)
+                    .text(rejected.reason().code())
+                    .text(place(rejected.place()))
                     .add(rejected.retryAfterMillis());
         }
         out.endArray();
@@ -64,22 +74,31 @@
         return place.length() <= LONGEST_PLACE ? place : place.substring(0, LONGEST_PLACE);
     }
 
-    private static void write(CborWriter out, DistributionMessage.Subscribe message) throws IOException {
+    private static void write(CborWriter out, DistributionMessage.Subscribe message)
+            throws IOException {
         head(out, Kind.SUBSCRIBE, message).text(message.subscriber());
         write(out, message.scope());
         write(out, message.held());
         out.add(message.sentMillis());
     }
 
-    private static void write(CborWriter out, DistributionMessage.Acknowledge message) throws IOException {
+    private static void write(CborWriter out, DistributionMessage.Acknowledge message)
+            throws IOException {
         head(out, Kind.ACKNOWLEDGE, message);
         write(out, message.inForce());
         Summary summary = message.summary();
-        out.add(message.snapshotParts(), summary.lowestRevision(), summary.subscribers(), summary.behind(),
-                summary.unreachable(), summary.fingerprint(), message.sentMillis());
+        out.add(
+                message.snapshotParts(),
+                summary.lowestRevision(),
+                summary.subscribers(),
+                summary.behind(),
+                summary.unreachable(),
+                summary.fingerprint(),
+                message.sentMillis());
     }
 
-    private static void write(CborWriter out, DistributionMessage.SnapshotPart message) throws IOException {
+    private static void write(CborWriter out, DistributionMessage.SnapshotPart message)
+            throws IOException {
         head(out, Kind.SNAPSHOT_PART, message);
         write(out, message.revision());
         out.add(message.part(), message.parts(), message.digest(), message.items().size());
@@ -88,7 +107,8 @@
         }
     }
 
-    private static void write(CborWriter out, DistributionMessage.Difference message) throws IOException {
+    private static void write(CborWriter out, DistributionMessage.Difference message)
+            throws IOException {
         head(out, Kind.DIFFERENCE, message);
         write(out, message.from());
         write(out, message.to());
@@ -99,7 +119,8 @@
         }
     }
 
-    private static void write(CborWriter out, DistributionMessage.Heartbeat message) throws IOException {
+    private static void write(CborWriter out, DistributionMessage.Heartbeat message)
+            throws IOException {
         head(out, Kind.HEARTBEAT, message);
         write(out, message.current());
         out.add(message.digest(), message.staleMillis(), message.echoMillis());
@@ -131,24 +152,41 @@
         in.at("message").startArray();
         Kind kind = in.at("kind").oneOf(Kind.values());
         long epoch = in.at("scopeEpoch").number(0, Long.MAX_VALUE);
-        DistributionMessage message = switch (kind) {
-            case SUBSCRIBE -> new DistributionMessage.Subscribe(in.at("subscriber").text(SIZES.nameLength()),
-                    epoch, scope(in),
-                    revision(in, "held"), in.at("sentMillis").number());
-            case ACKNOWLEDGE -> acknowledge(in, epoch);
-            case SNAPSHOT_PART -> snapshotPart(in, epoch);
-            case DIFFERENCE ->
-                    new DistributionMessage.Difference(epoch, revision(in, "from"), revision(in, "to"),
-                            in.at("digest").number(), updates(in));
-            case HEARTBEAT -> new DistributionMessage.Heartbeat(epoch, revision(in, "current"),
-                    in.at("digest").number(),
-                    count(in, "staleMillis"), in.at("echoMillis").number());
-            case NOTICE ->
-                    new DistributionMessage.Notice(epoch, reason(in), in.at("place").text(LONGEST_PLACE));
-            case REJECTED ->
-                    new DistributionMessage.Rejected(epoch, reason(in), in.at("place").text(LONGEST_PLACE),
-                            count(in, "retryAfterMillis"));
-        };
+        DistributionMessage message =
+                switch (kind) {
+                    case SUBSCRIBE ->
+                            new DistributionMessage.Subscribe(
+                                    in.at("subscriber").text(SIZES.nameLength()),
+                                    epoch,
+                                    scope(in),
+                                    revision(in, "held"),
+                                    in.at("sentMillis").number());
+                    case ACKNOWLEDGE -> acknowledge(in, epoch);
+                    case SNAPSHOT_PART -> snapshotPart(in, epoch);
+                    case DIFFERENCE ->
+                            new DistributionMessage.Difference(
+                                    epoch,
+                                    revision(in, "from"),
+                                    revision(in, "to"),
+                                    in.at("digest").number(),
+                                    updates(in));
+                    case HEARTBEAT ->
+                            new DistributionMessage.Heartbeat(
+                                    epoch,
+                                    revision(in, "current"),
+                                    in.at("digest").number(),
+                                    count(in, "staleMillis"),
+                                    in.at("echoMillis").number());
+                    case NOTICE ->
+                            new DistributionMessage.Notice(
+                                    epoch, reason(in), in.at("place").text(LONGEST_PLACE));
+                    case REJECTED ->
+                            new DistributionMessage.Rejected(
+                                    epoch,
+                                    reason(in),
+                                    in.at("place").text(LONGEST_PLACE),
+                                    count(in, "retryAfterMillis"));
+                };
         in.at("message").end();
         return message;
     }
@@ -164,11 +202,15 @@
     private static DistributionMessage acknowledge(CborReader in, long epoch) throws IOException {
         Revision inForce = revision(in, "inForce");
         int snapshotParts = whole(in, "snapshotParts");
-        Summary summary = new Summary(count(in, "summary.lowestRevision"), whole(in, "summary.subscribers"),
-                whole(in, "summary.behind"), whole(in, "summary.unreachable"),
-                in.at("summary.fingerprint").number());
-        return new DistributionMessage.Acknowledge(epoch, inForce, snapshotParts, summary,
-                in.at("sentMillis").number());
+        Summary summary =
+                new Summary(
+                        count(in, "summary.lowestRevision"),
+                        whole(in, "summary.subscribers"),
+                        whole(in, "summary.behind"),
+                        whole(in, "summary.unreachable"),
+                        in.at("summary.fingerprint").number());
+        return new DistributionMessage.Acknowledge(
+                epoch, inForce, snapshotParts, summary, in.at("sentMillis").number());
     }
 
     private static DistributionMessage snapshotPart(CborReader in, long epoch) throws IOException {
@@ -194,7 +236,8 @@
     }
 
     private static Item item(CborReader in, String list) throws IOException {
-        return new Item(in.at(list + ".key").text(LONGEST_KEY),
+        return new Item(
+                in.at(list + ".key").text(LONGEST_KEY),
                 in.at(list + ".service").text(SIZES.nameLength()),
                 in.at(list + ".zone").text(SIZES.nameLength()),
                 in.at(list + ".value").bytes(SIZES.itemBytes()));
--- a/src/main/java/rockshift/cluster/DistributionListener.java
+++ b/src/main/java/rockshift/cluster/DistributionListener.java
@@ -7,9 +7,9 @@
 import rockshift.distribution.Update;
 
 /**
- * Hears what a {@link DistributionClient} holds. Calls come one at a time, on a thread that carries other
- * clients as well: a listener must not wait. It runs {@code inForce}, on any thread, once what it was told
- * has taken effect.
+ * Hears what a {@link DistributionClient} holds. Calls come one at a time, on a thread that carries
+ * other clients as well: a listener must not wait. It runs {@code inForce}, on any thread, once
+ * what it was told has taken effect.
  */
 public interface DistributionListener {
     /** A whole state takes the place of what was held. */
