--- a/src/main/java/rockshift/cluster/DistributionReactor.java
+++ b/src/main/java/rockshift/cluster/DistributionReactor.java
@@ -23,15 +23,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The threads of distribution in a process: one for all connections and one for all timers, however many
- * clients and relays share it. It decides nothing and knows no messages.
+ * The threads of distribution in a process: one for all connections and one for all timers, however
+ * many clients and relays share it. It decides nothing and knows no messages.
  */
 public final class DistributionReactor implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionReactor.class);
+
     /** Bytes read from one connection before the others have their turn. */
     private static final int READ_BUFFER = 64 << 10;
+
     /** Connections that may wait to be taken: all subscribers dialling at once. */
     private static final int BACKLOG = 1_024;
+
     private static final int DIAL_TIMEOUT_MS = 1_000;
     private static final int SELECT_INTERVAL_MS = 250;
     private static final int FAREWELL_MS = 300;
@@ -50,16 +53,30 @@
     }
 
     public DistributionReactor() {
-        IOReactorConfig oneThread = IOReactorConfig.custom().setIoThreadCount(1).setBacklogSize(BACKLOG)
-                .setSoReuseAddress(true).setTcpNoDelay(true)
-                .setSelectInterval(TimeValue.ofMilliseconds(SELECT_INTERVAL_MS)).build();
-        reactor = new DefaultListeningIOReactor(
-                (session, factory) -> ((ConnectionFactory) factory).create(session, readBuffer), oneThread,
-                daemons("distribution-io"), daemons("distribution-listener"), null,
-                failure -> LOG.error("failure of the distribution's connections", failure), null,
-                session -> session.close(CloseMode.IMMEDIATE));
+        IOReactorConfig oneThread =
+                IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setBacklogSize(BACKLOG)
+                        .setSoReuseAddress(true)
+                        .setTcpNoDelay(true)
+                        .setSelectInterval(TimeValue.ofMilliseconds(SELECT_INTERVAL_MS))
+                        .build();
+        reactor =
+                new DefaultListeningIOReactor(
+                        (session, factory) ->
+                                ((ConnectionFactory) factory).create(session, readBuffer),
+                        oneThread,
+                        daemons("distribution-io"),
+                        daemons("distribution-listener"),
+                        null,
+                        failure -> LOG.error("failure of the distribution's connections", failure),
+                        null,
+                        session -> session.close(CloseMode.IMMEDIATE));
         reactor.start();
-        timer.scheduleWithFixedDelay(() -> ticking.forEach(DistributionReactor::guarded), TICK_MS, TICK_MS,
+        timer.scheduleWithFixedDelay(
+                () -> ticking.forEach(DistributionReactor::guarded),
+                TICK_MS,
+                TICK_MS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -75,9 +92,11 @@
     int listen(InetSocketAddress address, ConnectionFactory factory)
             throws IOException, InterruptedException {
         try {
-            return ((InetSocketAddress) reactor.listen(address, factory, null).get().getAddress()).getPort();
+            return ((InetSocketAddress) reactor.listen(address, factory, null).get().getAddress())
+                    .getPort();
         } catch (ExecutionException failure) {
-            throw new IOException("cannot listen on " + address + ": " + failure.getCause().getMessage(),
+            throw new IOException(
+                    "cannot listen on " + address + ": " + failure.getCause().getMessage(),
                     failure.getCause());
         }
     }
@@ -90,8 +109,13 @@
 
     /** Dials an address; a connection that is reached tells by itself. */
     void dial(InetSocketAddress address, ConnectionFactory factory, DialResult result) {
-        reactor.connect(new HttpHost(address.getHostString(), address.getPort()), address, null,
-                Timeout.ofMilliseconds(DIAL_TIMEOUT_MS), factory, new FutureCallback<>() {
+        reactor.connect(
+                new HttpHost(address.getHostString(), address.getPort()),
+                address,
+                null,
+                Timeout.ofMilliseconds(DIAL_TIMEOUT_MS),
+                factory,
+                new FutureCallback<>() {
                     @Override
                     public void completed(IOSession session) {
                         // The connection itself says that it is connected.
@@ -110,8 +134,8 @@
     }
 
     /**
-     * Has a task run every 50 ms on the timer's thread; a failure is logged and the next run comes all the
-     * same.
+     * Has a task run every 50 ms on the timer's thread; a failure is logged and the next run comes
+     * all the same.
      */
     void tick(Runnable task) {
         ticking.add(task);
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -26,18 +26,22 @@
 import rockshift.raft.Raft;
 
 /**
- * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a thread of its
- * own, so that the agreement waits for none of it. The member's thread hands in what is agreed; subscribers'
- * messages come from the connections.
+ * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a
+ * thread of its own, so that the agreement waits for none of it. The member's thread hands in what
+ * is agreed; subscribers' messages come from the connections.
  */
 final class DistributionService implements SubscriberPort.Owner, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
+
     /**
-     * Changes that may wait to be published; beyond them the whole state is handed over once there is room.
+     * Changes that may wait to be published; beyond them the whole state is handed over once there
+     * is room.
      */
     private static final int MOST_CHANGES_WAITING = 10_000;
+
     /** Ms between two looks at what is due, with subscribers and without. */
     private static final long TICK_MS = 50;
+
     private static final long IDLE_TICK_MS = 1_000;
     private static final long JOIN_MS = 500;
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -47,8 +51,10 @@
     private final ConfigurationStore store;
     private final Publisher publisher;
     private boolean changed;
+
     /** Steps of the port are bounded there, changes of the member by {@link #changesWaiting}. */
     private final LinkedBlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
+
     private final AtomicInteger changesWaiting = new AtomicInteger();
     private final Thread thread = new Thread(this::work, "distribution");
     private volatile boolean closed;
@@ -108,7 +114,8 @@
     }
 
     /**
-     * To be called again and again: hands over what is agreed where it could not be told change by change.
+     * To be called again and again: hands over what is agreed where it could not be told change by
+     * change.
      */
     void tend(long cluster, AgreedState agreed, Raft raft) {
         if (cluster != handedOverAt.cluster() || behind && changesWaiting.get() == 0) {
@@ -167,16 +174,19 @@
 
     private void handOver(StoreStep step) {
         changesWaiting.incrementAndGet();
-        steps.add(() -> {
-            changesWaiting.decrementAndGet();
-            try {
-                step.run();
-                changed = true;
-            } catch (Refusal refused) {
-                LOG.error("what was agreed can't be published: {} {}", refused.reason().code(),
-                        refused.place());
-            }
-        });
+        steps.add(
+                () -> {
+                    changesWaiting.decrementAndGet();
+                    try {
+                        step.run();
+                        changed = true;
+                    } catch (Refusal refused) {
+                        LOG.error(
+                                "what was agreed can't be published: {} {}",
+                                refused.reason().code(),
+                                refused.place());
+                    }
+                });
     }
 
     // ---- the publisher's thread -----------------------------------------------------------------
@@ -185,8 +195,10 @@
         List<Runnable> batch = new ArrayList<>();
         while (!closed) {
             try {
-                Runnable first = steps.poll(publisher.connections() > 0 ? TICK_MS : IDLE_TICK_MS,
-                        TimeUnit.MILLISECONDS);
+                Runnable first =
+                        steps.poll(
+                                publisher.connections() > 0 ? TICK_MS : IDLE_TICK_MS,
+                                TimeUnit.MILLISECONDS);
                 // Read before the queue: what was agreed by then is in the queue.
                 long fresh = freshAt;
                 if (first != null) {
@@ -216,7 +228,9 @@
             publisher.freshAt(fresh);
         }
         publisher.tick(now());
-        standing = new Standing(publisher.connections(), store.current().number(), publisher.summary());
+        standing =
+                new Standing(
+                        publisher.connections(), store.current().number(), publisher.summary());
     }
 
     private void guarded(Runnable step) {
@@ -229,10 +243,11 @@
 
     @Override
     public void execute(Runnable step) {
-        steps.add(() -> {
-            flush();
-            step.run();
-        });
+        steps.add(
+                () -> {
+                    flush();
+                    step.run();
+                });
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/DistributionSettings.java
+++ b/src/main/java/rockshift/cluster/DistributionSettings.java
@@ -10,8 +10,8 @@
 import rockshift.operator.Section;
 
 /**
- * What a governor or relay is told in the block {@code distribution} of the operator's file. It is what one
- * reading found and never changes.
+ * What a governor or relay is told in the block {@code distribution} of the operator's file. It is
+ * what one reading found and never changes.
  *
  * @param name by which publishers know it; each governor and relay has its own
  * @param upstreams by label, in the order in which they are tried: relays, or members
@@ -19,11 +19,15 @@
  * @param relay what a relay serves; null for a governor
  * @param limits bounds and intervals
  */
-public record DistributionSettings(String name, Map<String, InetSocketAddress> upstreams, Scope scope,
+public record DistributionSettings(
+        String name,
+        Map<String, InetSocketAddress> upstreams,
+        Scope scope,
         RelaySettings relay,
         Limits limits) {
     /** Subscribers that a publisher serves if nothing is told, and at most. */
     static final int USUAL_SUBSCRIBERS = 1_024;
+
     static final int MOST_SUBSCRIBERS = 65_536;
     private static final int LONGEST_NAME = Limits.standard().sizes().nameLength();
 
@@ -59,8 +63,11 @@
     }
 
     private static RelaySettings relay(Section block) throws InvalidFileException {
-        return block == null ? null : new RelaySettings(block.address("listen", null),
-                block.whole("subscribers", USUAL_SUBSCRIBERS, 1, MOST_SUBSCRIBERS));
+        return block == null
+                ? null
+                : new RelaySettings(
+                        block.address("listen", null),
+                        block.whole("subscribers", USUAL_SUBSCRIBERS, 1, MOST_SUBSCRIBERS));
     }
 
     private static Scope scope(Section distribution, boolean relays) throws InvalidFileException {
@@ -92,8 +99,15 @@
     static Limits limits(int subscribers) {
         Limits usual = Limits.standard();
         Limits.Admission admission = usual.admission();
-        return new Limits(usual.timing(), usual.sizes(), new Limits.Admission(subscribers,
-                admission.subscriptionsEachSecond(), admission.snapshotsAtOnce(), admission.window(),
-                admission.snapshotWindow(), admission.mostRetryMillis()));
+        return new Limits(
+                usual.timing(),
+                usual.sizes(),
+                new Limits.Admission(
+                        subscribers,
+                        admission.subscriptionsEachSecond(),
+                        admission.snapshotsAtOnce(),
+                        admission.window(),
+                        admission.snapshotWindow(),
+                        admission.mostRetryMillis()));
     }
 }
--- a/src/main/java/rockshift/cluster/DurableLog.java
+++ b/src/main/java/rockshift/cluster/DurableLog.java
@@ -16,20 +16,25 @@
 import rockshift.raft.Snapshot;
 
 /**
- * What a member must not forget, on its disk: who it is, its ballot, its entries in segments, and two
- * generations of snapshots. A save is one batch and one sync. After a crash a torn tail is cut; damage to
- * what was durable is refused and named, never passed over. The format is told in docs/raft.md. It must be
- * used by one thread.
+ * What a member must not forget, on its disk: who it is, its ballot, its entries in segments, and
+ * two generations of snapshots. A save is one batch and one sync. After a crash a torn tail is cut;
+ * damage to what was durable is refused and named, never passed over. The format is told in
+ * docs/raft.md. It must be used by one thread.
  */
 public final class DurableLog {
-    /** Bytes after which a new segment begins: small enough to read whole, large enough to be rare. */
+    /**
+     * Bytes after which a new segment begins: small enough to read whole, large enough to be rare.
+     */
     private static final int SEGMENT = 4 << 20;
+
     private static final int MAGIC = 0x52534c47;
     private static final int FORMAT = 1;
     private static final int HEADER = 28;
     private static final int FRAME = 9;
+
     /** Bytes of the longest record: a few of the largest changes. */
     private static final int LONGEST = 32 << 20;
+
     private static final byte BATCH = 1;
     private static final byte BALLOT = 2;
     private static final byte ENTRY = 3;
@@ -40,18 +45,22 @@
     private static final String ASIDE = ".new";
 
     /** What a folder holds. */
-    public record Recovered(long id, long cluster, Ballot ballot, Snapshot snapshot, List<Entry> entries) {}
+    public record Recovered(
+            long id, long cluster, Ballot ballot, Snapshot snapshot, List<Entry> entries) {}
 
     private final Disk disk;
     private final Consumer<String> log;
     private long id;
     private long cluster;
     private Ballot ballot = Ballot.NONE;
+
     /** By number: the highest index that a segment holds; the last one is written to. */
     private final TreeMap<Long, Long> segments = new TreeMap<>();
+
     private final List<Long> snapshots = new ArrayList<>();
     private long size;
     private boolean torn;
+
     /** Up to where a snapshot from elsewhere has replaced entries: it must be there. */
     private long voided;
 
@@ -81,8 +90,8 @@
         }
         if (!names.contains(IDENTITY_FILE)) {
             if (!names.isEmpty()) {
-                throw new UnrecoverableStorageException(names.get(0), 0,
-                        "no identity beside it: a folder of something else");
+                throw new UnrecoverableStorageException(
+                        names.get(0), 0, "no identity beside it: a folder of something else");
             }
             id = freshId;
             writeIdentity();
@@ -93,8 +102,8 @@
         }
         long[] told = Codec.numbers(3, bytes, FRAME, bytes.length - FRAME);
         if (told[0] != FORMAT) {
-            throw new UnrecoverableStorageException(IDENTITY_FILE, 0,
-                    "format " + told[0] + ", this is " + FORMAT);
+            throw new UnrecoverableStorageException(
+                    IDENTITY_FILE, 0, "format " + told[0] + ", this is " + FORMAT);
         }
         id = told[1];
         cluster = told[2];
@@ -103,16 +112,21 @@
         Snapshot snapshot = readSnapshot(names);
         long base = snapshot.index();
         if (voided > base) {
-            throw new UnrecoverableStorageException(snapshotFile(voided), 0,
-                    "missing or damaged, and nothing else stands for it");
+            throw new UnrecoverableStorageException(
+                    snapshotFile(voided), 0, "missing or damaged, and nothing else stands for it");
         }
         if (!entries.isEmpty() && entries.get(0).index() > base + 1) {
-            throw new UnrecoverableStorageException(segment(segments.firstKey()), HEADER,
-                    "begins with entry " + entries.get(0).index()
-                            + ", the snapshot ends with " + base);
+            throw new UnrecoverableStorageException(
+                    segment(segments.firstKey()),
+                    HEADER,
+                    "begins with entry "
+                            + entries.get(0).index()
+                            + ", the snapshot ends with "
+                            + base);
         }
         if (!entries.isEmpty() && !joins(entries, snapshot)) {
-            // The crash came when a snapshot from elsewhere was kept and its entries were not yet void.
+            // The crash came when a snapshot from elsewhere was kept and its entries were not yet
+            // void.
             entries.clear();
             save(ballot, 0, List.of(), snapshot);
         }
@@ -136,8 +150,8 @@
         long expected = segments.isEmpty() ? 0 : segments.firstKey();
         for (long number : List.copyOf(segments.keySet())) {
             if (number != expected++) {
-                throw new UnrecoverableStorageException(segment(number), 0,
-                        "segment " + (expected - 1) + " before it is missing");
+                throw new UnrecoverableStorageException(
+                        segment(number), 0, "segment " + (expected - 1) + " before it is missing");
             }
             boolean last = number == segments.lastKey();
             byte[] bytes = disk.read(segment(number));
@@ -159,12 +173,14 @@
             throws IOException {
         String name = segment(number);
         ByteBuffer head = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEADER || head.getInt(0) != MAGIC || head.getLong(8) != number
+        if (bytes.length < HEADER
+                || head.getInt(0) != MAGIC
+                || head.getLong(8) != number
                 || head.getInt(HEADER - 4) != Checksum.of(bytes, 0, HEADER - 4)) {
             throw new UnrecoverableStorageException(name, 0, "its header is damaged");
         } else if (head.getInt(4) != FORMAT) {
-            throw new UnrecoverableStorageException(name, 4,
-                    "format " + head.getInt(4) + ", this is " + FORMAT);
+            throw new UnrecoverableStorageException(
+                    name, 4, "format " + head.getInt(4) + ", this is " + FORMAT);
         } else if (head.getLong(16) != id) {
             throw new UnrecoverableStorageException(name, 16, "a segment of another member");
         }
@@ -172,12 +188,16 @@
         while (at < bytes.length) {
             if (!sound(bytes, at)) {
                 if (!last) {
-                    throw new UnrecoverableStorageException(name, at,
-                            "damaged, and more follows in the next segment");
+                    throw new UnrecoverableStorageException(
+                            name, at, "damaged, and more follows in the next segment");
                 }
                 refuseLaterProof(name, bytes, at);
                 log.accept(
-                        name + ": " + (bytes.length - at) + " bytes of an unfinished save cut at byte " + at);
+                        name
+                                + ": "
+                                + (bytes.length - at)
+                                + " bytes of an unfinished save cut at byte "
+                                + at);
                 disk.cut(name, at);
                 break;
             }
@@ -199,36 +219,44 @@
                     segments.merge(number, voided, Math::max);
                 }
                 case BATCH -> {}
-                default -> throw new UnrecoverableStorageException(name, at,
-                        "a record of unknown kind " + bytes[at + 8]);
+                default ->
+                        throw new UnrecoverableStorageException(
+                                name, at, "a record of unknown kind " + bytes[at + 8]);
             }
             at = end(bytes, at);
         }
         return at;
     }
 
-    private static void take(String name, int at, List<Entry> entries, Entry entry) throws IOException {
+    private static void take(String name, int at, List<Entry> entries, Entry entry)
+            throws IOException {
         if (!entries.isEmpty()) {
             long first = entries.get(0).index();
             long last = entries.get(entries.size() - 1).index();
             if (entry.index() > last + 1) {
-                throw new UnrecoverableStorageException(name, at,
-                        "entry " + entry.index() + " follows " + last);
+                throw new UnrecoverableStorageException(
+                        name, at, "entry " + entry.index() + " follows " + last);
             }
             entries.subList((int) Math.max(0, entry.index() - first), entries.size()).clear();
         }
         entries.add(entry);
     }
 
-    /** A batch that was begun when this place was durable already proves that the place was damaged since. */
+    /**
+     * A batch that was begun when this place was durable already proves that the place was damaged
+     * since.
+     */
     private static void refuseLaterProof(String name, byte[] bytes, int at) throws IOException {
         for (int later = at + 1; later + FRAME < bytes.length; later++) {
             if (bytes[later + 8] == BATCH && valid(bytes, later, BATCH)) {
-                long durable = Codec.numbers(1, bytes, later + FRAME, end(bytes, later) - later - FRAME)[0];
+                long durable =
+                        Codec.numbers(1, bytes, later + FRAME, end(bytes, later) - later - FRAME)[
+                                0];
                 if (durable > at) {
-                    throw new UnrecoverableStorageException(name, at,
-                            "damaged, though it was durable before byte " + later
-                                    + " was written");
+                    throw new UnrecoverableStorageException(
+                            name,
+                            at,
+                            "damaged, though it was durable before byte " + later + " was written");
                 }
             }
         }
@@ -244,7 +272,9 @@
         }
         ByteBuffer frame = ByteBuffer.wrap(bytes);
         int length = frame.getInt(at);
-        return length >= 0 && length <= LONGEST && length <= bytes.length - at - FRAME
+        return length >= 0
+                && length <= LONGEST
+                && length <= bytes.length - at - FRAME
                 && frame.getInt(at + 4) == Checksum.of(bytes, at + 8, length + 1);
     }
 
@@ -268,7 +298,8 @@
                 found = found == null ? snapshot : found;
                 snapshots.add(0, snapshot.index());
             } catch (IOException wrong) {
-                log.accept(name + ": " + wrong.getMessage() + "; set aside, the one before is used");
+                log.accept(
+                        name + ": " + wrong.getMessage() + "; set aside, the one before is used");
                 disk.rename(name, name + ".damaged");
             }
         }
@@ -281,7 +312,8 @@
         byte[] body = new byte[payload.length + 1];
         body[0] = kind;
         System.arraycopy(payload, 0, body, 1, payload.length);
-        into.writeBytes(ByteBuffer.allocate(8).putInt(payload.length).putInt(Checksum.of(body)).array());
+        into.writeBytes(
+                ByteBuffer.allocate(8).putInt(payload.length).putInt(Checksum.of(body)).array());
         into.writeBytes(body);
     }
 
@@ -307,8 +339,8 @@
     }
 
     /**
-     * Becomes part of a cluster: as one of its founders, or (without members) as one that will be brought up
-     * to date.
+     * Becomes part of a cluster: as one of its founders, or (without members) as one that will be
+     * brought up to date.
      */
     public Snapshot found(long newCluster, List<Member> founders) throws IOException {
         Snapshot first = new Snapshot(0, 0, new Membership(founders), new byte[0]);
@@ -322,7 +354,11 @@
 
     private void roll(long number) throws IOException {
         ByteBuffer head =
-                ByteBuffer.allocate(HEADER).putInt(MAGIC).putInt(FORMAT).putLong(number).putLong(id);
+                ByteBuffer.allocate(HEADER)
+                        .putInt(MAGIC)
+                        .putInt(FORMAT)
+                        .putLong(number)
+                        .putLong(id);
         head.putInt(Checksum.of(head.array(), 0, HEADER - 4));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(head.array());
@@ -334,10 +370,11 @@
     }
 
     /**
-     * Makes one save durable, or fails and leaves what was durable as it was: the same save can be tried
-     * again.
+     * Makes one save durable, or fails and leaves what was durable as it was: the same save can be
+     * tried again.
      */
-    public void save(Ballot newBallot, long from, List<Entry> entries, Snapshot snapshot) throws IOException {
+    public void save(Ballot newBallot, long from, List<Entry> entries, Snapshot snapshot)
+            throws IOException {
         long number = segments.lastKey();
         String name = segment(number);
         if (torn) {
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -19,9 +19,10 @@
 import rockshift.raft.Timing;
 
 /**
- * One member put together: the protocol, the sessions, and who waits for what. It does no I/O, reads no clock
- * and starts no thread: it is used by one thread, which hands in the time first, then what came, and then has
- * it {@link #run}. The rehearsed world and the real one use this same class.
+ * One member put together: the protocol, the sessions, and who waits for what. It does no I/O,
+ * reads no clock and starts no thread: it is used by one thread, which hands in the time first,
+ * then what came, and then has it {@link #run}. The rehearsed world and the real one use this same
+ * class.
  */
 public final class Engine implements Effects {
     /** Requests that may wait for an answer: more are told to come again. */
@@ -51,8 +52,8 @@
     /**
      * What a request is told.
      *
-     * @param refused null, or why it had no effect; {@code unknown} where that can't be told: ask again, with
-     * the same serial
+     * @param refused null, or why it had no effect; {@code unknown} where that can't be told: ask
+     *     again, with the same serial
      * @param leader the address to ask, if another one leads
      */
     public record Answer(String refused, byte[] body, long index, String leader) {
@@ -72,13 +73,29 @@
     private boolean keeping;
     private long keptAt;
 
-    public Engine(DurableLog.Recovered disk, Timing timing, Rules rules, RandomGenerator chance, long now,
-            Sessions.Machine machine, Compaction compaction, Environment environment) throws IOException {
+    public Engine(
+            DurableLog.Recovered disk,
+            Timing timing,
+            Rules rules,
+            RandomGenerator chance,
+            long now,
+            Sessions.Machine machine,
+            Compaction compaction,
+            Environment environment)
+            throws IOException {
         this.compaction = compaction;
         this.environment = environment;
         sessions = new Sessions(rules, machine);
-        raft = new Raft(disk.id(), timing, rules, chance, now, disk.ballot(), disk.snapshot(),
-                disk.entries());
+        raft =
+                new Raft(
+                        disk.id(),
+                        timing,
+                        rules,
+                        chance,
+                        now,
+                        disk.ballot(),
+                        disk.snapshot(),
+                        disk.entries());
         keptAt = disk.snapshot().index();
         if (disk.snapshot().data().length > 0) {
             Codec.restore(disk.snapshot().data(), sessions);
@@ -174,7 +191,8 @@
     private void refuse(long request, Refusal refusal) {
         Member leader = raft.members().get(raft.leader());
         boolean elsewhere = refusal == Refusal.NOT_LEADER && leader != null;
-        environment.answer(request,
+        environment.answer(
+                request,
                 new Answer(refusal.code(), new byte[0], 0, elsewhere ? leader.address() : null));
     }
 
@@ -186,17 +204,27 @@
             continue;
         }
         if (!raft.leads() && !proposals.isEmpty()) {
-            // Another leads now: whether these will be agreed is not known here, and nobody is kept waiting
+            // Another leads now: whether these will be agreed is not known here, and nobody is kept
+            // waiting
             // for it.
             Member leader = raft.members().get(raft.leader());
-            proposals.values()
-                    .forEach(waiting -> environment.answer(waiting.request,
-                            new Answer(Answer.UNKNOWN, new byte[0],
-                                    0, leader == null ? null : leader.address())));
+            proposals
+                    .values()
+                    .forEach(
+                            waiting ->
+                                    environment.answer(
+                                            waiting.request,
+                                            new Answer(
+                                                    Answer.UNKNOWN,
+                                                    new byte[0],
+                                                    0,
+                                                    leader == null ? null : leader.address())));
             proposals.clear();
         }
-        boolean much = raft.applied() - keptAt >= compaction.entries()
-                || raft.log().bytes() > compaction.bytes() && raft.applied() > raft.snapshot().index();
+        boolean much =
+                raft.applied() - keptAt >= compaction.entries()
+                        || raft.log().bytes() > compaction.bytes()
+                                && raft.applied() > raft.snapshot().index();
         if (much && !keeping) {
             compact();
         }
@@ -212,7 +240,8 @@
             byte[] image = Codec.image(sessions.sessions(), sessions.machine().image());
             keeping = true;
             keptAt = index;
-            environment.keep(new Snapshot(index, raft.log().term(index), raft.membersAt(index), image));
+            environment.keep(
+                    new Snapshot(index, raft.log().term(index), raft.membersAt(index), image));
             return true;
         } catch (IOException failure) {
             throw new IllegalStateException(failure);
@@ -220,7 +249,8 @@
     }
 
     @Override
-    public void save(long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+    public void save(
+            long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
         environment.save(ticket, ballot, from, entries, snapshot);
     }
 
@@ -236,9 +266,11 @@
             Map.Entry<Long, Waiting> first = proposals.pollFirstEntry();
             Waiting waiting = first.getValue();
             boolean same = first.getKey() == entry.index() && waiting.term == entry.term();
-            environment.answer(waiting.request, same
-                    ? new Answer(outcome.refused(), outcome.answer(), entry.index(), null)
-                    : new Answer(Answer.UNKNOWN, new byte[0], 0, null));
+            environment.answer(
+                    waiting.request,
+                    same
+                            ? new Answer(outcome.refused(), outcome.answer(), entry.index(), null)
+                            : new Answer(Answer.UNKNOWN, new byte[0], 0, null));
         }
         environment.applied(entry, outcome);
     }
@@ -257,7 +289,8 @@
 
     @Override
     public void readable(long token) {
-        environment.answer(token, new Answer(null, sessions.machine().image(), raft.applied(), null));
+        environment.answer(
+                token, new Answer(null, sessions.machine().image(), raft.applied(), null));
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/FileDisk.java
+++ b/src/main/java/rockshift/cluster/FileDisk.java
@@ -25,7 +25,9 @@
     public FileDisk(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
-        lock = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lock =
+                FileChannel.open(
+                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock held;
         try {
             held = lock.tryLock();
@@ -41,8 +43,10 @@
     @Override
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.map(file -> file.getFileName().toString()).filter(name -> !name.equals(LOCK))
-                    .sorted().toList();
+            return files.map(file -> file.getFileName().toString())
+                    .filter(name -> !name.equals(LOCK))
+                    .sorted()
+                    .toList();
         }
     }
 
@@ -54,8 +58,11 @@
     private FileChannel channel(String name) throws IOException {
         if (!name.equals(openName) || open == null || !open.isOpen()) {
             release();
-            open = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
-                    StandardOpenOption.APPEND);
+            open =
+                    FileChannel.open(
+                            folder.resolve(name),
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.APPEND);
             openName = name;
         }
         return open;
@@ -71,7 +78,7 @@
     @Override
     public long append(String name, byte[] bytes) throws IOException {
         FileChannel channel = channel(name);
-        for (ByteBuffer rest = ByteBuffer.wrap(bytes); rest.hasRemaining();) {
+        for (ByteBuffer rest = ByteBuffer.wrap(bytes); rest.hasRemaining(); ) {
             channel.write(rest);
         }
         return channel.size();
@@ -92,7 +99,8 @@
     @Override
     public void cut(String name, long size) throws IOException {
         release();
-        try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
             channel.truncate(size);
             channel.force(true);
         }
@@ -101,7 +109,10 @@
     @Override
     public void rename(String from, String to) throws IOException {
         release();
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(
+                folder.resolve(from),
+                folder.resolve(to),
+                StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         syncFolder();
     }
--- a/src/main/java/rockshift/cluster/FramedConnection.java
+++ b/src/main/java/rockshift/cluster/FramedConnection.java
@@ -12,13 +12,14 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection that carries {@link Frames} both ways. It owns the socket, the bytes that came and those
- * that wait to be sent, and why it ended: the first reason that is given counts. Events come on the reactor's
- * thread; {@link #send} and {@link #end} may be called from any.
+ * One connection that carries {@link Frames} both ways. It owns the socket, the bytes that came and
+ * those that wait to be sent, and why it ended: the first reason that is given counts. Events come
+ * on the reactor's thread; {@link #send} and {@link #end} may be called from any.
  */
 abstract class FramedConnection implements IOEventHandler {
     /** For how long the other side may read nothing while frames wait for it. */
     private static final long LONGEST_STALL = TimeUnit.SECONDS.toNanos(2);
+
     /** Ms in which a connection that ends must take what was sent before its end. */
     private static final int FAREWELL_MS = 500;
 
@@ -48,8 +49,8 @@
     }
 
     /**
-     * Takes a frame. A thrown {@link Frames.Broken} ends the connection with its code, another failure as
-     * malformed.
+     * Takes a frame. A thrown {@link Frames.Broken} ends the connection with its code, another
+     * failure as malformed.
      */
     abstract void take(Frames.Frame frame) throws IOException;
 
@@ -91,7 +92,8 @@
     private void takeAll(ByteBuffer piece) {
         try {
             frames.feed(piece);
-            for (Frames.Frame frame = frames.next(); frame != null && reason() == null;
+            for (Frames.Frame frame = frames.next();
+                    frame != null && reason() == null;
                     frame = frames.next()) {
                 take(frame);
             }
@@ -105,8 +107,8 @@
     /**
      * Sends a frame, from the caller's thread where nothing waits before it.
      *
-     * @return whether it was sent or waits; false where it was dropped, since too much waits already or the
-     * connection ends
+     * @return whether it was sent or waits; false where it was dropped, since too much waits
+     *     already or the connection ends
      */
     final boolean send(byte kind, byte[] payload) {
         ByteBuffer frame = ByteBuffer.wrap(Frames.frame(kind, payload));
@@ -178,7 +180,10 @@
         }
     }
 
-    /** Ends the connection once what was sent is written, or soon if the other side does not take it. */
+    /**
+     * Ends the connection once what was sent is written, or soon if the other side does not take
+     * it.
+     */
     final void endWhenSent(String why, String what) {
         if (!given(why, what)) {
             return;
@@ -224,7 +229,9 @@
         if (!(failure instanceof IOException)) {
             failed(failure);
         }
-        end(failure instanceof IOException ? "reset" : "failure", String.valueOf(failure.getMessage()));
+        end(
+                failure instanceof IOException ? "reset" : "failure",
+                String.valueOf(failure.getMessage()));
     }
 
     /** A fault of this program met while handling the connection. */
--- a/src/main/java/rockshift/cluster/Frames.java
+++ b/src/main/java/rockshift/cluster/Frames.java
@@ -7,23 +7,28 @@
 import rockshift.raft.Checksum;
 
 /**
- * What goes over a member's connections: a length, a checksum, a kind and a payload. Pieces are put together
- * here; what is too long, garbled or of an unknown version ends the connection before anything of it is used.
+ * What goes over a member's connections: a length, a checksum, a kind and a payload. Pieces are put
+ * together here; what is too long, garbled or of an unknown version ends the connection before
+ * anything of it is used.
  */
 final class Frames {
     /** Bytes of the longest frame: a message's entries or a snapshot's piece, and room. */
     static final int LONGEST = 1 << 20;
+
     /**
-     * Told by a member's hello. 2: changes may name a service and a zone, which members of version 1 refuse
-     * to apply.
+     * Told by a member's hello. 2: changes may name a service and a zone, which members of version
+     * 1 refuse to apply.
      */
     static final int VERSION = 2;
+
     static final byte HELLO = 1;
     static final byte MESSAGE = 2;
     static final byte CALL = 3;
     static final byte REPLY = 4;
+
     /** A message of the distribution between a publisher and its subscriber. */
     static final byte WATCH = 5;
+
     private static final int HEAD = 8;
 
     /** A frame that can't be used; the code is the reason that the log gives. */
@@ -40,6 +45,7 @@
     record Frame(byte kind, byte[] payload) {}
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+
     /** Bytes that an idle connection may keep room for. */
     private static final int KEPT = 4 << 10;
 
@@ -49,15 +55,19 @@
         byte[] body = new byte[payload.length + 1];
         body[0] = kind;
         System.arraycopy(payload, 0, body, 1, payload.length);
-        return ByteBuffer.allocate(HEAD + body.length).putInt(body.length)
-                .putInt(Checksum.of(body)).put(body).array();
+        return ByteBuffer.allocate(HEAD + body.length)
+                .putInt(body.length)
+                .putInt(Checksum.of(body))
+                .put(body)
+                .array();
     }
 
     /** Adds bytes that came. */
     void feed(ByteBuffer piece) {
         if (held.capacity() - held.limit() < piece.remaining()) {
             int needed = held.remaining() + piece.remaining();
-            ByteBuffer larger = ByteBuffer.allocate(Math.max(needed, Math.min(LONGEST + HEAD, 2 * needed)));
+            ByteBuffer larger =
+                    ByteBuffer.allocate(Math.max(needed, Math.min(LONGEST + HEAD, 2 * needed)));
             larger.put(held).flip();
             held = larger;
         }
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -4,42 +4,50 @@
 import rockshift.raft.Raft;
 
 /**
- * Tells up to when what a member has applied was the newest that was agreed. A leader that most answered
- * within an election time was the leader then; a follower is as fresh as its leader was when it last told how
- * far entries are agreed, once these are applied.
+ * Tells up to when what a member has applied was the newest that was agreed. A leader that most
+ * answered within an election time was the leader then; a follower is as fresh as its leader was
+ * when it last told how far entries are agreed, once these are applied.
  */
 final class Freshness {
     private static final int TENTHS_PER_MILLI = 10;
 
     private final long electionMs;
     private long freshAt = Long.MIN_VALUE;
+
     /**
-     * Up to where the leader said that entries are agreed, and when that came; 0 where nothing is waited for.
+     * Up to where the leader said that entries are agreed, and when that came; 0 where nothing is
+     * waited for.
      */
     private long announced;
+
     private long announcedAt;
 
-    /** @param election tenths of a ms */
+    /**
+     * @param election tenths of a ms
+     */
     Freshness(long election) {
         electionMs = election / TENTHS_PER_MILLI;
     }
 
     /** A message came to a member. */
     void heard(Message message, Raft raft, long nowMs) {
-        if (message instanceof Message.Append append && append.from() == raft.leader() && announced == 0) {
+        if (message instanceof Message.Append append
+                && append.from() == raft.leader()
+                && announced == 0) {
             announced = Math.max(1, append.commit());
             announcedAt = nowMs;
         }
     }
 
     /**
-     * Ms of the time up to which all that was agreed is known to be applied here; the lowest long if it never
-     * was.
+     * Ms of the time up to which all that was agreed is known to be applied here; the lowest long
+     * if it never was.
      */
     long freshAt(Raft raft, long nowMs) {
         if (raft.leads()) {
             announced = 0;
-            if (raft.inTouch() && raft.applied() == raft.commit()
+            if (raft.inTouch()
+                    && raft.applied() == raft.commit()
                     && raft.log().term(raft.commit()) == raft.term()) {
                 freshAt = nowMs - electionMs;
             }
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -22,27 +22,38 @@
 import rockshift.operator.Section;
 
 /**
- * A member's connections: a listener of its own, and one outgoing connection to each other member. It owns
- * the sockets and the bytes that wait for them. What does not fit is dropped, as the protocol bears any loss;
- * it must never wait for anyone.
+ * A member's connections: a listener of its own, and one outgoing connection to each other member.
+ * It owns the sockets and the bytes that wait for them. What does not fit is dropped, as the
+ * protocol bears any loss; it must never wait for anyone.
  */
 final class Links {
     private static final Logger LOG = LoggerFactory.getLogger(Links.class);
+
     /** Bytes read at a time, and that may wait for one connection: a flight of full messages. */
     private static final int PIECE = 64 << 10;
+
     private static final int UNSENT = 8 << 20;
+
     /**
-     * Connections taken of members and commands. Subscribers have a bound of their own, strangers that of
-     * both.
+     * Connections taken of members and commands. Subscribers have a bound of their own, strangers
+     * that of both.
      */
     private static final int MOST = 64;
+
     /** Connections that may wait to be taken: all subscribers dialling at once. */
     private static final int BACKLOG = 1_024;
-    /** Ms until a new connection must have said who it is, and until one that says nothing more is ended. */
+
+    /**
+     * Ms until a new connection must have said who it is, and until one that says nothing more is
+     * ended.
+     */
     private static final int TO_SPEAK = 2_000;
+
     private static final int IDLE = 60_000;
+
     /** Ms between two dials: it doubles from the first to the last, and half of it is chance. */
     private static final long FIRST_PAUSE = 20;
+
     private static final long LAST_PAUSE = 1_000;
     private static final int DIAL = 1_000;
     private static final int LOOK = 50;
@@ -83,15 +94,31 @@
         this.handler = handler;
         this.subscribers = subscribers;
         this.chance = chance;
-        IOReactorConfig one = IOReactorConfig.custom().setIoThreadCount(1).setBacklogSize(BACKLOG)
-                .setSoReuseAddress(true).setTcpNoDelay(true)
-                .setSelectInterval(TimeValue.ofMilliseconds(LOOK)).build();
-        reactor = new DefaultListeningIOReactor(
-                (session, attachment) -> new Link(session, attachment instanceof Dialled
-                        ? (Dialled) attachment : null),
-                one, null, null, null,
-                failure -> LOG.error("failure of the members' listener", failure), null, null,
-                session -> session.close(CloseMode.IMMEDIATE), null);
+        IOReactorConfig one =
+                IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setBacklogSize(BACKLOG)
+                        .setSoReuseAddress(true)
+                        .setTcpNoDelay(true)
+                        .setSelectInterval(TimeValue.ofMilliseconds(LOOK))
+                        .build();
+        reactor =
+                new DefaultListeningIOReactor(
+                        (session, attachment) ->
+                                new Link(
+                                        session,
+                                        attachment instanceof Dialled
+                                                ? (Dialled) attachment
+                                                : null),
+                        one,
+                        null,
+                        null,
+                        null,
+                        failure -> LOG.error("failure of the members' listener", failure),
+                        null,
+                        null,
+                        session -> session.close(CloseMode.IMMEDIATE),
+                        null);
     }
 
     int listen(InetSocketAddress address) throws IOException, InterruptedException {
@@ -131,8 +158,13 @@
 
     private void dial(String address, Dialled to) {
         InetSocketAddress remote = Section.socket(address);
-        reactor.connect(new HttpHost(remote.getHostString(), remote.getPort()), remote, null,
-                Timeout.ofMilliseconds(DIAL), to, new FutureCallback<>() {
+        reactor.connect(
+                new HttpHost(remote.getHostString(), remote.getPort()),
+                remote,
+                null,
+                Timeout.ofMilliseconds(DIAL),
+                to,
+                new FutureCallback<>() {
                     @Override
                     public void completed(IOSession session) {
                         to.dialling = false;
@@ -173,9 +205,14 @@
         }
     }
 
-    /** What a connection that was taken turned out to be, by its first frame; each has a bound of its own. */
+    /**
+     * What a connection that was taken turned out to be, by its first frame; each has a bound of
+     * its own.
+     */
     private enum Role {
-        STRANGER, MEMBER_OR_COMMAND, SUBSCRIBER
+        STRANGER,
+        MEMBER_OR_COMMAND,
+        SUBSCRIBER
     }
 
     /** Connections taken that are in a role. Used by the reactor's thread alone. */
@@ -235,7 +272,8 @@
         void take(Frames.Frame frame) throws IOException {
             if (role == Role.STRANGER) {
                 session().setSocketTimeout(Timeout.ofMilliseconds(IDLE));
-                if (!enter(frame.kind() == Frames.WATCH ? Role.SUBSCRIBER : Role.MEMBER_OR_COMMAND)) {
+                if (!enter(
+                        frame.kind() == Frames.WATCH ? Role.SUBSCRIBER : Role.MEMBER_OR_COMMAND)) {
                     return;
                 }
                 if (role == Role.SUBSCRIBER) {
@@ -262,7 +300,8 @@
                 }
                 case Frames.CALL -> handler.call(this, frame.payload());
                 case Frames.WATCH -> subscribers.received(this, frame.payload());
-                default -> throw new Frames.Broken("unknown-kind", "a frame of kind " + frame.kind());
+                default ->
+                        throw new Frames.Broken("unknown-kind", "a frame of kind " + frame.kind());
             }
         }
 
@@ -288,8 +327,11 @@
             if (role == Role.SUBSCRIBER) {
                 subscribers.ended(this);
             } else if (dialledAs != null || other != null || why != null && !why.equals("left")) {
-                LOG.info("closed member connection {}: {} {}", other == null ? from() : other.name(),
-                        why == null ? "stopping" : why, about());
+                LOG.info(
+                        "closed member connection {}: {} {}",
+                        other == null ? from() : other.name(),
+                        why == null ? "stopping" : why,
+                        about());
             }
         }
     }
--- a/src/main/java/rockshift/cluster/RelayProcess.java
+++ b/src/main/java/rockshift/cluster/RelayProcess.java
@@ -17,13 +17,15 @@
 import rockshift.distribution.Summary;
 
 /**
- * A relay on sockets: it subscribes upstream and serves subscribers of its own. Each decision is the {@link
- * Relay}'s; its steps run one at a time, on the threads of the reactor.
+ * A relay on sockets: it subscribes upstream and serves subscribers of its own. Each decision is
+ * the {@link Relay}'s; its steps run one at a time, on the threads of the reactor.
  */
 public final class RelayProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RelayProcess.class);
+
     /** Bytes that may wait for one subscriber: all that it need not have acknowledged. */
     private static final int MOST_UNSENT = 4 << 20;
+
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final DistributionSettings settings;
@@ -37,19 +39,39 @@
     private int port;
 
     /** A relay that holds nothing; {@link #start} has it begin. */
-    public RelayProcess(DistributionSettings settings, DistributionReactor reactor, RandomGenerator random) {
+    public RelayProcess(
+            DistributionSettings settings, DistributionReactor reactor, RandomGenerator random) {
         this.settings = settings;
         this.reactor = reactor;
-        upstream = new UpstreamPort(reactor, List.copyOf(settings.upstreams().values()), new UpstreamOwner());
+        upstream =
+                new UpstreamPort(
+                        reactor, List.copyOf(settings.upstreams().values()), new UpstreamOwner());
         downstream = new SubscriberPort(settings.relay().subscribers(), new DownstreamOwner());
-        relay = new Relay(settings.name(), settings.scope(), settings.upstreams().size(), settings.limits(),
-                random,
-                new Effects());
-        cutOff = new CutOffWatch(settings.limits().timing().stale(), now(),
-                age -> LOG.warn("relay {} is cut off: what it holds, revision {}, is {} ms old",
-                        settings.name(), held(), age),
-                after -> LOG.info("relay {} is up to date again after {} ms, revision {}", settings.name(),
-                        after, held()));
+        relay =
+                new Relay(
+                        settings.name(),
+                        settings.scope(),
+                        settings.upstreams().size(),
+                        settings.limits(),
+                        random,
+                        new Effects());
+        cutOff =
+                new CutOffWatch(
+                        settings.limits().timing().stale(),
+                        now(),
+                        age ->
+                                LOG.warn(
+                                        "relay {} is cut off: what it holds, revision {}, is {} ms"
+                                                + " old",
+                                        settings.name(),
+                                        held(),
+                                        age),
+                        after ->
+                                LOG.info(
+                                        "relay {} is up to date again after {} ms, revision {}",
+                                        settings.name(),
+                                        after,
+                                        held()));
     }
 
     private static long now() {
@@ -61,7 +83,10 @@
         InetSocketAddress listen = settings.relay().listen();
         port = reactor.listen(listen, DownstreamConnection::new);
         reactor.tick(tick);
-        LOG.info("relay {} listens on {}, port {}, upstreams {}", settings.name(), listen.getHostString(),
+        LOG.info(
+                "relay {} listens on {}, port {}, upstreams {}",
+                settings.name(),
+                listen.getHostString(),
                 port,
                 settings.upstreams().keySet());
     }
--- a/src/main/java/rockshift/cluster/SubscriberPort.java
+++ b/src/main/java/rockshift/cluster/SubscriberPort.java
@@ -12,20 +12,24 @@
 import rockshift.distribution.RejectionReason;
 
 /**
- * The connections of a publisher's subscribers: it numbers them, turns frames into messages and back, and
- * bounds what waits on the way in and out. Whom to take and what to send decides the publisher.
+ * The connections of a publisher's subscribers: it numbers them, turns frames into messages and
+ * back, and bounds what waits on the way in and out. Whom to take and what to send decides the
+ * publisher.
  */
 final class SubscriberPort implements Publisher.Effects {
     private static final Logger LOG = LoggerFactory.getLogger(SubscriberPort.class);
+
     /** Connections beyond those that the publisher serves: they are told that it is busy. */
     private static final int TO_BE_REFUSED = 64;
+
     /** Messages of one subscriber, and of all, that may wait for the publisher. */
     private static final int MOST_WAITING_OF_ONE = 128;
+
     private static final int MOST_WAITING = 20_000;
 
     /**
-     * The publisher's owner, which hands events on in the order in which they came, on whatever thread it
-     * likes.
+     * The publisher's owner, which hands events on in the order in which they came, on whatever
+     * thread it likes.
      */
     interface Owner {
         /** Runs a step of the publisher, now or later. */
@@ -51,7 +55,9 @@
     private final Map<FramedConnection, Peer> byConnection = new ConcurrentHashMap<>();
     private final Map<Long, Peer> byNumber = new ConcurrentHashMap<>();
 
-    /** @param served connections that the publisher serves at most */
+    /**
+     * @param served connections that the publisher serves at most
+     */
     SubscriberPort(int served, Owner owner) {
         this.served = served;
         this.owner = owner;
@@ -84,7 +90,13 @@
             DistributionMessage message = DistributionCodec.read(payload);
             queue(peer, () -> owner.received(peer.number, message));
         } catch (IOException malformed) {
-            queue(peer, () -> owner.refused(peer.number, RejectionReason.MALFORMED, malformed.getMessage()));
+            queue(
+                    peer,
+                    () ->
+                            owner.refused(
+                                    peer.number,
+                                    RejectionReason.MALFORMED,
+                                    malformed.getMessage()));
         }
     }
 
@@ -95,11 +107,12 @@
         }
         peer.waiting.incrementAndGet();
         waiting.incrementAndGet();
-        owner.execute(() -> {
-            peer.waiting.decrementAndGet();
-            waiting.decrementAndGet();
-            step.run();
-        });
+        owner.execute(
+                () -> {
+                    peer.waiting.decrementAndGet();
+                    waiting.decrementAndGet();
+                    step.run();
+                });
     }
 
     /** A connection has ended, whether it had become a subscriber's or not. */
--- a/src/main/java/rockshift/cluster/UpstreamPort.java
+++ b/src/main/java/rockshift/cluster/UpstreamPort.java
@@ -12,12 +12,13 @@
 import rockshift.distribution.RejectionReason;
 
 /**
- * A subscriber's connection to one upstream at a time: it dials, turns messages into frames and back, and
- * tells of nothing that belongs to a connection which was given up. Where to dial, and when, decides the
- * subscriber.
+ * A subscriber's connection to one upstream at a time: it dials, turns messages into frames and
+ * back, and tells of nothing that belongs to a connection which was given up. Where to dial, and
+ * when, decides the subscriber.
  */
 final class UpstreamPort {
     private static final Logger LOG = LoggerFactory.getLogger(UpstreamPort.class);
+
     /** Bytes that may wait to be sent upstream: some thousand acknowledgements. */
     private static final int MOST_UNSENT = 256 << 10;
 
@@ -61,31 +62,41 @@
 
         /** Runs a step of the owner unless this attempt was given up meanwhile. */
         void step(Runnable step) {
-            owner.execute(() -> {
-                if (current == this) {
-                    step.run();
-                }
-            });
+            owner.execute(
+                    () -> {
+                        if (current == this) {
+                            step.run();
+                        }
+                    });
         }
 
         void failed(String why) {
             // Never from within a step: a dial may fail as it is begun.
-            reactor.execute(() -> step(() -> {
-                reactor.upstreamLog().ended(address, RejectionReason.UNREACHABLE.code(), why);
-                current = null;
-                owner.disconnected();
-            }));
+            reactor.execute(
+                    () ->
+                            step(
+                                    () -> {
+                                        reactor.upstreamLog()
+                                                .ended(
+                                                        address,
+                                                        RejectionReason.UNREACHABLE.code(),
+                                                        why);
+                                        current = null;
+                                        owner.disconnected();
+                                    }));
         }
 
         void opened(UpstreamConnection opened) {
-            owner.execute(() -> {
-                connection = opened;
-                if (current == this) {
-                    owner.connected();
-                } else {
-                    opened.endWhenSent(givenUp == null ? "stopping" : givenUp.code(), place);
-                }
-            });
+            owner.execute(
+                    () -> {
+                        connection = opened;
+                        if (current == this) {
+                            owner.connected();
+                        } else {
+                            opened.endWhenSent(
+                                    givenUp == null ? "stopping" : givenUp.code(), place);
+                        }
+                    });
         }
 
         void giveUp(RejectionReason why, String where) {
@@ -121,7 +132,8 @@
                 DistributionMessage message = DistributionCodec.read(frame.payload());
                 attempt.step(() -> owner.received(message));
             } catch (IOException malformed) {
-                attempt.step(() -> owner.refused(RejectionReason.MALFORMED, malformed.getMessage()));
+                attempt.step(
+                        () -> owner.refused(RejectionReason.MALFORMED, malformed.getMessage()));
             }
         }
 
@@ -137,11 +149,13 @@
 
         @Override
         void ended() {
-            reactor.upstreamLog().ended(attempt.address, reason() == null ? "stopping" : reason(), about());
-            attempt.step(() -> {
-                current = null;
-                owner.disconnected();
-            });
+            reactor.upstreamLog()
+                    .ended(attempt.address, reason() == null ? "stopping" : reason(), about());
+            attempt.step(
+                    () -> {
+                        current = null;
+                        owner.disconnected();
+                    });
         }
     }
 
@@ -151,7 +165,8 @@
         upstream = number;
         Attempt attempt = new Attempt(told);
         current = attempt;
-        reactor.dial(new InetSocketAddress(told.getHostString(), told.getPort()),
+        reactor.dial(
+                new InetSocketAddress(told.getHostString(), told.getPort()),
                 (session, readBuffer) -> new UpstreamConnection(session, readBuffer, attempt),
                 attempt::failed);
     }
--- a/src/main/java/rockshift/distribution/AdmissionControl.java
+++ b/src/main/java/rockshift/distribution/AdmissionControl.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How many subscriptions a publisher takes on in a second. Whoever is refused is told a time to come back,
- * each a later one, so that a crowd spreads over as long as it takes.
+ * How many subscriptions a publisher takes on in a second. Whoever is refused is told a time to
+ * come back, each a later one, so that a crowd spreads over as long as it takes.
  */
 final class AdmissionControl {
     private static final long MILLIS_A_SECOND = 1_000;
@@ -30,7 +30,10 @@
         return true;
     }
 
-    /** When someone refused should come back: the next time that is not promised yet, and some jitter. */
+    /**
+     * When someone refused should come back: the next time that is not promised yet, and some
+     * jitter.
+     */
     long retryAfter(long now) {
         double interval = (double) MILLIS_A_SECOND / limits.subscriptionsEachSecond();
         nextFree = Math.max(nextFree, now + (double) MILLIS_A_SECOND / 2) + interval;
--- a/src/main/java/rockshift/distribution/BackOff.java
+++ b/src/main/java/rockshift/distribution/BackOff.java
@@ -2,7 +2,10 @@
 
 import java.util.random.RandomGenerator;
 
-/** How long to wait before the next connection: doubled each time up to a bound, half of it by chance. */
+/**
+ * How long to wait before the next connection: doubled each time up to a bound, half of it by
+ * chance.
+ */
 final class BackOff {
     private static final int MOST_DOUBLINGS = 20;
     private final Limits.Timing timing;
@@ -15,7 +18,10 @@
     }
 
     long next() {
-        long whole = Math.min(timing.mostBackOff(), timing.backOff() << Math.min(attempts, MOST_DOUBLINGS));
+        long whole =
+                Math.min(
+                        timing.mostBackOff(),
+                        timing.backOff() << Math.min(attempts, MOST_DOUBLINGS));
         attempts++;
         return whole / 2 + upTo(whole / 2);
     }
--- a/src/main/java/rockshift/distribution/ConfigurationStore.java
+++ b/src/main/java/rockshift/distribution/ConfigurationStore.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * The state at one revision, with a bounded history of the updates that led to it. Deletions live on in the
- * history only. Items are found by service and zone, so that a scope costs what it holds.
+ * The state at one revision, with a bounded history of the updates that led to it. Deletions live
+ * on in the history only. Items are found by service and zone, so that a scope costs what it holds.
  */
 public final class ConfigurationStore {
     private final Limits.Sizes sizes;
@@ -49,13 +49,14 @@
     }
 
     /**
-     * Takes a whole state. Of the same cluster it must not be older; its differences to what was held go into
-     * the history.
+     * Takes a whole state. Of the same cluster it must not be older; its differences to what was
+     * held go into the history.
      */
     public void reset(Revision revision, Collection<Item> whole) throws Refusal {
         boolean continues = !current.isNone() && current.sameCluster(revision);
         if (continues && revision.number() < current.number()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+            throw new Refusal(
+                    RejectionReason.OUT_OF_ORDER,
                     "revision: " + revision + " is older than " + current);
         }
         Map<String, Item> next = checkedState(whole);
@@ -72,15 +73,17 @@
     }
 
     /**
-     * Takes all updates of the revisions after the current one up to this; none where nothing here changed.
-     * All or none is taken.
+     * Takes all updates of the revisions after the current one up to this; none where nothing here
+     * changed. All or none is taken.
      */
     public void apply(Revision revision, List<Update> updates) throws Refusal {
         if (current.isNone() || !current.sameCluster(revision)) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER,
+            throw new Refusal(
+                    RejectionReason.OTHER_CLUSTER,
                     "revision: " + revision + " does not follow " + current);
         } else if (revision.number() <= current.number()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+            throw new Refusal(
+                    RejectionReason.OUT_OF_ORDER,
                     "revision: " + revision + " does not follow " + current);
         }
         check(revision, updates);
@@ -91,7 +94,10 @@
         current = revision;
     }
 
-    /** What changed in a scope since a revision, one update an item; empty if only a snapshot can tell. */
+    /**
+     * What changed in a scope since a revision, one update an item; empty if only a snapshot can
+     * tell.
+     */
     public Optional<List<Update>> differenceSince(Revision revision, Scope scope) {
         return deltaSince(revision, scope).map(Delta::updates);
     }
@@ -115,7 +121,9 @@
     }
 
     Optional<Delta> deltaSince(Revision revision, Scope scope) {
-        if (current.isNone() || !current.sameCluster(revision) || revision.number() > current.number()) {
+        if (current.isNone()
+                || !current.sameCluster(revision)
+                || revision.number() > current.number()) {
             return Optional.empty();
         }
         return history.since(revision.number(), scope);
@@ -141,14 +149,16 @@
 
     private Map<String, Item> checkedState(Collection<Item> whole) throws Refusal {
         if (whole.size() > sizes.stateItems()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
                     "items: " + whole.size() + " of " + sizes.stateItems());
         }
         Map<String, Item> next = new LinkedHashMap<>();
         for (Item item : whole) {
             sizes.check(item, "items[" + next.size() + "]");
             if (next.put(item.key(), item) != null) {
-                throw new Refusal(RejectionReason.MALFORMED, "items: '" + item.key() + "' comes twice");
+                throw new Refusal(
+                        RejectionReason.MALFORMED, "items: '" + item.key() + "' comes twice");
             }
         }
         return next;
@@ -177,8 +187,15 @@
             Update update = updates.get(index);
             String place = "updates[" + index + "]";
             if (update.revision() <= current.number() || update.revision() > revision.number()) {
-                throw new Refusal(RejectionReason.OUT_OF_ORDER, place + ".revision: " + update.revision()
-                        + " is not after " + current.number() + " up to " + revision.number());
+                throw new Refusal(
+                        RejectionReason.OUT_OF_ORDER,
+                        place
+                                + ".revision: "
+                                + update.revision()
+                                + " is not after "
+                                + current.number()
+                                + " up to "
+                                + revision.number());
             }
             sizes.check(update.item(), place);
             String key = update.item().key();
@@ -187,7 +204,8 @@
             count += (update.deleted() ? 0 : 1) - (before ? 1 : 0);
         }
         if (count > sizes.stateItems()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
                     "updates: more than " + sizes.stateItems() + " items");
         }
     }
@@ -212,7 +230,8 @@
         return new Change(update, before, after.digest());
     }
 
-    private static void unindex(Map<String, TreeMap<String, HeldItem>> index, String name, String key) {
+    private static void unindex(
+            Map<String, TreeMap<String, HeldItem>> index, String name, String key) {
         TreeMap<String, HeldItem> named = index.get(name);
         named.remove(key);
         if (named.isEmpty()) {
@@ -230,7 +249,9 @@
         }
     }
 
-    private static void visit(Map<String, TreeMap<String, HeldItem>> index, Collection<String> names,
+    private static void visit(
+            Map<String, TreeMap<String, HeldItem>> index,
+            Collection<String> names,
             Scope scope,
             Consumer<HeldItem> visitor) {
         Set<String> visited = new HashSet<>(names);
@@ -248,12 +269,19 @@
     record HeldItem(Item item, long digest) {}
 
     /** An update with what it replaced: null if there was nothing. */
-    record Change(Update update, String serviceBefore, String zoneBefore, long digestBefore,
+    record Change(
+            Update update,
+            String serviceBefore,
+            String zoneBefore,
+            long digestBefore,
             long digestAfter) {
         Change(Update update, HeldItem before, long digestAfter) {
-            this(update, before == null ? null : before.item().service(),
+            this(
+                    update,
+                    before == null ? null : before.item().service(),
                     before == null ? null : before.item().zone(),
-                    before == null ? 0 : before.digest(), digestAfter);
+                    before == null ? 0 : before.digest(),
+                    digestAfter);
         }
 
         boolean matchedBefore(Scope scope) {
@@ -265,8 +293,8 @@
      * What changed in a scope.
      *
      * @param updates one an item
-     * @param digestChange what the digest of the scope's state grew by, where the start is a revision that
-     *        the store itself was at
+     * @param digestChange what the digest of the scope's state grew by, where the start is a
+     *     revision that the store itself was at
      * @param bytes about how many the updates take
      */
     record Delta(List<Update> updates, long digestChange, long bytes) {}
--- a/src/main/java/rockshift/distribution/Digest.java
+++ b/src/main/java/rockshift/distribution/Digest.java
@@ -1,8 +1,8 @@
 package rockshift.distribution;
 
 /**
- * The 64-bit hash behind the digests of items and the fingerprint of names: FNV-1a with a final mix. It
- * guards against mistakes only.
+ * The 64-bit hash behind the digests of items and the fingerprint of names: FNV-1a with a final
+ * mix. It guards against mistakes only.
  */
 final class Digest {
     private static final long OFFSET = 0xcbf29ce484222325L;
--- a/src/main/java/rockshift/distribution/DistributionMessage.java
+++ b/src/main/java/rockshift/distribution/DistributionMessage.java
@@ -4,22 +4,24 @@
 import java.util.Objects;
 
 /**
- * What subscribers and publishers tell each other, over a connection that keeps the order. Each names the
- * epoch of the scope that it is for, which the subscriber raises with each new scope.
+ * What subscribers and publishers tell each other, over a connection that keeps the order. Each
+ * names the epoch of the scope that it is for, which the subscriber raises with each new scope.
  */
 public sealed interface DistributionMessage {
     /** The epoch of the scope that the message is for; from 1. */
     long scopeEpoch();
 
     /**
-     * Subscriber to publisher: the first message of a connection, and each change of scope after it.
+     * Subscriber to publisher: the first message of a connection, and each change of scope after
+     * it.
      *
      * @param subscriber its name, the same on each connection
      * @param held what it holds of this scope; {@link Revision#NONE} asks for a snapshot
      * @param sentMillis the subscriber's own clock, which the next heartbeat returns
      */
-    record Subscribe(String subscriber, long scopeEpoch, Scope scope, Revision held,
-            long sentMillis) implements DistributionMessage {
+    record Subscribe(
+            String subscriber, long scopeEpoch, Scope scope, Revision held, long sentMillis)
+            implements DistributionMessage {
         public Subscribe {
             Objects.requireNonNull(subscriber);
             Objects.requireNonNull(scope);
@@ -28,15 +30,16 @@
     }
 
     /**
-     * Subscriber to publisher: what is in force; also the answer to each heartbeat and each part of a
-     * snapshot.
+     * Subscriber to publisher: what is in force; also the answer to each heartbeat and each part of
+     * a snapshot.
      *
      * @param snapshotParts parts received of the snapshot under way; 0 if none is
      * @param summary what is in force at the sender and below it
      * @param sentMillis the subscriber's own clock, which the next heartbeat returns
      */
-    record Acknowledge(long scopeEpoch, Revision inForce, int snapshotParts, Summary summary,
-            long sentMillis) implements DistributionMessage {
+    record Acknowledge(
+            long scopeEpoch, Revision inForce, int snapshotParts, Summary summary, long sentMillis)
+            implements DistributionMessage {
         public Acknowledge {
             Objects.requireNonNull(inForce);
             Objects.requireNonNull(summary);
@@ -44,15 +47,16 @@
     }
 
     /**
-     * Publisher to subscriber: a part of the whole state of a scope, which takes effect when all parts are
-     * there.
+     * Publisher to subscriber: a part of the whole state of a scope, which takes effect when all
+     * parts are there.
      *
      * @param part from 0
      * @param parts how many there are, at least 1
      * @param digest of the whole state
      */
-    record SnapshotPart(long scopeEpoch, Revision revision, int part, int parts, long digest,
-            List<Item> items) implements DistributionMessage {
+    record SnapshotPart(
+            long scopeEpoch, Revision revision, int part, int parts, long digest, List<Item> items)
+            implements DistributionMessage {
         public SnapshotPart {
             Objects.requireNonNull(revision);
             items = List.copyOf(items);
@@ -66,8 +70,9 @@
      * @param to what it holds afterwards
      * @param digest of the whole state afterwards
      */
-    record Difference(long scopeEpoch, Revision from, Revision to, long digest,
-            List<Update> updates) implements DistributionMessage {
+    record Difference(
+            long scopeEpoch, Revision from, Revision to, long digest, List<Update> updates)
+            implements DistributionMessage {
         public Difference {
             Objects.requireNonNull(from);
             Objects.requireNonNull(to);
@@ -76,23 +81,26 @@
     }
 
     /**
-     * Publisher to subscriber, at a fixed interval: what the subscriber should hold after all messages before
-     * this one.
+     * Publisher to subscriber, at a fixed interval: what the subscriber should hold after all
+     * messages before this one.
      *
-     * @param current where the subscriber stands; {@link Revision#NONE} while a snapshot is under way
+     * @param current where the subscriber stands; {@link Revision#NONE} while a snapshot is under
+     *     way
      * @param digest of the state of its scope at that revision
      * @param staleMillis for how long this state may have been out of date at the publisher
      * @param echoMillis the clock in the last message that the publisher had from the subscriber
      */
-    record Heartbeat(long scopeEpoch, Revision current, long digest, long staleMillis,
-            long echoMillis) implements DistributionMessage {
+    record Heartbeat(
+            long scopeEpoch, Revision current, long digest, long staleMillis, long echoMillis)
+            implements DistributionMessage {
         public Heartbeat {
             Objects.requireNonNull(current);
         }
     }
 
     /** Publisher to subscriber: worth knowing, while the subscription goes on. */
-    record Notice(long scopeEpoch, RejectionReason reason, String place) implements DistributionMessage {
+    record Notice(long scopeEpoch, RejectionReason reason, String place)
+            implements DistributionMessage {
         public Notice {
             Objects.requireNonNull(reason);
             Objects.requireNonNull(place);
@@ -105,8 +113,8 @@
      * @param place the field, and what is wrong there
      * @param retryAfterMillis when to come back; 0 leaves it to the subscriber
      */
-    record Rejected(long scopeEpoch, RejectionReason reason, String place,
-            long retryAfterMillis) implements DistributionMessage {
+    record Rejected(long scopeEpoch, RejectionReason reason, String place, long retryAfterMillis)
+            implements DistributionMessage {
         public Rejected {
             Objects.requireNonNull(reason);
             Objects.requireNonNull(place);
--- a/src/main/java/rockshift/distribution/ForceTally.java
+++ b/src/main/java/rockshift/distribution/ForceTally.java
@@ -5,7 +5,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Sums up what is in force at a publisher's subscribers, kept up with each change of one of them. */
+/**
+ * Sums up what is in force at a publisher's subscribers, kept up with each change of one of them.
+ */
 final class ForceTally {
     /**
      * What one subscription adds.
@@ -13,7 +15,12 @@
      * @param caughtUp whether all that concerns it is in force there and below
      * @param lowest the lowest number in force there and below, where it has not caught up
      */
-    record Share(boolean caughtUp, long lowest, int subscribers, int behind, int unreachable,
+    record Share(
+            boolean caughtUp,
+            long lowest,
+            int subscribers,
+            int behind,
+            int unreachable,
             long fingerprint) {
         static final Share NOTHING = new Share(true, 0, 0, 0, 0, 0);
     }
@@ -35,7 +42,8 @@
     /** One subscription adds another share than before. */
     void replace(Share before, Share after) {
         if (!before.caughtUp()) {
-            lowest.merge(before.lowest(), -1, (one, other) -> one + other == 0 ? null : one + other);
+            lowest.merge(
+                    before.lowest(), -1, (one, other) -> one + other == 0 ? null : one + other);
         }
         if (!after.caughtUp()) {
             lowest.merge(after.lowest(), 1, Integer::sum);
@@ -47,8 +55,8 @@
     }
 
     /**
-     * A subscriber was lost, and governors with it. Over the bound the one lost longest ago is forgotten
-     * early.
+     * A subscriber was lost, and governors with it. Over the bound the one lost longest ago is
+     * forgotten early.
      */
     void lost(String subscriber, int governors, long until) {
         found(subscriber);
@@ -62,7 +70,10 @@
         unreachable += governors;
     }
 
-    /** A subscriber is back, or need not be remembered; answers how many governors were lost with it. */
+    /**
+     * A subscriber is back, or need not be remembered; answers how many governors were lost with
+     * it.
+     */
     int found(String subscriber) {
         Lost back = lost.remove(subscriber);
         if (back == null) {
--- a/src/main/java/rockshift/distribution/HeldState.java
+++ b/src/main/java/rockshift/distribution/HeldState.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * What a subscriber holds, by digests alone: the items are with the host. It never goes back a revision of
- * its cluster.
+ * What a subscriber holds, by digests alone: the items are with the host. It never goes back a
+ * revision of its cluster.
  */
 final class HeldState {
     private final Limits.Sizes sizes;
@@ -44,9 +44,11 @@
         if (next.isNone() || next.number() < 0) {
             throw new Refusal(RejectionReason.MALFORMED, "revision: " + next);
         } else if (next.cluster() != adopted && (!follows || adopted != 0)) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER, "revision: " + next + ", held " + revision);
+            throw new Refusal(
+                    RejectionReason.OTHER_CLUSTER, "revision: " + next + ", held " + revision);
         } else if (follows && next.number() < revision.number()) {
-            throw new Refusal(RejectionReason.FUTURE_REVISION,
+            throw new Refusal(
+                    RejectionReason.FUTURE_REVISION,
                     "revision: " + next + " is older than " + revision);
         }
     }
@@ -79,11 +81,13 @@
         int added = 0;
         for (Update update : difference.updates()) {
             Long before = digests.get(update.item().key());
-            after += (update.deleted() ? 0 : update.item().digest()) - (before == null ? 0 : before);
+            after +=
+                    (update.deleted() ? 0 : update.item().digest()) - (before == null ? 0 : before);
             added += (update.deleted() ? 0 : 1) - (before == null ? 0 : 1);
         }
         if (digests.size() + added > sizes.stateItems()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
                     "updates: more than " + sizes.stateItems() + " items");
         } else if (after != difference.digest()) {
             throw new Refusal(RejectionReason.DIGEST_MISMATCH, "difference: to " + difference.to());
@@ -114,7 +118,8 @@
         } else if (!to.sameCluster(from) || to.number() <= from.number()) {
             throw new Refusal(RejectionReason.OUT_OF_ORDER, "to: " + to + " after " + from);
         } else if (difference.updates().size() > sizes.differenceUpdates()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
                     "updates: " + difference.updates().size() + " of " + sizes.differenceUpdates());
         }
         check(difference.updates(), from.number(), to.number(), scope);
@@ -127,12 +132,20 @@
             String place = "updates[" + index + "]";
             sizes.check(update.item(), place);
             if (update.revision() <= from || update.revision() > to) {
-                throw new Refusal(RejectionReason.OUT_OF_ORDER,
-                        place + ".revision: " + update.revision() + " is not after " + from + " up to " + to);
+                throw new Refusal(
+                        RejectionReason.OUT_OF_ORDER,
+                        place
+                                + ".revision: "
+                                + update.revision()
+                                + " is not after "
+                                + from
+                                + " up to "
+                                + to);
             } else if (!update.deleted() && !scope.matches(update)) {
                 throw new Refusal(RejectionReason.OUT_OF_SCOPE, place + ": " + update.item());
             } else if (!keys.add(update.item().key())) {
-                throw new Refusal(RejectionReason.MALFORMED,
+                throw new Refusal(
+                        RejectionReason.MALFORMED,
                         place + ".key: '" + update.item().key() + "' comes twice");
             }
         }
--- a/src/main/java/rockshift/distribution/History.java
+++ b/src/main/java/rockshift/distribution/History.java
@@ -9,15 +9,15 @@
 import java.util.TreeMap;
 
 /**
- * The last changes of a store, bounded in number and bytes; the oldest go first, and with them what can be
- * resumed from.
+ * The last changes of a store, bounded in number and bytes; the oldest go first, and with them what
+ * can be resumed from.
  */
 final class History {
     /**
      * What took the store from one revision to a later one.
      *
-     * @param complete whether each item that changed on the way is there, also those that ended as they
-     *        began; else nobody can resume from a revision inside
+     * @param complete whether each item that changed on the way is there, also those that ended as
+     *     they began; else nobody can resume from a revision inside
      */
     record Step(long from, long to, boolean complete, List<ConfigurationStore.Change> changes) {
         private long bytes() {
@@ -66,7 +66,9 @@
         }
     }
 
-    /** All changes after a revision that the store was at; empty if they are not all there any more. */
+    /**
+     * All changes after a revision that the store was at; empty if they are not all there any more.
+     */
     Optional<List<ConfigurationStore.Change>> changesSince(long number) {
         if (number < compactedThrough) {
             return Optional.empty();
@@ -77,9 +79,9 @@
     }
 
     /**
-     * What changed in a scope after a revision, which may lie inside a step where a subscriber comes from
-     * another server. Then what the subscriber held is not known, and items outside its scope are deleted in
-     * case it held them.
+     * What changed in a scope after a revision, which may lie inside a step where a subscriber
+     * comes from another server. Then what the subscriber held is not known, and items outside its
+     * scope are deleted in case it held them.
      */
     Optional<ConfigurationStore.Delta> since(long number, Scope scope) {
         if (number < compactedThrough) {
@@ -100,8 +102,8 @@
         return Optional.of(sum(nets, scope));
     }
 
-    private static void add(Map<String, Net> nets, ConfigurationStore.Change change, Scope scope,
-            boolean inside) {
+    private static void add(
+            Map<String, Net> nets, ConfigurationStore.Change change, Scope scope, boolean inside) {
         Net net = nets.get(change.update().item().key());
         boolean matched = change.matchedBefore(scope);
         if (net == null) {
--- a/src/main/java/rockshift/distribution/InForceTracker.java
+++ b/src/main/java/rockshift/distribution/InForceTracker.java
@@ -33,7 +33,10 @@
         deliveries.add(new Delivery(revision, epoch));
     }
 
-    /** The host says so of a delivery, and with it of all before; answers whether there was such a one. */
+    /**
+     * The host says so of a delivery, and with it of all before; answers whether there was such a
+     * one.
+     */
     boolean acknowledged(Revision revision, Revision held) {
         if (deliveries.stream().noneMatch(each -> each.revision().equals(revision))) {
             return false;
--- a/src/main/java/rockshift/distribution/Item.java
+++ b/src/main/java/rockshift/distribution/Item.java
@@ -26,7 +26,10 @@
         return key.length() + service.length() + zone.length() + value.length + OVERHEAD_BYTES;
     }
 
-    /** A 64-bit digest; the digest of a state is the sum of its items', so that it can follow each change. */
+    /**
+     * A 64-bit digest; the digest of a state is the sum of its items', so that it can follow each
+     * change.
+     */
     public long digest() {
         return Digest.of(this);
     }
@@ -38,8 +41,11 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Item item && key.equals(item.key) && service.equals(item.service)
-                && zone.equals(item.zone) && Arrays.equals(value, item.value);
+        return other instanceof Item item
+                && key.equals(item.key)
+                && service.equals(item.service)
+                && zone.equals(item.zone)
+                && Arrays.equals(value, item.value);
     }
 
     @Override
--- a/src/main/java/rockshift/distribution/Limits.java
+++ b/src/main/java/rockshift/distribution/Limits.java
@@ -8,10 +8,13 @@
  * @param admission what one publisher takes on at a time
  */
 public record Limits(Timing timing, Sizes sizes, Admission admission) {
-    private static final Limits STANDARD = new Limits(
-            new Timing(500, 1_500, 2_000, 200, 10_000, 3_000, 15_000, 100, 30_000, 30_000),
-            new Sizes(65_536, 262_144, 16_384, 16 << 20, 1_024, 131_072, 4_096, 262_144, 4_096, 200),
-            new Admission(4_096, 200, 32, 4, 4, 30_000));
+    private static final Limits STANDARD =
+            new Limits(
+                    new Timing(500, 1_500, 2_000, 200, 10_000, 3_000, 15_000, 100, 30_000, 30_000),
+                    new Sizes(
+                            65_536, 262_144, 16_384, 16 << 20, 1_024, 131_072, 4_096, 262_144,
+                            4_096, 200),
+                    new Admission(4_096, 200, 32, 4, 4, 30_000));
 
     public static Limits standard() {
         return STANDARD;
@@ -31,9 +34,17 @@
      * @param snapshot for a subscriber to take a snapshot; then it is closed as slow
      * @param remember how long a lost subscriber counts as unreachable
      */
-    public record Timing(long heartbeat, long silence, long connect, long backOff, long mostBackOff,
+    public record Timing(
+            long heartbeat,
+            long silence,
+            long connect,
+            long backOff,
+            long mostBackOff,
             long stale,
-            long staleRetry, long acknowledge, long snapshot, long remember) {}
+            long staleRetry,
+            long acknowledge,
+            long snapshot,
+            long remember) {}
 
     /**
      * What a message, a state and a history may hold.
@@ -49,14 +60,24 @@
      * @param scopeNames services and zones in a scope; more are refused
      * @param nameLength of a subscriber's name, a service or a zone
      */
-    public record Sizes(int itemBytes, int stateItems, int historyUpdates, long historyBytes, int partItems,
-            int partBytes, int differenceUpdates, int differenceBytes, int scopeNames, int nameLength) {
+    public record Sizes(
+            int itemBytes,
+            int stateItems,
+            int historyUpdates,
+            long historyBytes,
+            int partItems,
+            int partBytes,
+            int differenceUpdates,
+            int differenceBytes,
+            int scopeNames,
+            int nameLength) {
         /** Refuses an item that is too large, or without a key. */
         void check(Item item, String place) throws Refusal {
             if (item.key().isEmpty()) {
                 throw new Refusal(RejectionReason.MALFORMED, place + ".key: empty");
             } else if (item.bytes() > itemBytes) {
-                throw new Refusal(RejectionReason.TOO_LARGE,
+                throw new Refusal(
+                        RejectionReason.TOO_LARGE,
                         place + ": " + item.bytes() + " of " + itemBytes + " bytes");
             }
         }
@@ -72,6 +93,11 @@
      * @param snapshotWindow parts not acknowledged to a subscriber
      * @param mostRetryMillis the latest time to come back that is told
      */
-    public record Admission(int connections, int subscriptionsEachSecond, int snapshotsAtOnce, int window,
-            int snapshotWindow, long mostRetryMillis) {}
+    public record Admission(
+            int connections,
+            int subscriptionsEachSecond,
+            int snapshotsAtOnce,
+            int window,
+            int snapshotWindow,
+            long mostRetryMillis) {}
 }
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -13,8 +13,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The downstream side of a member or relay: serves subscribers from a store. Connections are numbered by the
- * host. A change costs those whom it concerns; heartbeats are spread over their interval.
+ * The downstream side of a member or relay: serves subscribers from a store. Connections are
+ * numbered by the host. A change costs those whom it concerns; heartbeats are spread over their
+ * interval.
  */
 public final class Publisher {
     /** What the host carries out. Calls into the publisher from within these are not allowed. */
@@ -22,12 +23,15 @@
         /** Hands over a message, to be written in order. */
         void send(long connection, DistributionMessage message);
 
-        /** Ends a connection once all sent to it is written. No {@link #disconnected} need follow. */
+        /**
+         * Ends a connection once all sent to it is written. No {@link #disconnected} need follow.
+         */
         void close(long connection, RejectionReason why, String place);
     }
 
     /** The largest age that is told; also that of what was never fresh. */
     private static final long MOST_STALE_MILLIS = 1L << 40;
+
     private static final long NEVER = Long.MIN_VALUE;
 
     private final ConfigurationStore store;
@@ -41,9 +45,10 @@
     private final SubscriptionIndex index = new SubscriptionIndex();
     private final Map<Long, Subscription> connections = new HashMap<>();
     private final Map<String, Subscription> byName = new HashMap<>();
-    private final TreeSet<Subscription> timers = new TreeSet<>(
-            Comparator.comparingLong((Subscription each) -> each.dueAt())
-                    .thenComparingLong(Subscription::connection));
+    private final TreeSet<Subscription> timers =
+            new TreeSet<>(
+                    Comparator.comparingLong((Subscription each) -> each.dueAt())
+                            .thenComparingLong(Subscription::connection));
     private Revision published;
     private long generation;
     private long freshAt = NEVER;
@@ -55,7 +60,11 @@
      * @param store what it serves; the owner changes it and then calls {@link #published}
      * @param served what the store holds: wider scopes are refused
      */
-    public Publisher(ConfigurationStore store, Scope served, Limits limits, RandomGenerator random,
+    public Publisher(
+            ConfigurationStore store,
+            Scope served,
+            Limits limits,
+            RandomGenerator random,
             Effects effects) {
         this.store = store;
         this.served = served;
@@ -73,8 +82,10 @@
         if (connections.size() >= limits.admission().connections()) {
             rejections.count(RejectionReason.BUSY);
             String place = "connections: " + connections.size();
-            effects.send(connection, new DistributionMessage.Rejected(0, RejectionReason.BUSY, place,
-                    admission.retryAfter(now)));
+            effects.send(
+                    connection,
+                    new DistributionMessage.Rejected(
+                            0, RejectionReason.BUSY, place, admission.retryAfter(now)));
             effects.close(connection, RejectionReason.BUSY, place);
             return;
         }
@@ -103,8 +114,9 @@
             } else if (message instanceof DistributionMessage.Acknowledge acknowledge) {
                 acknowledge(subscription, acknowledge, now);
             } else {
-                throw new Refusal(RejectionReason.MALFORMED, "a publisher takes no "
-                        + message.getClass().getSimpleName());
+                throw new Refusal(
+                        RejectionReason.MALFORMED,
+                        "a publisher takes no " + message.getClass().getSimpleName());
             }
         } catch (Refusal refusal) {
             reject(subscription, refusal.reason(), refusal.place(), 0, now);
@@ -133,15 +145,16 @@
     }
 
     /**
-     * What the store holds was the newest there is at this time; a member says so while it follows a leader,
-     * after it has published all that was agreed until then, and else leaves it.
+     * What the store holds was the newest there is at this time; a member says so while it follows
+     * a leader, after it has published all that was agreed until then, and else leaves it.
      */
     public void freshAt(long atMillis) {
         freshAt = Math.max(freshAt, atMillis);
     }
 
     /**
-     * Does what is due: heartbeats, silent connections, changes that waited. To be called every 50 ms or so.
+     * Does what is due: heartbeats, silent connections, changes that waited. To be called every 50
+     * ms or so.
      */
     public void tick(long now) {
         tally.forget(now);
@@ -172,7 +185,8 @@
         return connections.size();
     }
 
-    private void subscribe(Subscription subscription, DistributionMessage.Subscribe message, long now)
+    private void subscribe(
+            Subscription subscription, DistributionMessage.Subscribe message, long now)
             throws Refusal {
         RequestCheck.check(message, subscription, served, limits);
         if (refusedForNow(subscription, message, now)) {
@@ -200,7 +214,8 @@
     }
 
     /** Refuses a subscription that may be taken later, or elsewhere. */
-    private boolean refusedForNow(Subscription subscription, DistributionMessage.Subscribe message, long now)
+    private boolean refusedForNow(
+            Subscription subscription, DistributionMessage.Subscribe message, long now)
             throws Refusal {
         Revision held = message.held();
         Revision current = store.current();
@@ -219,27 +234,37 @@
                 place = "snapshots: " + transfers;
             } else if (!admission.admit(now)) {
                 reason = RejectionReason.BUSY;
-                place = "subscriptions: " + limits.admission().subscriptionsEachSecond() + " a second";
+                place =
+                        "subscriptions: "
+                                + limits.admission().subscriptionsEachSecond()
+                                + " a second";
             }
         }
         if (reason == null) {
             return false;
         }
-        long retryAfter = reason == RejectionReason.BUSY ? admission.retryAfter(now)
-                : random.nextLong(limits.timing().backOff(), 2 * limits.timing().backOff() + 1);
+        long retryAfter =
+                reason == RejectionReason.BUSY
+                        ? admission.retryAfter(now)
+                        : random.nextLong(
+                                limits.timing().backOff(), 2 * limits.timing().backOff() + 1);
         reject(subscription, reason, place, retryAfter, now);
         return true;
     }
 
     /**
-     * The same subscriber on another connection: that one is dead, though it is not noticed yet. If it is
-     * not, two go by one name, and the earlier is told to stay away for long, so that they do not drive each
-     * other out all the time.
+     * The same subscriber on another connection: that one is dead, though it is not noticed yet. If
+     * it is not, two go by one name, and the earlier is told to stay away for long, so that they do
+     * not drive each other out all the time.
      */
     private void takeOver(String name, long now) {
         Subscription earlier = byName.get(name);
         if (earlier != null) {
-            reject(earlier, RejectionReason.REPLACED, "subscriber: " + name, limits.timing().mostBackOff(),
+            reject(
+                    earlier,
+                    RejectionReason.REPLACED,
+                    "subscriber: " + name,
+                    limits.timing().mostBackOff(),
                     now);
         }
     }
@@ -252,19 +277,25 @@
         }
         if (place != null && !scope.everything()) {
             rejections.count(RejectionReason.MATCHES_NOTHING);
-            effects.send(subscription.connection(), new DistributionMessage.Notice(subscription.scopeEpoch(),
-                    RejectionReason.MATCHES_NOTHING, place));
+            effects.send(
+                    subscription.connection(),
+                    new DistributionMessage.Notice(
+                            subscription.scopeEpoch(), RejectionReason.MATCHES_NOTHING, place));
         }
     }
 
-    private static String firstUnknown(String field, Collection<String> names, Predicate<String> known) {
-        return names.stream().filter(known.negate()).findFirst().map(name -> field + " '" + name + "'")
+    private static String firstUnknown(
+            String field, Collection<String> names, Predicate<String> known) {
+        return names.stream()
+                .filter(known.negate())
+                .findFirst()
+                .map(name -> field + " '" + name + "'")
                 .orElse(null);
     }
 
     private void begin(Subscription subscription, Revision held, long now) {
-        Optional<ConfigurationStore.Delta> delta = held.isNone() ? Optional.empty()
-                : store.deltaSince(held, subscription.scope());
+        Optional<ConfigurationStore.Delta> delta =
+                held.isNone() ? Optional.empty() : store.deltaSince(held, subscription.scope());
         if (delta.isEmpty() || tooLarge(delta.get())) {
             subscription.requireSnapshot(freshAt);
             flush(subscription, now);
@@ -280,7 +311,8 @@
         account(subscription);
     }
 
-    private void acknowledge(Subscription subscription, DistributionMessage.Acknowledge message, long now)
+    private void acknowledge(
+            Subscription subscription, DistributionMessage.Acknowledge message, long now)
             throws Refusal {
         RequestCheck.checkSubscribed(message, subscription);
         subscription.heard(now);
@@ -315,7 +347,10 @@
         return concerned;
     }
 
-    /** Sends what the subscription may be sent now; what it may not is coalesced with what comes later. */
+    /**
+     * Sends what the subscription may be sent now; what it may not is coalesced with what comes
+     * later.
+     */
     private void flush(Subscription subscription, long now) {
         if (subscription.transfer() != null) {
             continueTransfer(subscription);
@@ -339,14 +374,22 @@
         } else if (delta.get().updates().isEmpty()) {
             subscription.unchangedAfterAll(store.current().number());
         } else {
-            sendDifference(subscription, delta.get().updates(),
+            sendDifference(
+                    subscription,
+                    delta.get().updates(),
                     subscription.digest() + delta.get().digestChange());
         }
     }
 
     private void sendDifference(Subscription subscription, List<Update> updates, long digest) {
-        effects.send(subscription.connection(), new DistributionMessage.Difference(subscription.scopeEpoch(),
-                subscription.told(), store.current(), digest, updates));
+        effects.send(
+                subscription.connection(),
+                new DistributionMessage.Difference(
+                        subscription.scopeEpoch(),
+                        subscription.told(),
+                        store.current(),
+                        digest,
+                        updates));
         subscription.tellDifference(store.current(), digest);
     }
 
@@ -362,8 +405,12 @@
         transfers++;
         Scope scope = subscription.scope();
         subscription.startTransfer(
-                new SnapshotTransfer(store.current(), store.digest(scope), store.snapshot(scope),
-                        limits.sizes(), now));
+                new SnapshotTransfer(
+                        store.current(),
+                        store.digest(scope),
+                        store.snapshot(scope),
+                        limits.sizes(),
+                        now));
         continueTransfer(subscription);
     }
 
@@ -387,7 +434,10 @@
     private void beat(Subscription subscription, long now) {
         SnapshotTransfer transfer = subscription.transfer();
         if (transfer != null && now - transfer.startedAt() > limits.timing().snapshot()) {
-            close(subscription, RejectionReason.SLOW, "snapshot: " + (now - transfer.startedAt()) + " ms",
+            close(
+                    subscription,
+                    RejectionReason.SLOW,
+                    "snapshot: " + (now - transfer.startedAt()) + " ms",
                     now);
             return;
         }
@@ -395,9 +445,14 @@
         if (!subscription.told().isNone() && !subscription.outdated()) {
             subscription.tellUnchanged(store.current());
         }
-        effects.send(subscription.connection(), new DistributionMessage.Heartbeat(subscription.scopeEpoch(),
-                subscription.told(), subscription.digest(), staleMillis(subscription, now),
-                subscription.echoMillis()));
+        effects.send(
+                subscription.connection(),
+                new DistributionMessage.Heartbeat(
+                        subscription.scopeEpoch(),
+                        subscription.told(),
+                        subscription.digest(),
+                        staleMillis(subscription, now),
+                        subscription.echoMillis()));
         subscription.heartbeatAt(now + limits.timing().heartbeat());
         schedule(subscription);
     }
@@ -426,11 +481,16 @@
         tally.replace(before, subscription.share());
     }
 
-    private void reject(Subscription subscription, RejectionReason reason, String place, long retryAfter,
+    private void reject(
+            Subscription subscription,
+            RejectionReason reason,
+            String place,
+            long retryAfter,
             long now) {
-        effects.send(subscription.connection(),
-                new DistributionMessage.Rejected(subscription.scopeEpoch(), reason, place,
-                        retryAfter));
+        effects.send(
+                subscription.connection(),
+                new DistributionMessage.Rejected(
+                        subscription.scopeEpoch(), reason, place, retryAfter));
         close(subscription, reason, place, now);
     }
 
--- a/src/main/java/rockshift/distribution/RejectionReason.java
+++ b/src/main/java/rockshift/distribution/RejectionReason.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Why a message or a connection was refused or ended. The code is what logs, counters and messages show. */
+/**
+ * Why a message or a connection was refused or ended. The code is what logs, counters and messages
+ * show.
+ */
 public enum RejectionReason {
     /** A field is missing, out of range, or the message does not belong in this direction. */
     MALFORMED("malformed"),
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -4,11 +4,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An intermediate reader: subscribes upstream, keeps the state and its history, and serves subscribers of its
- * own. It never votes. What it tells of its age downstream is what it knows of it from upstream.
+ * An intermediate reader: subscribes upstream, keeps the state and its history, and serves
+ * subscribers of its own. It never votes. What it tells of its age downstream is what it knows of
+ * it from upstream.
  */
 public final class Relay {
-    /** What the host carries out: the subscriber's connection upstream, and the publisher's downstream. */
+    /**
+     * What the host carries out: the subscriber's connection upstream, and the publisher's
+     * downstream.
+     */
     public interface Effects extends Publisher.Effects {
         /** See {@link Subscriber.Effects#connect}. */
         void connect(int upstream);
@@ -35,13 +39,19 @@
      * @param scope what it holds, and so the most that it can serve
      * @param upstreams how many there are to choose from
      */
-    public Relay(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random,
+    public Relay(
+            String name,
+            Scope scope,
+            int upstreams,
+            Limits limits,
+            RandomGenerator random,
             Effects effects) {
         this.effects = effects;
         this.store = new ConfigurationStore(limits.sizes());
         this.publisher = new Publisher(store, scope, limits, random, effects);
         this.subscriber =
-                new Subscriber(name, scope, upstreams, limits, random, new Upstream(), publisher::summary);
+                new Subscriber(
+                        name, scope, upstreams, limits, random, new Upstream(), publisher::summary);
     }
 
     /** The connection upstream that was asked for is up. */
@@ -133,8 +143,8 @@
             try {
                 store.reset(revision, items);
             } catch (Refusal refusal) {
-                throw new IllegalStateException("checked by the subscriber: " + refusal.getMessage(),
-                        refusal);
+                throw new IllegalStateException(
+                        "checked by the subscriber: " + refusal.getMessage(), refusal);
             }
             handOn(revision);
         }
@@ -144,8 +154,8 @@
             try {
                 store.apply(revision, updates);
             } catch (Refusal refusal) {
-                throw new IllegalStateException("checked by the subscriber: " + refusal.getMessage(),
-                        refusal);
+                throw new IllegalStateException(
+                        "checked by the subscriber: " + refusal.getMessage(), refusal);
             }
             handOn(revision);
         }
--- a/src/main/java/rockshift/distribution/RequestCheck.java
+++ b/src/main/java/rockshift/distribution/RequestCheck.java
@@ -12,20 +12,29 @@
      * @param subscription what is known of the connection that it came over
      * @param served what this publisher holds
      */
-    static void check(DistributionMessage.Subscribe message, Subscription subscription, Scope served,
-            Limits limits) throws Refusal {
+    static void check(
+            DistributionMessage.Subscribe message,
+            Subscription subscription,
+            Scope served,
+            Limits limits)
+            throws Refusal {
         Limits.Sizes sizes = limits.sizes();
         checkName("subscriber", message.subscriber(), sizes);
         if (subscription.subscribed() && !subscription.name().equals(message.subscriber())) {
-            throw new Refusal(RejectionReason.MALFORMED, "subscriber: was '" + subscription.name() + "'");
+            throw new Refusal(
+                    RejectionReason.MALFORMED, "subscriber: was '" + subscription.name() + "'");
         } else if (message.scopeEpoch() < 1) {
             throw new Refusal(RejectionReason.MALFORMED, "scopeEpoch: " + message.scopeEpoch());
         } else if (subscription.subscribed() && message.scopeEpoch() <= subscription.scopeEpoch()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+            throw new Refusal(
+                    RejectionReason.OUT_OF_ORDER,
                     "scopeEpoch: " + message.scopeEpoch() + " after " + subscription.scopeEpoch());
         } else if (subscription.unconfirmedScopes() > limits.admission().window()) {
-            throw new Refusal(RejectionReason.SLOW,
-                    "scopeEpoch: " + subscription.unconfirmedScopes() + " changes that were not confirmed");
+            throw new Refusal(
+                    RejectionReason.SLOW,
+                    "scopeEpoch: "
+                            + subscription.unconfirmedScopes()
+                            + " changes that were not confirmed");
         } else if (message.held().number() < 0
                 || message.held().cluster() == 0 && message.held().number() != 0) {
             throw new Refusal(RejectionReason.MALFORMED, "held: " + message.held());
@@ -33,34 +42,43 @@
         checkScope(message.scope(), served, sizes);
     }
 
-    /** Refuses an acknowledgement on a connection that has not subscribed, or of a scope never asked for. */
+    /**
+     * Refuses an acknowledgement on a connection that has not subscribed, or of a scope never asked
+     * for.
+     */
     static void checkSubscribed(DistributionMessage.Acknowledge message, Subscription subscription)
             throws Refusal {
         if (!subscription.subscribed()) {
             throw new Refusal(RejectionReason.OUT_OF_ORDER, "acknowledge before subscribe");
         } else if (message.scopeEpoch() > subscription.scopeEpoch()) {
-            throw new Refusal(RejectionReason.MALFORMED,
+            throw new Refusal(
+                    RejectionReason.MALFORMED,
                     "scopeEpoch: " + message.scopeEpoch() + " was never asked for");
         }
     }
 
     /** Refuses to take for in force what was never sent, or less than before. */
-    static void check(DistributionMessage.Acknowledge message, Subscription subscription, Revision current)
+    static void check(
+            DistributionMessage.Acknowledge message, Subscription subscription, Revision current)
             throws Refusal {
         Revision inForce = message.inForce();
         Summary summary = message.summary();
-        if (message.snapshotParts() < 0 || summary.subscribers() < 0 || summary.behind() < 0
+        if (message.snapshotParts() < 0
+                || summary.subscribers() < 0
+                || summary.behind() < 0
                 || summary.unreachable() < 0) {
             throw new Refusal(RejectionReason.MALFORMED, "negative count");
         } else if (!inForce.isNone() && !inForce.sameCluster(current)) {
             throw new Refusal(RejectionReason.OTHER_CLUSTER, "inForce: " + inForce);
         } else if (inForce.number() < subscription.inForce().number()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+            throw new Refusal(
+                    RejectionReason.OUT_OF_ORDER,
                     "inForce: " + inForce + " after " + subscription.inForce());
         }
         Revision most = subscription.transfer() == null ? subscription.told() : current;
         if (inForce.number() > most.number()) {
-            throw new Refusal(RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + most);
+            throw new Refusal(
+                    RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + most);
         }
     }
 
@@ -69,7 +87,8 @@
         if (scope.isEmpty()) {
             throw new Refusal(RejectionReason.EMPTY_SCOPE, "scope: no service and no zone");
         } else if (names > sizes.scopeNames()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
                     "scope: " + names + " of " + sizes.scopeNames() + " names");
         }
         checkNames("services", scope.services(), sizes);
@@ -91,9 +110,9 @@
         if (name.isEmpty()) {
             throw new Refusal(RejectionReason.MALFORMED, field + ": empty name");
         } else if (name.length() > sizes.nameLength()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
-                    field + ": " + name.length() + " of " + sizes.nameLength()
-                            + " characters");
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
+                    field + ": " + name.length() + " of " + sizes.nameLength() + " characters");
         }
     }
 }
--- a/src/main/java/rockshift/distribution/Revision.java
+++ b/src/main/java/rockshift/distribution/Revision.java
@@ -1,8 +1,8 @@
 package rockshift.distribution;
 
 /**
- * A point in the stream of agreed changes. Numbers grow by one stream for each cluster and mean the same on
- * every member and relay, so that a subscriber can resume anywhere.
+ * A point in the stream of agreed changes. Numbers grow by one stream for each cluster and mean the
+ * same on every member and relay, so that a subscriber can resume anywhere.
  *
  * @param cluster the cluster that wrote the stream
  * @param number the version within it; 0 before the first change
--- a/src/main/java/rockshift/distribution/Roster.java
+++ b/src/main/java/rockshift/distribution/Roster.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * Which governors there should be, as a number and a fingerprint, so that a summary can be held against it
- * without names going up.
+ * Which governors there should be, as a number and a fingerprint, so that a summary can be held
+ * against it without names going up.
  *
  * @param subscribers how many
  * @param fingerprint sum of the digests of their names
--- a/src/main/java/rockshift/distribution/Scope.java
+++ b/src/main/java/rockshift/distribution/Scope.java
@@ -6,8 +6,8 @@
 import java.util.TreeSet;
 
 /**
- * What a subscriber asks for. Services and zones both bound it; where one of them is left empty it is not
- * bounded by that. An item that names no service or no zone concerns every one.
+ * What a subscriber asks for. Services and zones both bound it; where one of them is left empty it
+ * is not bounded by that. An item that names no service or no zone concerns every one.
  *
  * @param everything asks for all, whatever else is named
  * @param services the services asked for
@@ -48,7 +48,8 @@
     }
 
     /**
-     * The first service or zone of the other scope that this one does not hold; null if it holds all of it.
+     * The first service or zone of the other scope that this one does not hold; null if it holds
+     * all of it.
      */
     public String missing(Scope other) {
         if (everything) {
--- a/src/main/java/rockshift/distribution/SnapshotAssembly.java
+++ b/src/main/java/rockshift/distribution/SnapshotAssembly.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The parts of a snapshot that have come so far. Nothing of it counts before all are there and the digest
- * agrees.
+ * The parts of a snapshot that have come so far. Nothing of it counts before all are there and the
+ * digest agrees.
  */
 final class SnapshotAssembly {
     private final DistributionMessage.SnapshotPart first;
@@ -23,7 +23,8 @@
         } else if (first.parts() < 1) {
             throw new Refusal(RejectionReason.MALFORMED, "parts: " + first.parts());
         } else if (first.parts() > sizes.stateItems()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
                     "parts: " + first.parts() + " of " + sizes.stateItems());
         }
         this.first = first;
@@ -32,14 +33,27 @@
 
     /** Takes the next part. */
     void add(DistributionMessage.SnapshotPart part, Scope scope) throws Refusal {
-        if (!part.revision().equals(first.revision()) || part.parts() != first.parts()
-                || part.digest() != first.digest() || part.part() != received) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER,
-                    "part: " + part.part() + " of " + part.parts() + " at "
-                            + part.revision() + " after " + received + " of " + first.parts() + " at "
+        if (!part.revision().equals(first.revision())
+                || part.parts() != first.parts()
+                || part.digest() != first.digest()
+                || part.part() != received) {
+            throw new Refusal(
+                    RejectionReason.OUT_OF_ORDER,
+                    "part: "
+                            + part.part()
+                            + " of "
+                            + part.parts()
+                            + " at "
+                            + part.revision()
+                            + " after "
+                            + received
+                            + " of "
+                            + first.parts()
+                            + " at "
                             + first.revision());
         } else if (part.items().size() > sizes.partItems()) {
-            throw new Refusal(RejectionReason.TOO_LARGE,
+            throw new Refusal(
+                    RejectionReason.TOO_LARGE,
                     "items: " + part.items().size() + " of " + sizes.partItems());
         } else if (items.size() + part.items().size() > sizes.stateItems()) {
             throw new Refusal(RejectionReason.TOO_LARGE, "items: more than " + sizes.stateItems());
@@ -61,7 +75,8 @@
         }
         long itemDigest = item.digest();
         if (digests.put(item.key(), itemDigest) != null) {
-            throw new Refusal(RejectionReason.MALFORMED, place + ".key: '" + item.key() + "' comes twice");
+            throw new Refusal(
+                    RejectionReason.MALFORMED, place + ".key: '" + item.key() + "' comes twice");
         }
         items.add(item);
         digest += itemDigest;
--- a/src/main/java/rockshift/distribution/SnapshotTransfer.java
+++ b/src/main/java/rockshift/distribution/SnapshotTransfer.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * A snapshot on its way to one subscriber: taken at one revision, sent in parts as the subscriber takes them.
+ * A snapshot on its way to one subscriber: taken at one revision, sent in parts as the subscriber
+ * takes them.
  */
 final class SnapshotTransfer {
     private final Revision revision;
@@ -14,7 +15,8 @@
     private int sent;
     private int taken;
 
-    SnapshotTransfer(Revision revision, long digest, List<Item> items, Limits.Sizes sizes, long now) {
+    SnapshotTransfer(
+            Revision revision, long digest, List<Item> items, Limits.Sizes sizes, long now) {
         this.revision = revision;
         this.digest = digest;
         this.startedAt = now;
@@ -49,8 +51,8 @@
 
     DistributionMessage.SnapshotPart next(long scopeEpoch) {
         int part = sent++;
-        return new DistributionMessage.SnapshotPart(scopeEpoch, revision, part, parts.size(), digest,
-                parts.get(part));
+        return new DistributionMessage.SnapshotPart(
+                scopeEpoch, revision, part, parts.size(), digest, parts.get(part));
     }
 
     private static List<List<Item>> split(List<Item> items, Limits.Sizes sizes) {
@@ -60,7 +62,8 @@
         for (int index = 0; index < items.size(); index++) {
             long itemBytes = items.get(index).bytes();
             if (index > start
-                    && (index - start == sizes.partItems() || bytes + itemBytes > sizes.partBytes())) {
+                    && (index - start == sizes.partItems()
+                            || bytes + itemBytes > sizes.partBytes())) {
                 parts.add(items.subList(start, index));
                 start = index;
                 bytes = 0;
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -8,18 +8,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The upstream side of a governor or relay: keeps one subscription going over a choice of upstreams, and
- * knows how old what it holds may be. Whatever comes wrong is refused whole, and what was held stays.
+ * The upstream side of a governor or relay: keeps one subscription going over a choice of
+ * upstreams, and knows how old what it holds may be. Whatever comes wrong is refused whole, and
+ * what was held stays.
  */
 public final class Subscriber {
     /**
-     * What the host carries out. Calls into the subscriber from within these are not allowed, but for {@link
-     * #acknowledged}.
+     * What the host carries out. Calls into the subscriber from within these are not allowed, but
+     * for {@link #acknowledged}.
      */
     public interface Effects {
         /**
-         * Opens a connection to an upstream, by its place in the host's list; answered by connected or
-         * disconnected.
+         * Opens a connection to an upstream, by its place in the host's list; answered by connected
+         * or disconnected.
          */
         void connect(int upstream);
 
@@ -43,7 +44,9 @@
     }
 
     private enum Phase {
-        WAITING, CONNECTING, CONNECTED
+        WAITING,
+        CONNECTING,
+        CONNECTED
     }
 
     private static final long NEVER = Long.MIN_VALUE;
@@ -84,13 +87,23 @@
      *
      * @param upstreams how many there are to choose from
      */
-    public Subscriber(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random,
+    public Subscriber(
+            String name,
+            Scope scope,
+            int upstreams,
+            Limits limits,
+            RandomGenerator random,
             Effects effects) {
         this(name, scope, upstreams, limits, random, effects, null);
     }
 
     /** As above, with the sum of what is in force below; null: there is nobody below. */
-    Subscriber(String name, Scope scope, int upstreams, Limits limits, RandomGenerator random,
+    Subscriber(
+            String name,
+            Scope scope,
+            int upstreams,
+            Limits limits,
+            RandomGenerator random,
             Effects effects,
             Supplier<Summary> below) {
         this.name = name;
@@ -98,7 +111,8 @@
         this.upstreams = upstreams;
         this.limits = limits;
         this.effects = effects;
-        this.summary = below == null ? () -> Summary.ofOne(name, inForce.of(scopeEpoch).number()) : below;
+        this.summary =
+                below == null ? () -> Summary.ofOne(name, inForce.of(scopeEpoch).number()) : below;
         this.held = new HeldState(limits.sizes());
         this.backOff = new BackOff(limits.timing(), random);
         this.upstream = random.nextInt(upstreams);
@@ -140,7 +154,8 @@
             if (message instanceof DistributionMessage.Rejected rejected) {
                 rejected(rejected, now);
             } else if (message.scopeEpoch() > scopeEpoch) {
-                throw new Refusal(RejectionReason.MALFORMED,
+                throw new Refusal(
+                        RejectionReason.MALFORMED,
                         "scopeEpoch: " + message.scopeEpoch() + " of " + scopeEpoch);
             } else if (message.scopeEpoch() == scopeEpoch) {
                 take(message, now);
@@ -159,8 +174,8 @@
     }
 
     /**
-     * What was handed over as this revision is in force. To be called for each, in order, or for the last of
-     * several.
+     * What was handed over as this revision is in force. To be called for each, in order, or for
+     * the last of several.
      */
     public void acknowledged(Revision revision, long now) {
         if (inForce.acknowledged(revision, held.revision()) && phase == Phase.CONNECTED) {
@@ -198,7 +213,10 @@
         }
     }
 
-    /** Asks for another scope from now on. What is held stays until the first snapshot of the new one. */
+    /**
+     * Asks for another scope from now on. What is held stays until the first snapshot of the new
+     * one.
+     */
     public void scope(Scope wanted, long now) {
         scope = wanted;
         scopeEpoch++;
@@ -222,8 +240,8 @@
     }
 
     /**
-     * What is held was the newest there is at this time, by the clock that is handed in; the lowest long if
-     * it never was.
+     * What is held was the newest there is at this time, by the clock that is handed in; the lowest
+     * long if it never was.
      */
     public long freshAt() {
         return freshAt;
@@ -248,9 +266,9 @@
         assembly = null;
         subscribed = false;
         boolean resumes = !wantsSnapshot && held.scopeEpoch() == scopeEpoch;
-        effects.send(new DistributionMessage.Subscribe(name, scopeEpoch, scope,
-                resumes ? held.revision() : Revision.NONE,
-                now));
+        effects.send(
+                new DistributionMessage.Subscribe(
+                        name, scopeEpoch, scope, resumes ? held.revision() : Revision.NONE, now));
     }
 
     private void take(DistributionMessage message, long now) throws Refusal {
@@ -264,7 +282,8 @@
             rejections.count(notice.reason());
             effects.notice(notice.reason(), notice.place());
         } else {
-            throw new Refusal(RejectionReason.MALFORMED,
+            throw new Refusal(
+                    RejectionReason.MALFORMED,
                     "a subscriber takes no " + message.getClass().getSimpleName());
         }
     }
@@ -303,8 +322,14 @@
 
     private void take(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
         if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > now) {
-            throw new Refusal(RejectionReason.MALFORMED, "heartbeat: stale for " + heartbeat.staleMillis()
-                    + " ms, answers " + heartbeat.echoMillis() + " at " + now);
+            throw new Refusal(
+                    RejectionReason.MALFORMED,
+                    "heartbeat: stale for "
+                            + heartbeat.staleMillis()
+                            + " ms, answers "
+                            + heartbeat.echoMillis()
+                            + " at "
+                            + now);
         }
         if (!heartbeat.current().isNone()) {
             standsAt(heartbeat, now);
@@ -315,7 +340,8 @@
 
     private void standsAt(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
         if (assembly != null || held.scopeEpoch() != scopeEpoch || wantsSnapshot) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER,
+            throw new Refusal(
+                    RejectionReason.OUT_OF_ORDER,
                     "current: " + heartbeat.current() + " before the whole snapshot");
         }
         held.checkStandsAt(heartbeat);
@@ -337,8 +363,8 @@
     }
 
     /**
-     * Moves to the next upstream once for each; when all are out of date it stays a while, and then looks
-     * again.
+     * Moves to the next upstream once for each; when all are out of date it stays a while, and then
+     * looks again.
      */
     private void leaveIfStale(DistributionMessage.Heartbeat heartbeat, long now) {
         if (heartbeat.staleMillis() <= limits.timing().stale()) {
@@ -347,10 +373,15 @@
             staleUpstreams++;
             if (staleUpstreams >= upstreams) {
                 staleUpstreams = 0;
-                staleMoveAt = now + limits.timing().staleRetry() / 2
-                        + backOff.upTo(limits.timing().staleRetry() / 2);
+                staleMoveAt =
+                        now
+                                + limits.timing().staleRetry() / 2
+                                + backOff.upTo(limits.timing().staleRetry() / 2);
             } else {
-                end(RejectionReason.STALE_UPSTREAM, "stale for " + heartbeat.staleMillis() + " ms", now);
+                end(
+                        RejectionReason.STALE_UPSTREAM,
+                        "stale for " + heartbeat.staleMillis() + " ms",
+                        now);
             }
         }
     }
@@ -359,7 +390,10 @@
         rejections.count(rejected.reason());
         effects.disconnect(rejected.reason(), rejected.place());
         long wait = backOff.next();
-        long told = Math.min(Math.max(0, rejected.retryAfterMillis()), limits.admission().mostRetryMillis());
+        long told =
+                Math.min(
+                        Math.max(0, rejected.retryAfterMillis()),
+                        limits.admission().mostRetryMillis());
         retry(now + Math.max(wait, told), rejected.reason() != RejectionReason.BUSY);
     }
 
@@ -383,7 +417,12 @@
     private void acknowledge(long now) {
         acknowledgedAt = now;
         summarySent = summary.get();
-        effects.send(new DistributionMessage.Acknowledge(scopeEpoch, inForce.of(scopeEpoch),
-                assembly == null ? 0 : assembly.received(), summarySent, now));
+        effects.send(
+                new DistributionMessage.Acknowledge(
+                        scopeEpoch,
+                        inForce.of(scopeEpoch),
+                        assembly == null ? 0 : assembly.received(),
+                        summarySent,
+                        now));
     }
 }
--- a/src/main/java/rockshift/distribution/Subscription.java
+++ b/src/main/java/rockshift/distribution/Subscription.java
@@ -78,12 +78,17 @@
         unacknowledged.clear();
     }
 
-    /** What the subscriber holds once it has everything sent to it; none while it waits for a snapshot. */
+    /**
+     * What the subscriber holds once it has everything sent to it; none while it waits for a
+     * snapshot.
+     */
     Revision told() {
         return told;
     }
 
-    /** The last number up to which nothing changed in the scope since what the subscriber was told. */
+    /**
+     * The last number up to which nothing changed in the scope since what the subscriber was told.
+     */
     long unchangedThrough() {
         return unchangedThrough;
     }
@@ -129,7 +134,10 @@
         lastRelevant = started.revision().number();
     }
 
-    /** Whether all that was sent before has been read, so that no more than one snapshot waits to be read. */
+    /**
+     * Whether all that was sent before has been read, so that no more than one snapshot waits to be
+     * read.
+     */
     boolean mayStartTransfer() {
         return unacknowledged.isEmpty() && unconfirmedScopes == 0;
     }
@@ -179,8 +187,8 @@
     }
 
     /**
-     * When what it was told was last known to be the newest, where the store's state is known to have been at
-     * the time given.
+     * When what it was told was last known to be the newest, where the store's state is known to
+     * have been at the time given.
      */
     long freshAt(long storeFreshAt) {
         return Math.min(outdatedSince, storeFreshAt);
@@ -217,7 +225,9 @@
 
     /** How many governors are out of reach once this connection has ended. */
     int governors() {
-        return acknowledged ? summary.subscribers() + summary.unreachable() : Math.max(1, lostBefore);
+        return acknowledged
+                ? summary.subscribers() + summary.unreachable()
+                : Math.max(1, lostBefore);
     }
 
     private ForceTally.Share currentShare() {
@@ -227,8 +237,12 @@
         long lowest = Math.min(inForce.number(), summary.lowestRevision());
         boolean pending = outdated() || transfer != null;
         boolean hasAll = !pending && inForce.number() >= lastRelevant;
-        return new ForceTally.Share(!pending && lowest >= lastRelevant, lowest, summary.subscribers(),
-                hasAll ? summary.behind() : summary.subscribers(), summary.unreachable(),
+        return new ForceTally.Share(
+                !pending && lowest >= lastRelevant,
+                lowest,
+                summary.subscribers(),
+                hasAll ? summary.behind() : summary.subscribers(),
+                summary.unreachable(),
                 summary.fingerprint());
     }
 
--- a/src/main/java/rockshift/distribution/Summary.java
+++ b/src/main/java/rockshift/distribution/Summary.java
@@ -1,8 +1,8 @@
 package rockshift.distribution;
 
 /**
- * What is in force at a subscriber and below it, summed up on the way back. A relay sends the sum of its
- * subscribers, so that a member learns of all governors from a few relays.
+ * What is in force at a subscriber and below it, summed up on the way back. A relay sends the sum
+ * of its subscribers, so that a member learns of all governors from a few relays.
  *
  * @param lowestRevision the lowest number that is in force at any of the governors counted
  * @param subscribers governors connected; relays are not counted
@@ -10,7 +10,8 @@
  * @param unreachable governors that were connected and are not, for as long as they are remembered
  * @param fingerprint sum of the digests of the names of the governors connected, see {@link Roster}
  */
-public record Summary(long lowestRevision, int subscribers, int behind, int unreachable, long fingerprint) {
+public record Summary(
+        long lowestRevision, int subscribers, int behind, int unreachable, long fingerprint) {
     /** The summary of one governor by itself. */
     public static Summary ofOne(String subscriber, long inForce) {
         return new Summary(inForce, 1, 0, 0, Digest.of(subscriber));
@@ -18,8 +19,12 @@
 
     /** The sum of two, as of members that each see a part of the governors. */
     public Summary plus(Summary other) {
-        return new Summary(Math.min(lowestRevision, other.lowestRevision), subscribers + other.subscribers,
-                behind + other.behind, unreachable + other.unreachable, fingerprint + other.fingerprint);
+        return new Summary(
+                Math.min(lowestRevision, other.lowestRevision),
+                subscribers + other.subscribers,
+                behind + other.behind,
+                unreachable + other.unreachable,
+                fingerprint + other.fingerprint);
     }
 
     /** Whether a revision is in force at every governor that is, or was lately, connected. */
@@ -28,10 +33,12 @@
     }
 
     /**
-     * Whether a revision is in force at each governor of the roster, none left out and none counted twice.
+     * Whether a revision is in force at each governor of the roster, none left out and none counted
+     * twice.
      */
     public boolean inForceEverywhere(long revision, Roster roster) {
-        return inForce(revision) && subscribers == roster.subscribers()
+        return inForce(revision)
+                && subscribers == roster.subscribers()
                 && fingerprint == roster.fingerprint();
     }
 }
--- a/src/main/java/rockshift/distribution/Update.java
+++ b/src/main/java/rockshift/distribution/Update.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * What an item became at a revision. It is absolute: applying it twice, or skipping one in between, does no
- * harm.
+ * What an item became at a revision. It is absolute: applying it twice, or skipping one in between,
+ * does no harm.
  *
  * @param revision the number of the revision that last changed the item
  * @param item the item as of then; of a deletion only its name and whom it concerned
--- a/src/main/java/rockshift/kit/Charts.java
+++ b/src/main/java/rockshift/kit/Charts.java
@@ -17,13 +17,20 @@
     private Charts() {}
 
     /** Bars by name. */
-    public static void bars(Path file, String title, String unit, Map<String, ? extends Number> values)
+    public static void bars(
+            Path file, String title, String unit, Map<String, ? extends Number> values)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
         CategoryChart chart =
-                new CategoryChartBuilder().width(900).height(420).title(title).yAxisTitle(unit).build();
+                new CategoryChartBuilder()
+                        .width(900)
+                        .height(420)
+                        .title(title)
+                        .yAxisTitle(unit)
+                        .build();
         chart.getStyler().setXAxisLabelRotation(30).setLegendVisible(false);
-        chart.addSeries(unit, new ArrayList<>(values.keySet()), new ArrayList<Number>(values.values()));
+        chart.addSeries(
+                unit, new ArrayList<>(values.keySet()), new ArrayList<Number>(values.values()));
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
@@ -31,29 +38,48 @@
     public static void factors(Path file, String title, Map<String, ? extends Number> values)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
-        CategoryChart chart = new CategoryChartBuilder().width(1_000).height(600).title(title)
-                .yAxisTitle("times the budget").build();
+        CategoryChart chart =
+                new CategoryChartBuilder()
+                        .width(1_000)
+                        .height(600)
+                        .title(title)
+                        .yAxisTitle("times the budget")
+                        .build();
         chart.getStyler().setYAxisLogarithmic(true);
         chart.getStyler().setXAxisLabelRotation(90);
         chart.getStyler().setLegendVisible(false);
         chart.getStyler().setYAxisMin(0.01);
         chart.getStyler().setYAxisMax(100.0);
-        chart.addSeries("factor", new ArrayList<>(values.keySet()), new ArrayList<Number>(values.values()));
+        chart.addSeries(
+                "factor", new ArrayList<>(values.keySet()), new ArrayList<Number>(values.values()));
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    /** The share of values that are slower, against the value: the tail of a histogram in us, in ms. */
+    /**
+     * The share of values that are slower, against the value: the tail of a histogram in us, in ms.
+     */
     public static void tail(Path file, String title, Histogram taken) throws IOException {
         System.setProperty("java.awt.headless", "true");
         List<Double> at = new ArrayList<>();
         List<Double> slower = new ArrayList<>();
-        for (double percentile = 0; percentile < 99.99; percentile = 100 - (100 - percentile) * 0.8) {
+        for (double percentile = 0;
+                percentile < 99.99;
+                percentile = 100 - (100 - percentile) * 0.8) {
             at.add(Math.max(0.001, taken.getValueAtPercentile(percentile) / 1_000.0));
             slower.add((100 - percentile) / 100);
         }
-        XYChart chart = new XYChartBuilder().width(900).height(420).title(title).xAxisTitle("ms")
-                .yAxisTitle("share that took longer").build();
-        chart.getStyler().setXAxisLogarithmic(true).setYAxisLogarithmic(true).setLegendVisible(false)
+        XYChart chart =
+                new XYChartBuilder()
+                        .width(900)
+                        .height(420)
+                        .title(title)
+                        .xAxisTitle("ms")
+                        .yAxisTitle("share that took longer")
+                        .build();
+        chart.getStyler()
+                .setXAxisLogarithmic(true)
+                .setYAxisLogarithmic(true)
+                .setLegendVisible(false)
                 .setMarkerSize(3);
         chart.addSeries("changes", at, slower);
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/kit/ClusterBench.java
@@ -29,9 +29,9 @@
 import rockshift.raft.Timing;
 
 /**
- * What agreement costs on this machine, each figure beside what bounds it in the same run: a change beside
- * one sync and one round trip, many changes beside the same log written without agreement, an election beside
- * its time-out.
+ * What agreement costs on this machine, each figure beside what bounds it in the same run: a change
+ * beside one sync and one round trip, many changes beside the same log written without agreement,
+ * an election beside its time-out.
  */
 public final class ClusterBench {
     private static final long ELECTION_MS = 300;
@@ -41,7 +41,11 @@
     private final Path folder;
     private final Map<String, Double> figures = new LinkedHashMap<>();
     private final ClusterMember[] members = new ClusterMember[3];
-    /** Ports of the members: free ones, taken again at each start, so that nothing stands between members. */
+
+    /**
+     * Ports of the members: free ones, taken again at each start, so that nothing stands between
+     * members.
+     */
     private final int[] ports = new int[3];
 
     public ClusterBench(Path folder) {
@@ -73,7 +77,8 @@
     }
 
     /** All figures by name, in their order. */
-    public Map<String, Double> run(int changes, int kills) throws IOException, InterruptedException {
+    public Map<String, Double> run(int changes, int kills)
+            throws IOException, InterruptedException {
         sync(changes);
         roundTrip(changes);
         plainLog();
@@ -92,9 +97,14 @@
         for (ClusterMember member : members) {
             member.close();
         }
-        ratio("change / (sync + round trip)", "change, median us", figures.get("sync, median us")
-                + figures.get("round trip, median us"));
-        ratio("agreed / plain log", "agreed changes a second", figures.get("plain log, entries a second"));
+        ratio(
+                "change / (sync + round trip)",
+                "change, median us",
+                figures.get("sync, median us") + figures.get("round trip, median us"));
+        ratio(
+                "agreed / plain log",
+                "agreed changes a second",
+                figures.get("plain log, entries a second"));
         ratio("leaderless p99 / election", "leaderless, p99 ms", (double) ELECTION_MS);
         return figures;
     }
@@ -125,21 +135,28 @@
         Histogram taken = new Histogram(3);
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket near = new Socket()) {
-            near.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
+            near.connect(
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), listener.getLocalPort()));
             Socket far = listener.accept();
             near.setTcpNoDelay(true);
             far.setTcpNoDelay(true);
-            Thread echo = new Thread(() -> {
-                try (far) {
-                    byte[] frame = new byte[BODY];
-                    for (DataInputStream in = new DataInputStream(far.getInputStream());;) {
-                        in.readFully(frame);
-                        far.getOutputStream().write(frame);
-                    }
-                } catch (IOException over) {
-                    // The measurement is done.
-                }
-            }, "echo");
+            Thread echo =
+                    new Thread(
+                            () -> {
+                                try (far) {
+                                    byte[] frame = new byte[BODY];
+                                    for (DataInputStream in =
+                                                    new DataInputStream(far.getInputStream());
+                                            ; ) {
+                                        in.readFully(frame);
+                                        far.getOutputStream().write(frame);
+                                    }
+                                } catch (IOException over) {
+                                    // The measurement is done.
+                                }
+                            },
+                            "echo");
             echo.setDaemon(true);
             echo.start();
             DataInputStream in = new DataInputStream(near.getInputStream());
@@ -170,7 +187,8 @@
             for (int batch = 0; batch < 400; batch++) {
                 log.save(Ballot.NONE, 1 + batch * 64L, entries(1 + batch * 64L, 64), null);
             }
-            figures.put("plain log, entries a second", 400 * 64 / ((System.nanoTime() - began) / 1e9));
+            figures.put(
+                    "plain log, entries a second", 400 * 64 / ((System.nanoTime() - began) / 1e9));
         }
     }
 
@@ -193,11 +211,18 @@
             founders.put("n" + k, address(k));
         }
         members[i] =
-                new ClusterMember(new ClusterSettings("n" + i, new InetSocketAddress("127.0.0.1", ports[i]),
-                        address(i), folder.resolve("member" + i), founders, Map.of(),
-                        new Timing(ELECTION_MS * 10, ELECTION_MS * 2, 0.05, true, 512),
-                        new Engine.Compaction(10_000, 4 << 20),
-                        ClusterSettings.Minority.WITHDRAW), new NoGovernor());
+                new ClusterMember(
+                        new ClusterSettings(
+                                "n" + i,
+                                new InetSocketAddress("127.0.0.1", ports[i]),
+                                address(i),
+                                folder.resolve("member" + i),
+                                founders,
+                                Map.of(),
+                                new Timing(ELECTION_MS * 10, ELECTION_MS * 2, 0.05, true, 512),
+                                new Engine.Compaction(10_000, 4 << 20),
+                                ClusterSettings.Minority.WITHDRAW),
+                        new NoGovernor());
         members[i].start();
     }
 
@@ -241,16 +266,19 @@
         List<Thread> threads = new ArrayList<>();
         for (int k = 0; k < 64; k++) {
             int seed = k;
-            threads.add(new Thread(() -> {
-                try (Client client = client(100 + seed)) {
-                    for (int i = 0; System.nanoTime() < end; i++) {
-                        client.change(change(i), true, deadline());
-                        done.incrementAndGet();
-                    }
-                } catch (IOException | InterruptedException failure) {
-                    System.err.println("a client ended: " + failure.getMessage());
-                }
-            }, "client " + k));
+            threads.add(
+                    new Thread(
+                            () -> {
+                                try (Client client = client(100 + seed)) {
+                                    for (int i = 0; System.nanoTime() < end; i++) {
+                                        client.change(change(i), true, deadline());
+                                        done.incrementAndGet();
+                                    }
+                                } catch (IOException | InterruptedException failure) {
+                                    System.err.println("a client ended: " + failure.getMessage());
+                                }
+                            },
+                            "client " + k));
         }
         threads.forEach(Thread::start);
         for (Thread thread : threads) {
@@ -260,8 +288,8 @@
     }
 
     /**
-     * What three processes hold of memory as so many changes are agreed, by changes: the most of the three,
-     * in MB.
+     * What three processes hold of memory as so many changes are agreed, by changes: the most of
+     * the three, in MB.
      */
     public Map<Long, Double> memory(long changes) throws IOException, InterruptedException {
         Map<Long, Double> held = new LinkedHashMap<>();
@@ -277,15 +305,21 @@
             List<Thread> threads = new ArrayList<>();
             for (int k = 0; k < 32; k++) {
                 int seed = k;
-                threads.add(new Thread(() -> {
-                    try (Client client = new Client(addresses, new SplittableRandom(seed), 2_000)) {
-                        while (done.incrementAndGet() <= changes) {
-                            client.change(change(seed), true, deadline());
-                        }
-                    } catch (IOException | InterruptedException failure) {
-                        System.err.println("a client ended: " + failure.getMessage());
-                    }
-                }, "client " + k));
+                threads.add(
+                        new Thread(
+                                () -> {
+                                    try (Client client =
+                                            new Client(
+                                                    addresses, new SplittableRandom(seed), 2_000)) {
+                                        while (done.incrementAndGet() <= changes) {
+                                            client.change(change(seed), true, deadline());
+                                        }
+                                    } catch (IOException | InterruptedException failure) {
+                                        System.err.println(
+                                                "a client ended: " + failure.getMessage());
+                                    }
+                                },
+                                "client " + k));
             }
             threads.forEach(Thread::start);
             for (long next = 0; next <= changes; next += changes / 10) {
--- a/src/main/java/rockshift/kit/DiscoveryStandIn.java
+++ b/src/main/java/rockshift/kit/DiscoveryStandIn.java
@@ -15,7 +15,10 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** A discovery agent on loopback whose list never changes: a watch of it is held for as long as it asks. */
+/**
+ * A discovery agent on loopback whose list never changes: a watch of it is held for as long as it
+ * asks.
+ */
 public final class DiscoveryStandIn implements AutoCloseable {
     private static final Pattern WAIT = Pattern.compile("wait=(\\d+)");
     private static final int BACKLOG = 50;
@@ -23,17 +26,25 @@
     /** Calls that were answered, and the bytes of their answers. */
     public record Traffic(long calls, long bytes) {}
 
-    private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    private final ServerSocket listener =
+            new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final String list;
-    private final byte[] unchanged = response("{\"generation\":1,\"reset\":false,\"instances\":[]}");
+    private final byte[] unchanged =
+            response("{\"generation\":1,\"reset\":false,\"instances\":[]}");
 
     private final AtomicLong calls = new AtomicLong();
     private final AtomicLong bytes = new AtomicLong();
 
     /** Lists that many replicas, spread evenly over the zones. */
     public DiscoveryStandIn(int replicas, List<String> zones) throws IOException {
-        list = IntStream.range(0, replicas).mapToObj(i -> entry(i, zones.get(i % zones.size())))
-                .collect(Collectors.joining(",", "{\"generation\":1,\"reset\":true,\"instances\":[", "]}"));
+        list =
+                IntStream.range(0, replicas)
+                        .mapToObj(i -> entry(i, zones.get(i % zones.size())))
+                        .collect(
+                                Collectors.joining(
+                                        ",",
+                                        "{\"generation\":1,\"reset\":true,\"instances\":[",
+                                        "]}"));
         Thread acceptor = new Thread(this::accept, "discovery");
         acceptor.setDaemon(true);
         acceptor.start();
@@ -45,7 +56,10 @@
     }
 
     private static String entry(int number, String zone) {
-        return "{\"instanceId\":\"" + replica(number) + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"" + zone
+        return "{\"instanceId\":\""
+                + replica(number)
+                + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\""
+                + zone
                 + "\",\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"Ready\",\"weight\":1.0,"
                 + "\"startedAtMs\":0}";
     }
--- a/src/main/java/rockshift/kit/FaultInjection.java
+++ b/src/main/java/rockshift/kit/FaultInjection.java
@@ -7,8 +7,8 @@
 import rockshift.raft.Sessions;
 
 /**
- * The points at which a simulated world can be made to do wrong. As it stands nothing is wrong; a test of the
- * checks overrides one method, and the explorer must find it.
+ * The points at which a simulated world can be made to do wrong. As it stands nothing is wrong; a
+ * test of the checks overrides one method, and the explorer must find it.
  */
 public class FaultInjection {
     public Rules rules() {
--- a/src/main/java/rockshift/kit/FaultyLink.java
+++ b/src/main/java/rockshift/kit/FaultyLink.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A TCP link from one member to another on loopback, which can be cut, slowed, or made to lose and double
- * whole frames. What it does to a frame comes from its seed. A cut says nothing: the connection stays open
- * and silent, as when a machine is cut off.
+ * A TCP link from one member to another on loopback, which can be cut, slowed, or made to lose and
+ * double whole frames. What it does to a frame comes from its seed. A cut says nothing: the
+ * connection stays open and silent, as when a machine is cut off.
  */
 public final class FaultyLink implements AutoCloseable {
     private static final int LONGEST = 1 << 21;
@@ -81,13 +81,15 @@
                 open.add(from);
                 open.add(to);
                 try {
-                    to.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), target), DIAL);
+                    to.connect(
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), target), DIAL);
                     from.setTcpNoDelay(true);
                     to.setTcpNoDelay(true);
                     begin(() -> pass(from, to, true));
                     begin(() -> pass(to, from, false));
                 } catch (IOException refused) {
-                    // Nobody is there: who dialled is told by the end of the connection, and dials again.
+                    // Nobody is there: who dialled is told by the end of the connection, and dials
+                    // again.
                     end(from);
                     end(to);
                 }
@@ -104,7 +106,8 @@
 
     /** Passes frames on in one direction; faults are done to what the dialling member says. */
     private void pass(Socket from, Socket to, boolean spoils) {
-        try (from; to) {
+        try (from;
+                to) {
             DataInputStream in = new DataInputStream(from.getInputStream());
             DataOutputStream out = new DataOutputStream(to.getOutputStream());
             while (true) {
--- a/src/main/java/rockshift/kit/FaultyNetwork.java
+++ b/src/main/java/rockshift/kit/FaultyNetwork.java
@@ -5,7 +5,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the network of a simulated cluster does to messages: cuts between members, loss, doubles and delays.
+ * What the network of a simulated cluster does to messages: cuts between members, loss, doubles and
+ * delays.
  */
 final class FaultyNetwork {
     /** Tenths of a ms: the longest delays that a disturbed network may have. */
@@ -62,7 +63,11 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "loses %.2f, doubles %.2f, delays up to %.1f ms", loss, doubling,
+        return String.format(
+                Locale.ROOT,
+                "loses %.2f, doubles %.2f, delays up to %.1f ms",
+                loss,
+                doubling,
                 longest / 10.0);
     }
 }
--- a/src/main/java/rockshift/kit/GovernorProcesses.java
+++ b/src/main/java/rockshift/kit/GovernorProcesses.java
@@ -10,9 +10,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Governors that agree, as processes on loopback, with a faulty link between any two of them and one
- * before each for commands, and a stand-in for discovery. It owns the processes that it starts and ends them
- * all, also when it is ended itself.
+ * Governors that agree, as processes on loopback, with a faulty link between any two of them and
+ * one before each for commands, and a stand-in for discovery. It owns the processes that it starts
+ * and ends them all, also when it is ended itself.
  */
 public final class GovernorProcesses implements AutoCloseable {
     private static final int REPLICAS = 6;
@@ -35,7 +35,8 @@
     private final DiscoveryStandIn discovery = new DiscoveryStandIn(REPLICAS, List.of("hall-a"));
     private final Thread atEnd = new Thread(this::killAll);
 
-    public GovernorProcesses(Path folder, int members, String election, long seed, LogListener listener)
+    public GovernorProcesses(
+            Path folder, int members, String election, long seed, LogListener listener)
             throws IOException {
         this.folder = folder;
         this.members = members;
@@ -80,24 +81,43 @@
 
     private Path write(int member) throws IOException {
         StringBuilder text =
-                new StringBuilder("cluster {\n  name = \"n" + member + "\"\n  listen = \"127.0.0.1:0\"\n"
-                        + "  address = \"" + front(member) + "\"\n  folder = \""
-                        + folder.resolve("d" + member) + "\"\n"
-                        + "  election = \"" + election + "\"\n  snapshot_after = 200\n");
+                new StringBuilder(
+                        "cluster {\n  name = \"n"
+                                + member
+                                + "\"\n  listen = \"127.0.0.1:0\"\n"
+                                + "  address = \""
+                                + front(member)
+                                + "\"\n  folder = \""
+                                + folder.resolve("d" + member)
+                                + "\"\n"
+                                + "  election = \""
+                                + election
+                                + "\"\n  snapshot_after = 200\n");
         for (int i = 0; i < members; i++) {
             text.append("  founder \"n" + i + "\" { address = \"" + front(i) + "\" }\n");
-            text.append("  route \"n" + i + "\" { address = \"" + links[member][i].address() + "\" }\n");
+            text.append(
+                    "  route \"n"
+                            + i
+                            + "\" { address = \""
+                            + links[member][i].address()
+                            + "\" }\n");
         }
-        Files.writeString(folder.resolve("governor" + member + ".json"), "{\"name\":\"n" + member
-                + "\",\"listen\":"
-                + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + discovery.port() + "\",\"seed\":\""
-                + (member + 1)
-                + "\",\"limits\":{\"sockets\":512},\"known\":" + discovery.list()
-                + ",\"settings\":{\"dcs\":[\"hall-a\"],"
-                + "\"granularity_us\":5000,\"report\":{\"names\":[\"util\"]},"
-                + "\"classes\":[{\"name\":\"subset\",\"worth\":1.0}],"
-                + "\"domain\":{\"proxy_count\":8,\"channel_rate\":5000,\"backlog\":5000.0,"
-                + "\"fixed_cost\":3.0}}}");
+        Files.writeString(
+                folder.resolve("governor" + member + ".json"),
+                "{\"name\":\"n"
+                        + member
+                        + "\",\"listen\":"
+                        + "\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+                        + discovery.port()
+                        + "\",\"seed\":\""
+                        + (member + 1)
+                        + "\",\"limits\":{\"sockets\":512},\"known\":"
+                        + discovery.list()
+                        + ",\"settings\":{\"dcs\":[\"hall-a\"],"
+                        + "\"granularity_us\":5000,\"report\":{\"names\":[\"util\"]},"
+                        + "\"classes\":[{\"name\":\"subset\",\"worth\":1.0}],"
+                        + "\"domain\":{\"proxy_count\":8,\"channel_rate\":5000,\"backlog\":5000.0,"
+                        + "\"fixed_cost\":3.0}}}");
         return Files.writeString(folder.resolve("operator" + member + ".hcl"), text.append("}\n"));
     }
 
@@ -105,7 +125,9 @@
     public void start(int member) throws IOException, InterruptedException {
         Path operator = write(member);
         ProcessBuilder builder =
-                ProgramCommand.serve(folder.resolve("governor" + member + ".json"), List.of(),
+                ProgramCommand.serve(
+                        folder.resolve("governor" + member + ".json"),
+                        List.of(),
                         List.of("--operator", operator.toString()));
         int life = ++lives[member];
         ports[member] = 0;
@@ -117,7 +139,8 @@
         reader.start();
         await(() -> !process.isAlive() || ports[member] > 0 && streams[member] > 0, 30_000);
         if (!process.isAlive()) {
-            throw new IOException("n" + member + " ended as it started, status " + process.exitValue());
+            throw new IOException(
+                    "n" + member + " ended as it started, status " + process.exitValue());
         }
         fronts[member].to(ports[member]);
         for (int i = 0; i < members; i++) {
@@ -154,7 +177,8 @@
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new IllegalStateException("what was waited for did not come in " + ms + " ms");
+                throw new IllegalStateException(
+                        "what was waited for did not come in " + ms + " ms");
             }
             LockSupport.parkNanos(1_000_000);
         }
--- a/src/main/java/rockshift/kit/LoggedProcess.java
+++ b/src/main/java/rockshift/kit/LoggedProcess.java
@@ -10,7 +10,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A process of this program that logs the port on which it serves; ended with whoever started it. */
+/**
+ * A process of this program that logs the port on which it serves; ended with whoever started it.
+ */
 public final class LoggedProcess implements AutoCloseable {
     private static final int START_SECONDS = 60;
 
--- a/src/main/java/rockshift/kit/ProcessUsage.java
+++ b/src/main/java/rockshift/kit/ProcessUsage.java
@@ -8,19 +8,26 @@
 import java.util.TreeMap;
 
 /**
- * What a process has used so far, as the kernel counts it. Seconds of threads are by the thread's name, cut
- * by the kernel at 15
- * characters; threads that ended are in the process's seconds alone. Bytes are those of all reads and
- * writes, of files
- * and sockets alike.
+ * What a process has used so far, as the kernel counts it. Seconds of threads are by the thread's
+ * name, cut by the kernel at 15 characters; threads that ended are in the process's seconds alone.
+ * Bytes are those of all reads and writes, of files and sockets alike.
  */
-public record ProcessUsage(long takenNanos, double processorSeconds, Map<String, Double> secondsByThread,
-        double residentMegabytes, double peakMegabytes, long bytesRead, long bytesWritten) {
+public record ProcessUsage(
+        long takenNanos,
+        double processorSeconds,
+        Map<String, Double> secondsByThread,
+        double residentMegabytes,
+        double peakMegabytes,
+        long bytesRead,
+        long bytesWritten) {
     /** The kernel's unit of processor time in these files. */
     private static final double TICKS_PER_SECOND = 100;
+
     private static final double KIB_PER_MEGABYTE = 1024;
+
     /** Places of user and system time behind the name in a stat file. */
     private static final int USER_TICKS = 11;
+
     private static final int SYSTEM_TICKS = 12;
 
     /** Reads the counters now. */
@@ -35,8 +42,13 @@
                 peak = kibibytes(line) / KIB_PER_MEGABYTE;
             }
         }
-        return new ProcessUsage(System.nanoTime(), seconds(Files.readString(process.resolve("stat"))),
-                threads(process.resolve("task")), resident, peak, bytes(process, "rchar:"),
+        return new ProcessUsage(
+                System.nanoTime(),
+                seconds(Files.readString(process.resolve("stat"))),
+                threads(process.resolve("task")),
+                resident,
+                peak,
+                bytes(process, "rchar:"),
                 bytes(process, "wchar:"));
     }
 
@@ -47,7 +59,8 @@
 
     /** The share of one core that threads of a name took between an earlier look and this one. */
     public double coreShareSince(ProcessUsage earlier, String thread) {
-        return (secondsByThread.getOrDefault(thread, 0.0) - earlier.secondsByThread.getOrDefault(thread, 0.0))
+        return (secondsByThread.getOrDefault(thread, 0.0)
+                        - earlier.secondsByThread.getOrDefault(thread, 0.0))
                 / secondsSince(earlier);
     }
 
@@ -77,7 +90,8 @@
 
     private static double seconds(String stat) {
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS])) / TICKS_PER_SECOND;
+        return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]))
+                / TICKS_PER_SECOND;
     }
 
     private static long bytes(Path process, String name) throws IOException {
--- a/src/main/java/rockshift/kit/ProgramCommand.java
+++ b/src/main/java/rockshift/kit/ProgramCommand.java
@@ -4,17 +4,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How this program is started as a process of its own, with the options of {@code deploy/balancer.toml}. */
+/**
+ * How this program is started as a process of its own, with the options of {@code
+ * deploy/balancer.toml}.
+ */
 public final class ProgramCommand {
-    private static final List<String> OPTIONS = List.of("-Xmx64m", "-Xss512k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:MaxMetaspaceSize=40m", "-XX:ReservedCodeCacheSize=24m",
-            "-XX:MaxDirectMemorySize=8m", "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError",
-            "-Djava.net.preferIPv4Stack=true");
+    private static final List<String> OPTIONS =
+            List.of(
+                    "-Xmx64m",
+                    "-Xss512k",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:MaxMetaspaceSize=40m",
+                    "-XX:ReservedCodeCacheSize=24m",
+                    "-XX:MaxDirectMemorySize=8m",
+                    "-XX:-UsePerfData",
+                    "-XX:+ExitOnOutOfMemoryError",
+                    "-Djava.net.preferIPv4Stack=true");
 
     private ProgramCommand() {}
 
     /** A governor on this program's own classes; what it logs comes on the process's output. */
-    public static ProcessBuilder serve(Path configuration, List<String> moreOptions, List<String> arguments) {
+    public static ProcessBuilder serve(
+            Path configuration, List<String> moreOptions, List<String> arguments) {
         List<String> words = new ArrayList<>(List.of("serve"));
         words.addAll(arguments);
         ProcessBuilder builder = command(moreOptions, words);
--- a/src/main/java/rockshift/kit/SimDisk.java
+++ b/src/main/java/rockshift/kit/SimDisk.java
@@ -10,7 +10,8 @@
 import rockshift.cluster.Disk;
 
 /**
- * A folder in memory whose crashes lose what was not synced, in whole or from some byte on, perhaps garbled.
+ * A folder in memory whose crashes lose what was not synced, in whole or from some byte on, perhaps
+ * garbled.
  */
 final class SimDisk implements Disk {
     /** A crash in the middle of what the disk was asked to do. */
@@ -28,6 +29,7 @@
     private final RandomGenerator chance;
     boolean full;
     boolean skipsSync;
+
     /** Operations until a crash, below 0 for none. */
     int crashIn = -1;
 
@@ -49,8 +51,11 @@
         files.values().removeIf(file -> !file.listed && chance.nextBoolean());
         for (File file : files.values()) {
             byte[] all = file.bytes.toByteArray();
-            int kept = file.durable
-                    + (all.length > file.durable ? chance.nextInt(all.length - file.durable + 1) : 0);
+            int kept =
+                    file.durable
+                            + (all.length > file.durable
+                                    ? chance.nextInt(all.length - file.durable + 1)
+                                    : 0);
             file.bytes.reset();
             file.bytes.writeBytes(Arrays.copyOf(all, kept));
             if (kept > file.durable && chance.nextInt(3) == 0) {
--- a/src/main/java/rockshift/kit/SimulatedClient.java
+++ b/src/main/java/rockshift/kit/SimulatedClient.java
@@ -5,8 +5,8 @@
 import rockshift.cluster.Engine;
 
 /**
- * Asks for one thing at a time, and again elsewhere, under the same serial, until it is told. One that
- * only watches reads wherever it comes, and so from who no longer leads.
+ * Asks for one thing at a time, and again elsewhere, under the same serial, until it is told. One
+ * that only watches reads wherever it comes, and so from who no longer leads.
  */
 final class SimulatedClient {
     private final SimulatedCluster cluster;
@@ -58,13 +58,15 @@
         long mine = cluster.nextNumber() * 10 + number;
         request = mine;
         SimulatedHost to = asked;
-        cluster.after(patience, () -> {
-            if (request == mine && watches) {
-                next();
-            } else if (request == mine) {
-                again(null);
-            }
-        });
+        cluster.after(
+                patience,
+                () -> {
+                    if (request == mine && watches) {
+                        next();
+                    } else if (request == mine) {
+                        again(null);
+                    }
+                });
         if (cluster.network.loses(chance)) {
             return;
         }
@@ -73,21 +75,30 @@
         byte[] body = ByteBuffer.allocate(8).putLong(change).array();
         boolean asksToRead = reads;
         boolean asksToOpen = !opened && !reads;
-        cluster.after(1 + chance.nextLong(20), () -> to.enter(() -> {
-            if (asksToOpen) {
-                to.engine.open(mine, openedSession);
-            } else if (asksToRead) {
-                to.engine.read(mine);
-            } else {
-                to.engine.change(mine, openedSession, sentSerial, body);
-            }
-        }));
+        cluster.after(
+                1 + chance.nextLong(20),
+                () ->
+                        to.enter(
+                                () -> {
+                                    if (asksToOpen) {
+                                        to.engine.open(mine, openedSession);
+                                    } else if (asksToRead) {
+                                        to.engine.read(mine);
+                                    } else {
+                                        to.engine.change(mine, openedSession, sentSerial, body);
+                                    }
+                                }));
     }
 
     private void again(String leader) {
-        asked = cluster.hosts.stream().filter(host -> ("n" + host.place).equals(leader)).findFirst()
-                .orElse(chance.nextInt(3) == 0 ? asked
-                        : cluster.hosts.get(chance.nextInt(cluster.hosts.size())));
+        asked =
+                cluster.hosts.stream()
+                        .filter(host -> ("n" + host.place).equals(leader))
+                        .findFirst()
+                        .orElse(
+                                chance.nextInt(3) == 0
+                                        ? asked
+                                        : cluster.hosts.get(chance.nextInt(cluster.hosts.size())));
         request = 0;
         cluster.after(50 + chance.nextLong(400), this::ask);
     }
@@ -96,11 +107,13 @@
         if (to == 0 || to % 10 != number || cluster.network.loses(chance)) {
             return;
         }
-        cluster.after(1 + chance.nextLong(20), () -> {
-            if (to == request) {
-                told(answer);
-            }
-        });
+        cluster.after(
+                1 + chance.nextLong(20),
+                () -> {
+                    if (to == request) {
+                        told(answer);
+                    }
+                });
     }
 
     private void told(Engine.Answer answer) {
