--- a/src/main/java/rockshift/kit/SimulatedCluster.java
+++ b/src/main/java/rockshift/kit/SimulatedCluster.java
@@ -15,28 +15,34 @@
 import rockshift.raft.Timing;
 
 /**
- * Members, disks, a network and clients in simulated time, all from one seed. The members are the code that
- * ships; everything around them is worse than any real day. {@link HistoryChecker} is told of all that
- * happens.
+ * Members, disks, a network and clients in simulated time, all from one seed. The members are the
+ * code that ships; everything around them is worse than any real day. {@link HistoryChecker} is
+ * told of all that happens.
  */
 public final class SimulatedCluster {
-    /** Tenths of a ms: how long faults go on, and how long all may take to come to rest after it. */
+    /**
+     * Tenths of a ms: how long faults go on, and how long all may take to come to rest after it.
+     */
     private static final long TROUBLED = 90_000;
+
     private static final long CALM = 30_000;
     private static final int LINES = 4_000;
 
     /**
-     * What most of a seed's faults are about: anything; who leads and who reads; leaders that die one after
-     * the other.
+     * What most of a seed's faults are about: anything; who leads and who reads; leaders that die
+     * one after the other.
      */
     private enum Theme {
-        ANYTHING, READS, LEADERS
+        ANYTHING,
+        READS,
+        LEADERS
     }
 
     private record Event(long at, long number, Runnable work) {}
 
     /** What a run came to. */
-    public record Result(long seed, long steps, String violation, int changes, List<String> account) {}
+    public record Result(
+            long seed, long steps, String violation, int changes, List<String> account) {}
 
     private final long seed;
     final RandomGenerator chance;
@@ -45,8 +51,11 @@
     final boolean encoding;
     private final ArrayDeque<String> account = new ArrayDeque<>();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-                    : Long.compare(a.number, b.number));
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.number, b.number));
     final HistoryChecker history = new HistoryChecker();
     final List<SimulatedHost> hosts = new ArrayList<>();
     final List<SimulatedClient> clients = new ArrayList<>();
@@ -57,8 +66,10 @@
     private final long pace;
     final boolean rigid;
     final long usualDelay;
+
     /** A member that hears everything late, and one whose disk is always slow; -1 for none. */
     private final int far;
+
     private final int sluggish;
     private long now;
     private long steps;
@@ -71,14 +82,25 @@
         this.telling = telling;
         chance = new SplittableRandom(seed);
         encoding = chance.nextInt(8) == 0;
-        theme = new Theme[] {Theme.ANYTHING, Theme.ANYTHING, Theme.READS, Theme.LEADERS}[chance.nextInt(4)];
+        theme =
+                new Theme[] {Theme.ANYTHING, Theme.ANYTHING, Theme.READS, Theme.LEADERS}
+                        [chance.nextInt(4)];
         boolean reads = theme == Theme.READS;
         boolean small = theme == Theme.LEADERS || chance.nextInt(3) == 0;
-        timing = new Timing(2_000, 400, 0.1, chance.nextInt(3) > 0, small ? 1 + chance.nextInt(3) : 512);
+        timing =
+                new Timing(
+                        2_000,
+                        400,
+                        0.1,
+                        chance.nextInt(3) > 0,
+                        small ? 1 + chance.nextInt(3) : 512);
         far = reads || chance.nextBoolean() ? chance.nextInt(members) : -1;
         sluggish = !reads && chance.nextInt(4) == 0 ? chance.nextInt(members) : -1;
         usualDelay =
-                reads ? 20 : new long[] {20, theme == Theme.LEADERS ? 200 : 20, 200, 600}[chance.nextInt(4)];
+                reads
+                        ? 20
+                        : new long[] {20, theme == Theme.LEADERS ? 200 : 20, 200, 600}
+                                [chance.nextInt(4)];
         pace = reads ? 5_000 : new long[] {700, 2_000, 5_000}[chance.nextInt(3)];
         rigid = reads || chance.nextInt(3) == 0;
         network = new FaultyNetwork(members);
@@ -124,8 +146,12 @@
 
     void tell(String text, Object... values) {
         if (telling) {
-            account.add(String.format(Locale.ROOT, "%8.1f ms  %s", now / 10.0,
-                    String.format(Locale.ROOT, text, values)));
+            account.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%8.1f ms  %s",
+                            now / 10.0,
+                            String.format(Locale.ROOT, text, values)));
             if (account.size() > LINES) {
                 account.removeFirst();
             }
@@ -136,7 +162,8 @@
     public Result run() {
         String violation = null;
         try {
-            List<Member> founders = hosts.stream().map(host -> host.member(Member.Role.VOTER)).toList();
+            List<Member> founders =
+                    hosts.stream().map(host -> host.member(Member.Role.VOTER)).toList();
             for (SimulatedHost host : hosts) {
                 host.found(founders);
                 host.start();
@@ -182,9 +209,12 @@
 
     private void end() {
         if (clients.stream().noneMatch(client -> client.doneAt > TROUBLED)) {
-            throw new HistoryChecker.Violation("progress: nothing was agreed after all faults had ended");
+            throw new HistoryChecker.Violation(
+                    "progress: nothing was agreed after all faults had ended");
         }
-        leaders().findFirst().filter(host -> host.engine.raft().applied() == host.engine.raft().commit())
+        leaders()
+                .findFirst()
+                .filter(host -> host.engine.raft().applied() == host.engine.raft().commit())
                 .ifPresent(host -> history.ends(host.changes));
     }
 
@@ -231,11 +261,14 @@
     }
 
     private void handOver(int to) {
-        leaders().findAny().ifPresent(leader -> {
-            tell("n%d is asked to hand over to n%d", leader.place, to);
-            leader.engine.transfer(0, hosts.get(to).id());
-            leader.run();
-        });
+        leaders()
+                .findAny()
+                .ifPresent(
+                        leader -> {
+                            tell("n%d is asked to hand over to n%d", leader.place, to);
+                            leader.engine.transfer(0, hosts.get(to).id());
+                            leader.run();
+                        });
     }
 
     private void anyFault() {
@@ -274,7 +307,10 @@
             case 10 -> {
                 host.slow = !host.slow;
                 host.disk.full = chance.nextInt(3) == 0;
-                tell("disk of n%d %s%s", host.place, host.slow ? "slow" : "as usual",
+                tell(
+                        "disk of n%d %s%s",
+                        host.place,
+                        host.slow ? "slow" : "as usual",
                         host.disk.full ? ", full" : "");
                 after(chance.nextLong(1_000, 5_000), () -> host.disk.full = false);
             }
@@ -306,7 +342,9 @@
         tell("n%d and n%d are cut from the rest", leader.place, other.place);
         healLater();
         for (SimulatedHost host : hosts) {
-            if (host != leader && host != other && leader.engine != null
+            if (host != leader
+                    && host != other
+                    && leader.engine != null
                     && leader.engine.raft().members().voters() > 3) {
                 leader.engine.member(0, host.member(Member.Role.VOTER), true);
                 leader.run();
@@ -327,23 +365,36 @@
 
     /** Staff change members: whoever leads removes, adds, takes a vote away, or hands over. */
     private void members(SimulatedHost host) {
-        leaders().findAny().ifPresent(leader -> {
-            Raft raft = leader.engine.raft();
-            Member stale = raft.members().all().stream().filter(member -> hosts.stream()
-                    .noneMatch(other -> other.id() == member.id())).findFirst().orElse(null);
-            if (stale != null) {
-                tell("n%d is asked to remove %s", leader.place, stale.name());
-                leader.engine.member(0, stale, true);
-            } else if (raft.members().get(host.id()) == null) {
-                tell("n%d is asked to add n%d", leader.place, host.place);
-                leader.engine.member(0, host.member(Member.Role.JOINING), false);
-            } else if (chance.nextInt(3) > 0) {
-                handOver(host.place);
-            } else if (raft.members().voters() > 2) {
-                tell("n%d is asked to remove n%d", leader.place, host.place);
-                leader.engine.member(0, host.member(Member.Role.VOTER), true);
-            }
-            leader.run();
-        });
+        leaders()
+                .findAny()
+                .ifPresent(
+                        leader -> {
+                            Raft raft = leader.engine.raft();
+                            Member stale =
+                                    raft.members().all().stream()
+                                            .filter(
+                                                    member ->
+                                                            hosts.stream()
+                                                                    .noneMatch(
+                                                                            other ->
+                                                                                    other.id()
+                                                                                            == member
+                                                                                                    .id()))
+                                            .findFirst()
+                                            .orElse(null);
+                            if (stale != null) {
+                                tell("n%d is asked to remove %s", leader.place, stale.name());
+                                leader.engine.member(0, stale, true);
+                            } else if (raft.members().get(host.id()) == null) {
+                                tell("n%d is asked to add n%d", leader.place, host.place);
+                                leader.engine.member(0, host.member(Member.Role.JOINING), false);
+                            } else if (chance.nextInt(3) > 0) {
+                                handOver(host.place);
+                            } else if (raft.members().voters() > 2) {
+                                tell("n%d is asked to remove n%d", leader.place, host.place);
+                                leader.engine.member(0, host.member(Member.Role.VOTER), true);
+                            }
+                            leader.run();
+                        });
     }
 }
--- a/src/main/java/rockshift/kit/SimulatedHost.java
+++ b/src/main/java/rockshift/kit/SimulatedHost.java
@@ -21,8 +21,8 @@
 import rockshift.raft.Snapshot;
 
 /**
- * A member of a simulated cluster with the machine it runs on: its disk, its clock, what it hears and what it
- * is made to suffer. Its state machine is the list of all changes.
+ * A member of a simulated cluster with the machine it runs on: its disk, its clock, what it hears
+ * and what it is made to suffer. Its state machine is the list of all changes.
  */
 final class SimulatedHost implements Engine.Environment, Sessions.Machine {
     /** Tenths of a ms between two looks at the clock. */
@@ -39,12 +39,16 @@
     List<Long> changes = new ArrayList<>();
     DurableLog log;
     Engine engine;
+
     /** Rises with each start, so that what was under way before means nothing any more. */
     int life;
+
     boolean slow;
     long pausedUntil;
+
     /** What came while it stands still. */
     private final ArrayDeque<Runnable> inbox = new ArrayDeque<>();
+
     long agreedUpTo;
     private long ledIn;
     private long number;
@@ -75,17 +79,19 @@
     /** Where the seed is rigid, all wait nearly alike, and elections meet. */
     private RandomGenerator timers() {
         RandomGenerator even = new SplittableRandom(chance.nextLong());
-        return !cluster.rigid ? even : new RandomGenerator() {
-            @Override
-            public long nextLong() {
-                return even.nextLong();
-            }
+        return !cluster.rigid
+                ? even
+                : new RandomGenerator() {
+                    @Override
+                    public long nextLong() {
+                        return even.nextLong();
+                    }
 
-            @Override
-            public long nextLong(long bound) {
-                return even.nextLong(bound) / 16;
-            }
-        };
+                    @Override
+                    public long nextLong(long bound) {
+                        return even.nextLong(bound) / 16;
+                    }
+                };
     }
 
     long clock() {
@@ -104,15 +110,25 @@
             DurableLog.Recovered found = log.open(number);
             changes = new ArrayList<>();
             life++;
-            engine = new Engine(found, cluster.timing, injection.rules(), timers(), clock(), this,
-                    new Engine.Compaction(40, 1 << 20), this);
+            engine =
+                    new Engine(
+                            found,
+                            cluster.timing,
+                            injection.rules(),
+                            timers(),
+                            clock(),
+                            this,
+                            new Engine.Compaction(40, 1 << 20),
+                            this);
             List<Sessions.Session> kept = injection.recovered(engine.sessions().sessions());
             engine.sessions().restore(kept, image());
             agreedUpTo = found.snapshot().index();
             if (found.snapshot().index() > 0) {
                 history.state(found.snapshot().index(), state());
             }
-            cluster.tell("n%d starts with %d entries, %s", place, engine.raft().log().last(), found.ballot());
+            cluster.tell(
+                    "n%d starts with %d entries, %s",
+                    place, engine.raft().log().last(), found.ballot());
         } catch (UnrecoverableStorageException refused) {
             throw new HistoryChecker.Violation(
                     "recovery: n" + place + " refused its own disk: " + refused.getMessage());
@@ -165,11 +181,13 @@
     /** Where leaders are the theme, most end while their first entries are on the way. */
     private void dieYoung(int of) {
         if (cluster.endsLeaders() && chance.nextInt(4) > 0) {
-            cluster.after(10 + chance.nextLong(3 * cluster.usualDelay), () -> {
-                if (of == life) {
-                    crash();
-                }
-            });
+            cluster.after(
+                    10 + chance.nextLong(3 * cluster.usualDelay),
+                    () -> {
+                        if (of == life) {
+                            crash();
+                        }
+                    });
         }
     }
 
@@ -187,7 +205,8 @@
         pausedUntil = cluster.now();
         inbox.clear();
         disk.crash();
-        cluster.after(chance.nextBoolean() ? chance.nextLong(5, 300) : chance.nextLong(100, 10_000),
+        cluster.after(
+                chance.nextBoolean() ? chance.nextLong(5, 300) : chance.nextLong(100, 10_000),
                 this::revive);
     }
 
@@ -201,18 +220,25 @@
         cluster.tell("n%d stands still for %.1f ms", place, span / 10.0);
         pausedUntil = Math.max(pausedUntil, cluster.now() + span);
         int of = life;
-        cluster.at(pausedUntil, () -> {
-            while (of == life && cluster.now() >= pausedUntil && !inbox.isEmpty()) {
-                enter(inbox.remove());
-            }
-        });
+        cluster.at(
+                pausedUntil,
+                () -> {
+                    while (of == life && cluster.now() >= pausedUntil && !inbox.isEmpty()) {
+                        enter(inbox.remove());
+                    }
+                });
     }
 
     /** Loses the disk, if all others that vote are there. */
     void wipe() {
-        boolean others = cluster.hosts.stream()
-                .allMatch(other -> other.engine != null && other.engine.raft().members().votes(
-                        other.id()) && other.engine.raft().members().voters() == cluster.hosts.size());
+        boolean others =
+                cluster.hosts.stream()
+                        .allMatch(
+                                other ->
+                                        other.engine != null
+                                                && other.engine.raft().members().votes(other.id())
+                                                && other.engine.raft().members().voters()
+                                                        == cluster.hosts.size());
         if (others) {
             cluster.tell("n%d loses its disk", place);
             crash();
@@ -232,7 +258,10 @@
             throw new UncheckedIOException(failure);
         }
         SimulatedHost to =
-                cluster.hosts.stream().filter(host -> host.id() == message.to()).findFirst().orElse(null);
+                cluster.hosts.stream()
+                        .filter(host -> host.id() == message.to())
+                        .findFirst()
+                        .orElse(null);
         if (to == null || cluster.network.loses(place, to.place, chance)) {
             return;
         }
@@ -243,14 +272,17 @@
             int of = life;
             boolean buffered = chance.nextBoolean();
             long late = cluster.hearsLate(to.place) ? 600 + chance.nextLong(600) : 0;
-            cluster.after(2 + late + chance.nextLong(cluster.network.longest()), () -> {
-                if (to.id() == each.to() && (of == life || !buffered)) {
-                    if (!(each instanceof Message.Append append && append.entries().isEmpty())) {
-                        cluster.tell("n%d -> n%d %s", place, to.place, each);
-                    }
-                    to.enter(() -> to.engine.receive(each));
-                }
-            });
+            cluster.after(
+                    2 + late + chance.nextLong(cluster.network.longest()),
+                    () -> {
+                        if (to.id() == each.to() && (of == life || !buffered)) {
+                            if (!(each instanceof Message.Append append
+                                    && append.entries().isEmpty())) {
+                                cluster.tell("n%d -> n%d %s", place, to.place, each);
+                            }
+                            to.enter(() -> to.engine.receive(each));
+                        }
+                    });
         }
     }
 
@@ -265,8 +297,11 @@
     private void next(int of) {
         diskWork = diskQueue.poll();
         if (diskWork != null) {
-            cluster.after(slow || cluster.savesLate(place) ? chance.nextLong(3_000)
-                    : 2 + chance.nextLong(20), () -> {
+            cluster.after(
+                    slow || cluster.savesLate(place)
+                            ? chance.nextLong(3_000)
+                            : 2 + chance.nextLong(20),
+                    () -> {
                         if (of == life) {
                             Runnable work = diskWork;
                             work.run();
@@ -279,7 +314,8 @@
     }
 
     @Override
-    public void save(long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+    public void save(
+            long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
         if (!entries.isEmpty()) {
             history.written(entries, engine.raft().log().term(from - 1));
         }
@@ -287,17 +323,18 @@
         queue(() -> trySave(life, ticket, kept, from, entries, snapshot));
     }
 
-    private void trySave(int of, long ticket, Ballot ballot, long from, List<Entry> entries,
-            Snapshot snapshot) {
+    private void trySave(
+            int of, long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
         if (of != life) {
             return;
         }
         try {
             log.save(ballot, from, entries, snapshot);
-            enter(() -> {
-                engine.disk(true);
-                engine.saved(ticket);
-            });
+            enter(
+                    () -> {
+                        engine.disk(true);
+                        engine.saved(ticket);
+                    });
         } catch (SimDisk.Crashed crashed) {
             // It ends here.
         } catch (IOException full) {
@@ -309,16 +346,17 @@
 
     @Override
     public void keep(Snapshot snapshot) {
-        queue(() -> {
-            try {
-                log.keep(snapshot);
-                enter(() -> engine.kept(snapshot));
-            } catch (SimDisk.Crashed crashed) {
-                // It ends here.
-            } catch (IOException full) {
-                enter(() -> engine.kept(null));
-            }
-        });
+        queue(
+                () -> {
+                    try {
+                        log.keep(snapshot);
+                        enter(() -> engine.kept(snapshot));
+                    } catch (SimDisk.Crashed crashed) {
+                        // It ends here.
+                    } catch (IOException full) {
+                        enter(() -> engine.kept(null));
+                    }
+                });
     }
 
     @Override
@@ -373,7 +411,7 @@
     /** The changes that an image of the machine holds. */
     static List<Long> changes(byte[] image) {
         List<Long> changes = new ArrayList<>();
-        for (ByteBuffer rest = ByteBuffer.wrap(image); rest.hasRemaining();) {
+        for (ByteBuffer rest = ByteBuffer.wrap(image); rest.hasRemaining(); ) {
             changes.add(rest.getLong());
         }
         return changes;
--- a/src/main/java/rockshift/kit/Trial.java
+++ b/src/main/java/rockshift/kit/Trial.java
@@ -27,23 +27,32 @@
 import rockshift.cluster.Client;
 
 /**
- * Governors as processes, killed, stopped and cut at random while clients propose; then what each applied is
- * compared. Every change must be there once, in one order, and a governor cut off from most must order
- * nothing but what rules owe.
+ * Governors as processes, killed, stopped and cut at random while clients propose; then what each
+ * applied is compared. Every change must be there once, in one order, and a governor cut off from
+ * most must order nothing but what rules owe.
  */
 public final class Trial {
     private static final long ELECTION = 300;
+
     /**
-     * Ms after which a governor that is cut off must know it: what it heard last, twice an election, and a
-     * turn.
+     * Ms after which a governor that is cut off must know it: what it heard last, twice an
+     * election, and a turn.
      */
     private static final long KNOWS = 3 * ELECTION;
+
     private static final int CLIENTS = 4;
-    private static final Pattern AGREED = Pattern.compile("agreed (\\d+): (\\{.*\\}) (\\{\"version\".*\\})$");
+    private static final Pattern AGREED =
+            Pattern.compile("agreed (\\d+): (\\{.*\\}) (\\{\"version\".*\\})$");
     private static final Pattern REASON = Pattern.compile("\"reason\":\"(op-\\d+-\\d+)\"");
 
     /** What a trial came to. */
-    public record Outcome(int applied, int lost, int twice, int disordered, int minority, int faults,
+    public record Outcome(
+            int applied,
+            int lost,
+            int twice,
+            int disordered,
+            int minority,
+            int faults,
             Histogram agreeing,
             List<String> troubles) {
         public boolean held() {
@@ -51,8 +60,17 @@
         }
 
         public String line() {
-            return "trial: " + applied + " applied, " + lost + " lost, " + twice + " twice, " + disordered
-                    + " out of order, " + minority + " minority orders";
+            return "trial: "
+                    + applied
+                    + " applied, "
+                    + lost
+                    + " lost, "
+                    + twice
+                    + " twice, "
+                    + disordered
+                    + " out of order, "
+                    + minority
+                    + " minority orders";
         }
     }
 
@@ -61,8 +79,10 @@
     private final SplittableRandom chance;
     private final Consumer<String> progress;
     private final GovernorProcesses governors;
+
     /** By member and life: what was applied, by index, in the order of the lines. */
     private final Map<String, List<Long>> orders = new ConcurrentHashMap<>();
+
     private final Map<Long, String> contents = new ConcurrentHashMap<>();
     private final Map<String, Set<Long>> places = new ConcurrentHashMap<>();
     private final Map<String, Boolean> acknowledged = new ConcurrentHashMap<>();
@@ -70,8 +90,10 @@
     private final AtomicInteger disordered = new AtomicInteger();
     private final AtomicInteger minority = new AtomicInteger();
     private final AtomicInteger orderCount = new AtomicInteger();
+
     /** Since when a member has been cut off whole; 0 if it is not. */
     private final long[] cutSince;
+
     private final ConcurrentHistogram agreeing = new ConcurrentHistogram(3);
     private volatile boolean over;
     private int faults;
@@ -108,12 +130,14 @@
         if (before != null && !before.equals(content)
                 || !order.isEmpty() && order.get(order.size() - 1) >= index) {
             disordered.incrementAndGet();
-            troubles.add("n" + member + " applied at " + index + " " + content + ", known " + before);
+            troubles.add(
+                    "n" + member + " applied at " + index + " " + content + ", known " + before);
         }
         order.add(index);
         Matcher reason = REASON.matcher(agreed.group(2));
         if (reason.find()) {
-            places.computeIfAbsent(reason.group(1), key -> ConcurrentHashMap.newKeySet()).add(index);
+            places.computeIfAbsent(reason.group(1), key -> ConcurrentHashMap.newKeySet())
+                    .add(index);
         }
         if (before == null && minority(member)) {
             minority.incrementAndGet();
@@ -131,7 +155,9 @@
             for (int i = 0; i < CLIENTS; i++) {
                 int number = i;
                 long seed = chance.nextLong();
-                threads.add(new Thread(() -> propose(number, new SplittableRandom(seed)), "client " + i));
+                threads.add(
+                        new Thread(
+                                () -> propose(number, new SplittableRandom(seed)), "client " + i));
             }
             for (int i = 0; i < members; i++) {
                 int number = i;
@@ -140,12 +166,17 @@
             threads.forEach(thread -> thread.setDaemon(true));
             threads.forEach(Thread::start);
             long end = now() + seconds * 1_000;
-            for (long told = now(); now() < end;) {
+            for (long told = now(); now() < end; ) {
                 fault(end);
                 if (now() > told + 15_000) {
                     told = now();
-                    progress.accept(contents.size() + " applied, " + faults + " faults, "
-                            + (end - now()) / 1_000 + " s left");
+                    progress.accept(
+                            contents.size()
+                                    + " applied, "
+                                    + faults
+                                    + " faults, "
+                                    + (end - now()) / 1_000
+                                    + " s left");
                 }
             }
             heal();
@@ -190,8 +221,12 @@
             }
             default -> {
                 for (int i = 0; i < members; i++) {
-                    governors.link(one, i).spoil(chance.nextDouble(0.4), chance.nextDouble(0.2),
-                            chance.nextInt(20));
+                    governors
+                            .link(one, i)
+                            .spoil(
+                                    chance.nextDouble(0.4),
+                                    chance.nextDouble(0.2),
+                                    chance.nextInt(20));
                 }
                 TimeUnit.MILLISECONDS.sleep(lasts);
                 for (int i = 0; i < members; i++) {
@@ -240,9 +275,20 @@
             for (int i = 0; !over; i++) {
                 String reason = "op-" + number + "-" + i;
                 String replica = "s-" + number;
-                Change change = i % 3 == 0
-                        ? new Change(Change.Kind.TERM, "price.crossing", 0, own.nextInt(100) / 10.0, reason)
-                        : new Change(i % 3 == 1 ? Change.Kind.HOLD : Change.Kind.BACK, replica, 0, 0, reason);
+                Change change =
+                        i % 3 == 0
+                                ? new Change(
+                                        Change.Kind.TERM,
+                                        "price.crossing",
+                                        0,
+                                        own.nextInt(100) / 10.0,
+                                        reason)
+                                : new Change(
+                                        i % 3 == 1 ? Change.Kind.HOLD : Change.Kind.BACK,
+                                        replica,
+                                        0,
+                                        0,
+                                        reason);
                 long began = System.nanoTime();
                 try {
                     if (client.change(change, true, now() + 60_000).path("answer").has("version")) {
@@ -266,18 +312,42 @@
             int port = governors.streams(member);
             try (Socket proxy = new Socket(InetAddress.getLoopbackAddress(), port);
                     Socket collector = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                say(proxy, "joined", "sidecar", "0", "az", "hall-a", "share", "20", "standing", "1");
+                say(
+                        proxy,
+                        "joined",
+                        "sidecar",
+                        "0",
+                        "az",
+                        "hall-a",
+                        "share",
+                        "20",
+                        "standing",
+                        "1");
                 say(collector, "collector", "az", "hall-a");
                 Thread reader = new Thread(() -> read(member, proxy), "orders of n" + member);
                 reader.setDaemon(true);
                 reader.start();
                 while (!over) {
-                    say(proxy, "usage", "sidecar", "0", "kind", "subset", "n", "20", "bad", "0", "window",
-                            "1000");
+                    say(
+                            proxy, "usage", "sidecar", "0", "kind", "subset", "n", "20", "bad", "0",
+                            "window", "1000");
                     for (int i = 0; i < 6; i++) {
-                        say(collector, "heard", "az", "hall-a", "host", "s-" + i, "n",
+                        say(
+                                collector,
+                                "heard",
+                                "az",
+                                "hall-a",
+                                "host",
+                                "s-" + i,
+                                "n",
                                 Integer.toString(20 + own.nextInt(200)),
-                                "bad", "0", "avg", "20", "window", "1000", "report",
+                                "bad",
+                                "0",
+                                "avg",
+                                "20",
+                                "window",
+                                "1000",
+                                "report",
                                 "util:0." + (1 + own.nextInt(8)));
                     }
                     TimeUnit.MILLISECONDS.sleep(200);
@@ -307,12 +377,16 @@
             for (int count = in.read(piece); count >= 0; count = in.read(piece)) {
                 String text = new String(piece, 0, count, StandardCharsets.US_ASCII);
                 orderCount.incrementAndGet();
-                boolean gives = text.contains("lines\r\n")
-                        && Pattern.compile("s-\\d+:(?!0[,\r])").matcher(text).find();
+                boolean gives =
+                        text.contains("lines\r\n")
+                                && Pattern.compile("s-\\d+:(?!0[,\r])").matcher(text).find();
                 if ((gives || text.contains("back\r\n")) && minority(member)) {
                     minority.incrementAndGet();
                     troubles.add(
-                            "n" + member + " ordered though it was cut off: " + text.replaceAll("\\s+", " "));
+                            "n"
+                                    + member
+                                    + " ordered though it was cut off: "
+                                    + text.replaceAll("\\s+", " "));
                 }
             }
         } catch (IOException ended) {
@@ -330,7 +404,9 @@
             for (int i = 0; i < members; i++) {
                 try (Client client = new Client(List.of(governors.front(i)), chance, 1_500)) {
                     versions.add(
-                            client.ask(governors.front(i), Client.call("status")).path("applied").asLong());
+                            client.ask(governors.front(i), Client.call("status"))
+                                    .path("applied")
+                                    .asLong());
                 } catch (IOException busy) {
                     versions.add(-1L);
                 }
@@ -367,12 +443,23 @@
             if (!number.find() || Long.parseLong(number.group(1)) != ++version) {
                 disordered.incrementAndGet();
                 troubles.add(
-                        "entry " + each.getKey() + " is not version " + version + ": " + each.getValue());
+                        "entry "
+                                + each.getKey()
+                                + " is not version "
+                                + version
+                                + ": "
+                                + each.getValue());
                 break;
             }
         }
         progress.accept(String.format(Locale.ROOT, "%d orders to proxies seen", orderCount.get()));
-        return new Outcome(contents.size(), lost, twice, disordered.get(), minority.get(), faults,
+        return new Outcome(
+                contents.size(),
+                lost,
+                twice,
+                disordered.get(),
+                minority.get(),
+                faults,
                 agreeing.copy(),
                 List.copyOf(troubles));
     }
--- a/src/main/java/rockshift/net/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/net/AgreedChangesReceiver.java
@@ -6,9 +6,9 @@
 import rockshift.Reach;
 
 /**
- * How what governors agree among themselves comes into one of them: by the same queue as all else that the
- * module learns. It owns the view of the list that is needed before a change is asked for; it decides nothing
- * of what follows from one.
+ * How what governors agree among themselves comes into one of them: by the same queue as all else
+ * that the module learns. It owns the view of the list that is needed before a change is asked for;
+ * it decides nothing of what follows from one.
  */
 public final class AgreedChangesReceiver {
     private final EventLoop loop;
@@ -39,15 +39,16 @@
     }
 
     /**
-     * What stands agreed since a version: by replica's name, up to which start (tenths of a ms) it is kept
-     * out.
+     * What stands agreed since a version: by replica's name, up to which start (tenths of a ms) it
+     * is kept out.
      */
     public void agreed(long version, Map<String, Long> out, Map<String, String> terms) {
         agreed(version, out, terms, () -> {});
     }
 
     /** The same; runs a task on the module's thread once the module goes by it. */
-    public void agreed(long version, Map<String, Long> out, Map<String, String> terms, Runnable inForce) {
+    public void agreed(
+            long version, Map<String, Long> out, Map<String, String> terms, Runnable inForce) {
         Map<Long, Long> numbered = new HashMap<>();
         out.forEach((name, start) -> numbered.put(DiscoveryClient.number(name), start));
         loop.agreed(version, numbered, terms, inForce);
--- a/src/main/java/rockshift/net/Configuration.java
+++ b/src/main/java/rockshift/net/Configuration.java
@@ -19,14 +19,21 @@
 import rockshift.Terms;
 
 /**
- * What a governor is told in its file: where it is, where discovery is, what it may use, the list that it
- * last had, and its terms. It is what one reading found and never changes, and what is missing is named.
+ * What a governor is told in its file: where it is, where discovery is, what it may use, the list
+ * that it last had, and its terms. It is what one reading found and never changes, and what is
+ * missing is named.
  */
-record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
+record Configuration(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
         int descriptors,
-        DiscoveryClient.Listing known, Map<String, String> terms) {
+        DiscoveryClient.Listing known,
+        Map<String, String> terms) {
     /** Descriptors where none are told: what is usual for a process. */
     private static final int USUAL_DESCRIPTORS = 1024;
+
     /** Tenths of a ms in a second. */
     private static final double SECOND = 10_000;
 
@@ -71,7 +78,10 @@
                 }
             }
         } catch (IOException | IllegalArgumentException wrong) {
-            String what = wrong.getMessage() == null ? wrong.toString() : wrong.getMessage().split("\n")[0];
+            String what =
+                    wrong.getMessage() == null
+                            ? wrong.toString()
+                            : wrong.getMessage().split("\n")[0];
             throw new InvalidFileException(
                     file + ": " + (field.isEmpty() ? "" : "field " + field + ": ") + what);
         }
@@ -84,8 +94,9 @@
     }
 
     /** Names the first of the terms that is missing or can't be used. */
-    private static void checkSettings(String file, Map<String, String> terms,
-            Map<String, JsonLocation> places) throws InvalidFileException {
+    private static void checkSettings(
+            String file, Map<String, String> terms, Map<String, JsonLocation> places)
+            throws InvalidFileException {
         for (String needed : new String[] {"zones", "classes", "proxies"}) {
             require(file, "settings (" + needed + ")", terms.get(needed));
         }
@@ -100,14 +111,22 @@
         } catch (ClassNames.InvalidNameException wrong) {
             JsonLocation place = places.get("classes." + wrong.number() + ".name");
             throw new InvalidFileException(
-                    file + ": line " + place.getLineNr() + ", column " + place.getColumnNr()
-                            + ": field settings (" + wrong.field() + ") " + wrong.getMessage());
+                    file
+                            + ": line "
+                            + place.getLineNr()
+                            + ", column "
+                            + place.getColumnNr()
+                            + ": field settings ("
+                            + wrong.field()
+                            + ") "
+                            + wrong.getMessage());
         }
     }
 
     /**
-     * What is told of the channel that could not be kept if all proxies told were here, a line for each
-     * field. The least that all of them can be sent is one line each, with its head and its mark.
+     * What is told of the channel that could not be kept if all proxies told were here, a line for
+     * each field. The least that all of them can be sent is one line each, with its head and its
+     * mark.
      */
     List<String> beyondChannel() {
         double proxies = number("proxies", 0);
@@ -117,16 +136,25 @@
         double takes = least / number("channel.pace", Double.MAX_VALUE);
         List<String> lines = new ArrayList<>();
         if (least > limit) {
-            lines.add(String.format(Locale.ROOT,
-                    "domain.backlog %.0f: one drain told to all %.0f proxies at once comes to %.0f"
-                            + " lines",
-                    limit, proxies, least));
+            lines.add(
+                    String.format(
+                            Locale.ROOT,
+                            "domain.backlog %.0f: one drain told to all %.0f proxies at once comes"
+                                    + " to %.0f lines",
+                            limit,
+                            proxies,
+                            least));
         }
         if (takes > grace) {
-            lines.add(String.format(Locale.ROOT,
-                    "domain.channel_rate %.0f: one drain told to all %.0f proxies takes %.1f of"
-                            + " the %.1f s that it is given",
-                    number("channel.pace", 0), proxies, takes, grace));
+            lines.add(
+                    String.format(
+                            Locale.ROOT,
+                            "domain.channel_rate %.0f: one drain told to all %.0f proxies takes"
+                                    + " %.1f of the %.1f s that it is given",
+                            number("channel.pace", 0),
+                            proxies,
+                            takes,
+                            grace));
         }
         return lines;
     }
@@ -136,14 +164,21 @@
         return value == null || value.isEmpty() ? otherwise : Double.parseDouble(value);
     }
 
-    /** The fields in which another file differs though they stand for as long as the process serves. */
+    /**
+     * The fields in which another file differs though they stand for as long as the process serves.
+     */
     String fixed(Configuration other) {
-        return Stream.of(name.equals(other.name) ? "" : "name", listen.equals(other.listen) ? "" : "listen",
-                descriptors == other.descriptors ? "" : "limits", terms.equals(other.terms) ? "" : "settings")
-                .filter(field -> !field.isEmpty()).collect(Collectors.joining(", "));
+        return Stream.of(
+                        name.equals(other.name) ? "" : "name",
+                        listen.equals(other.listen) ? "" : "listen",
+                        descriptors == other.descriptors ? "" : "limits",
+                        terms.equals(other.terms) ? "" : "settings")
+                .filter(field -> !field.isEmpty())
+                .collect(Collectors.joining(", "));
     }
 
-    private static void require(String file, String field, Object value) throws InvalidFileException {
+    private static void require(String file, String field, Object value)
+            throws InvalidFileException {
         if (value == null) {
             throw new InvalidFileException(file + ": field " + field + " is missing");
         }
@@ -154,7 +189,8 @@
         if (colon < 0) {
             throw new IllegalArgumentException("an address with a port, not '" + text + "'");
         }
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     private static int sockets(JsonParser json, int otherwise) throws IOException {
@@ -172,10 +208,11 @@
     }
 
     /**
-     * Nested values as paths: plain lists joined by commas, lists of objects numbered and counted. Where a
-     * plain value stands is noted under its path.
+     * Nested values as paths: plain lists joined by commas, lists of objects numbered and counted.
+     * Where a plain value stands is noted under its path.
      */
-    private static void flatten(String path, JsonParser json, Terms terms, Map<String, JsonLocation> places)
+    private static void flatten(
+            String path, JsonParser json, Terms terms, Map<String, JsonLocation> places)
             throws IOException {
         if (json.currentToken() == JsonToken.START_OBJECT) {
             while (json.nextToken() != JsonToken.END_OBJECT) {
@@ -193,7 +230,8 @@
                     flatten(path + "." + objects++, json, terms, places);
                 }
             }
-            terms.put(objects > 0 ? path + ".count" : path,
+            terms.put(
+                    objects > 0 ? path + ".count" : path,
                     objects > 0 ? Integer.toString(objects) : plain.toString());
         } else if (json.currentToken() != JsonToken.VALUE_NULL) {
             terms.put(path, json.getText());
--- a/src/main/java/rockshift/net/DiscoveryClient.java
+++ b/src/main/java/rockshift/net/DiscoveryClient.java
@@ -44,35 +44,46 @@
 import rockshift.Terms;
 
 /**
- * The client of discovery: it keeps the list of replicas by watching where the file in force says discovery
- * is, and has the numbers under which the module knows them. It owns the connection there and the version of
- * the list that is held. Whatever discovery does, it must never lose the list that it has, and never wait
- * longer than the limits here.
+ * The client of discovery: it keeps the list of replicas by watching where the file in force says
+ * discovery is, and has the numbers under which the module knows them. It owns the connection there
+ * and the version of the list that is held. Whatever discovery does, it must never lose the list
+ * that it has, and never wait longer than the limits here.
  */
 final class DiscoveryClient implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
+
     /**
-     * Ms that a watch may be held. One that fell silent shows it only when this is over, and the grace of
-     * whoever drains meanwhile runs: a third of the grace that is usual. A call costs the agent beside
-     * nothing.
+     * Ms that a watch may be held. One that fell silent shows it only when this is over, and the
+     * grace of whoever drains meanwhile runs: a third of the grace that is usual. A call costs the
+     * agent beside nothing.
      */
     private static final int HELD = 1_000;
+
     /**
-     * Ms beyond that until a call counts as lost, and until a connection does: the agent is on this machine
-     * and answers at once. Each loss doubles it, as the loss may be ours on a busy core, up to what the
-     * protocol leaves. The first call, for the whole list, has the same time, as what it would say is told
-     * all the while.
+     * Ms beyond that until a call counts as lost, and until a connection does: the agent is on this
+     * machine and answers at once. Each loss doubles it, as the loss may be ours on a busy core, up
+     * to what the protocol leaves. The first call, for the whole list, has the same time, as what
+     * it would say is told all the while.
      */
     private static final int LATE = 500;
+
     private static final int LATEST = 2_000;
-    /** Ms after which the client itself ends what was given up: longer than any call, and few at a time. */
+
+    /**
+     * Ms after which the client itself ends what was given up: longer than any call, and few at a
+     * time.
+     */
     private static final int ABANDONED = HELD + 2 * LATEST;
+
     /** In place of the version of a list: the whole of it is asked for. */
     private static final long NONE = -1;
+
     /** Ms after a failed call: under the 200 ms that a watch outlives, and no load on the agent. */
     private static final int PAUSE = 100;
+
     /** Bytes of the longest answer: tens of thousands of replicas, and an eighth of the heap. */
     private static final int LONGEST = 8 << 20;
+
     private static final JsonFactory JSON = new JsonFactory();
 
     /** A list as it came, whole or what changed, with the names that its replicas have outside. */
@@ -80,10 +91,13 @@
 
     private final Thread thread = new Thread(this, "discovery-client");
     private final EventLoop loop;
+
     /**
-     * Where discovery is from now on, as told last. An interrupt only hurries the thread, and may be lost.
+     * Where discovery is from now on, as told last. An interrupt only hurries the thread, and may
+     * be lost.
      */
     private volatile HttpHost told;
+
     private volatile boolean closed;
     // Used by the client's thread alone: the address that is watched, and how it stands there.
     private HttpHost host;
@@ -98,10 +112,14 @@
         this.loop = loop;
     }
 
-    /** The number of a replica: the same at every governor and after every start, as its name is. */
+    /**
+     * The number of a replica: the same at every governor and after every start, as its name is.
+     */
     static long number(String name) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(name.getBytes(StandardCharsets.UTF_8));
+            byte[] hash =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(name.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong() >>> 1;
         } catch (NoSuchAlgorithmException missing) {
             throw new IllegalStateException(missing);
@@ -109,13 +127,15 @@
     }
 
     /**
-     * Notes what a replica is called. Two under one number would count as one: the later is named, as staff
-     * must rename it.
+     * Notes what a replica is called. Two under one number would count as one: the later is named,
+     * as staff must rename it.
      */
     static void name(Map<Long, String> names, long number, String name) {
         String before = names.put(number, name);
         if (before != null && !before.equals(name)) {
-            LOG.error("replicas {} and {} have the same number, and count as one: rename one of them", before,
+            LOG.error(
+                    "replicas {} and {} have the same number, and count as one: rename one of them",
+                    before,
                     name);
         }
     }
@@ -132,7 +152,9 @@
         thread.start();
     }
 
-    /** Watches another address: the call in hand is dropped at once, and the list is kept meanwhile. */
+    /**
+     * Watches another address: the call in hand is dropped at once, and the list is kept meanwhile.
+     */
     void follow(InetSocketAddress discovery) {
         HttpHost next = host(discovery);
         if (!next.equals(told)) {
@@ -166,7 +188,10 @@
         }
     }
 
-    /** Watches one address until another one is told. Versions of another may be others: all is asked for. */
+    /**
+     * Watches one address until another one is told. Versions of another may be others: all is
+     * asked for.
+     */
     private void watch() throws InterruptedException {
         host = told;
         version = NONE;
@@ -179,8 +204,12 @@
                 take(listing, loop);
                 complaint = "";
                 late = LATE;
-            } catch (IOException | ExecutionException | TimeoutException | RuntimeException failure) {
-                // The client answers with one of the last kind where a connection ends under a call.
+            } catch (IOException
+                    | ExecutionException
+                    | TimeoutException
+                    | RuntimeException failure) {
+                // The client answers with one of the last kind where a connection ends under a
+                // call.
                 complain(failure instanceof ExecutionException ? failure.getCause() : failure);
                 drop();
                 late = Math.min(LATEST, 2 * late);
@@ -190,14 +219,17 @@
     }
 
     /**
-     * Whether a list can be added to the one that is held. One that is older, or that tells what changed
-     * since nobody knows when, is not taken: all is asked for instead. What comes then counts, however low
-     * its version: discovery may have begun anew, and its lists would be refused for good.
+     * Whether a list can be added to the one that is held. One that is older, or that tells what
+     * changed since nobody knows when, is not taken: all is asked for instead. What comes then
+     * counts, however low its version: discovery may have begun anew, and its lists would be
+     * refused for good.
      */
     private void follows(Listing listing) throws IOException {
         if (version == NONE ? !listing.whole : listing.version < version) {
             String what =
-                    version == NONE ? "changes in place of the whole list" : "version " + listing.version;
+                    version == NONE
+                            ? "changes in place of the whole list"
+                            : "version " + listing.version;
             version = NONE;
             throw new IOException(what + " is no answer to what was asked");
         }
@@ -223,39 +255,48 @@
     }
 
     /**
-     * The client's own limit also holds for what is read later, so that it leaves room for a watch. A
-     * connection that comes up after it was given up is ended then: the client would count it as in use for
-     * good, and has room for few.
+     * The client's own limit also holds for what is read later, so that it leaves room for a watch.
+     * A connection that comes up after it was given up is ended then: the client would count it as
+     * in use for good, and has room for few.
      */
-    private AsyncClientEndpoint connect() throws ExecutionException, TimeoutException, InterruptedException {
+    private AsyncClientEndpoint connect()
+            throws ExecutionException, TimeoutException, InterruptedException {
         if (client == null || client.getStatus() != IOReactorStatus.ACTIVE) {
             end();
-            client = AsyncRequesterBootstrap.bootstrap()
-                    .setIOReactorConfig(
-                            IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).build())
-                    .setTlsStrategy(new NoTls())
-                    .create();
+            client =
+                    AsyncRequesterBootstrap.bootstrap()
+                            .setIOReactorConfig(
+                                    IOReactorConfig.custom()
+                                            .setIoThreadCount(1)
+                                            .setTcpNoDelay(true)
+                                            .build())
+                            .setTlsStrategy(new NoTls())
+                            .create();
             client.start();
         }
         CompletableFuture<AsyncClientEndpoint> connecting = new CompletableFuture<>();
-        client.connect(host, Timeout.ofMilliseconds(ABANDONED), null, new FutureCallback<>() {
-            @Override
-            public void completed(AsyncClientEndpoint up) {
-                if (!connecting.complete(up)) {
-                    up.releaseAndDiscard();
-                }
-            }
+        client.connect(
+                host,
+                Timeout.ofMilliseconds(ABANDONED),
+                null,
+                new FutureCallback<>() {
+                    @Override
+                    public void completed(AsyncClientEndpoint up) {
+                        if (!connecting.complete(up)) {
+                            up.releaseAndDiscard();
+                        }
+                    }
 
-            @Override
-            public void failed(Exception failure) {
-                connecting.completeExceptionally(failure);
-            }
+                    @Override
+                    public void failed(Exception failure) {
+                        connecting.completeExceptionally(failure);
+                    }
 
-            @Override
-            public void cancelled() {
-                connecting.cancel(false);
-            }
-        });
+                    @Override
+                    public void cancelled() {
+                        connecting.cancel(false);
+                    }
+                });
         try {
             return connecting.get(late, TimeUnit.MILLISECONDS);
         } finally {
@@ -263,16 +304,22 @@
         }
     }
 
-    /** One call: the whole list first, then a watch for what is newer than the list that is held. */
-    private Listing ask() throws IOException, ExecutionException, TimeoutException, InterruptedException {
+    /**
+     * One call: the whole list first, then a watch for what is newer than the list that is held.
+     */
+    private Listing ask()
+            throws IOException, ExecutionException, TimeoutException, InterruptedException {
         if (endpoint == null || !endpoint.isConnected()) {
             drop();
             endpoint = connect();
         }
-        String path = "/discovery/hosts" + (version == NONE ? "" : "?index=" + version + "&wait=" + HELD);
-        Future<Message<HttpResponse, byte[]>> call = endpoint.execute(
-                AsyncRequestBuilder.get().setHttpHost(host).setPath(path).build(),
-                new BasicResponseConsumer<>(new Body()), null);
+        String path =
+                "/discovery/hosts" + (version == NONE ? "" : "?index=" + version + "&wait=" + HELD);
+        Future<Message<HttpResponse, byte[]>> call =
+                endpoint.execute(
+                        AsyncRequestBuilder.get().setHttpHost(host).setPath(path).build(),
+                        new BasicResponseConsumer<>(new Body()),
+                        null);
         Message<HttpResponse, byte[]> answer = call.get(HELD + late, TimeUnit.MILLISECONDS);
         if (answer.getHead().getCode() != 200 || answer.getBody() == null) {
             throw new IOException("status " + answer.getHead().getCode());
@@ -334,7 +381,8 @@
             }
         }
         if (id == null || zone == null || health == null) {
-            throw new JsonParseException(json, "an entry without instanceId, zone or a known lifecycle");
+            throw new JsonParseException(
+                    json, "an entry without instanceId, zone or a known lifecycle");
         }
         long number = number(id);
         name(names, number, id);
@@ -348,19 +396,24 @@
 
     private static void expect(JsonParser json, JsonToken token) throws IOException {
         if (json.currentToken() != token) {
-            throw new JsonParseException(json, "expected " + token + ", found " + json.currentToken());
+            throw new JsonParseException(
+                    json, "expected " + token + ", found " + json.currentToken());
         }
     }
 
     /**
-     * Discovery is asked in plain HTTP: else the client loads all that TLS needs, a fifth of a start's
-     * classes.
+     * Discovery is asked in plain HTTP: else the client loads all that TLS needs, a fifth of a
+     * start's classes.
      */
     private static final class NoTls implements TlsStrategy {
         @Override
-        public boolean upgrade(TransportSecurityLayer session, HttpHost host, SocketAddress local,
+        public boolean upgrade(
+                TransportSecurityLayer session,
+                HttpHost host,
+                SocketAddress local,
                 SocketAddress remote,
-                Object attachment, Timeout timeout) {
+                Object attachment,
+                Timeout timeout) {
             return false;
         }
     }
--- a/src/main/java/rockshift/net/EventLoop.java
+++ b/src/main/java/rockshift/net/EventLoop.java
@@ -16,18 +16,27 @@
 import rockshift.Reach;
 
 /**
- * The one thread that owns the module, and the one queue through which all else reaches it. A turn takes in
- * what is queued, pulls decisions until there is none, and sends what they ordered. It must never wait for a
- * socket, and nothing that one input does wrong may end it.
+ * The one thread that owns the module, and the one queue through which all else reaches it. A turn
+ * takes in what is queued, pulls decisions until there is none, and sends what they ordered. It
+ * must never wait for a socket, and nothing that one input does wrong may end it.
  */
 final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    /** Entries of about 100 bytes that may wait before who has many must stop: a long pause brings less. */
+
+    /**
+     * Entries of about 100 bytes that may wait before who has many must stop: a long pause brings
+     * less.
+     */
     static final int MOST_WAITING = 20_000;
-    /** Entries of one party that may wait then: those of all parties stay under a third of the heap. */
+
+    /**
+     * Entries of one party that may wait then: those of all parties stay under a third of the heap.
+     */
     private static final int FAIR_SHARE = 200;
+
     /** Tenths of a ms that the thread waits at most for something to do. */
     private static final long LONGEST_PAUSE = 10_000;
+
     private static final long NANOS_PER_TENTH = 100_000;
     static final int TENTHS_PER_MILLI = 10;
 
@@ -36,10 +45,13 @@
     private final long startedNanos = System.nanoTime();
     private final Logic logic;
     private final Tables tables;
+
     /** Tenths of a ms between two turns: what is told at start. */
     private final long spacing;
+
     /** Who else hears of the list, on the thread that brings it. */
     volatile Consumer<DiscoveryClient.Listing> listing = list -> {};
+
     private final List<LongConsumer> inputs = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
     private volatile boolean closed;
@@ -50,7 +62,9 @@
         spacing = Long.parseLong(terms.getOrDefault("turn.spacing", "0"));
     }
 
-    /** The module's clock: monotonic, and at Unix time as the process starts, so that starts fit in. */
+    /**
+     * The module's clock: monotonic, and at Unix time as the process starts, so that starts fit in.
+     */
     long now() {
         return startedAt + (System.nanoTime() - startedNanos) / NANOS_PER_TENTH;
     }
@@ -61,40 +75,55 @@
             return false;
         }
         queued.incrementAndGet();
-        return queue.add(now -> {
-            queued.decrementAndGet();
-            input.accept(now);
-        });
+        return queue.add(
+                now -> {
+                    queued.decrementAndGet();
+                    input.accept(now);
+                });
     }
 
-    boolean joined(AtomicInteger queued, int proxy, String zone, double usualRate, Tables.Stream stream) {
-        return offer(queued, now -> {
-            tables.joined(proxy, stream);
-            logic.joined(now, proxy, zone, usualRate);
-        });
+    boolean joined(
+            AtomicInteger queued, int proxy, String zone, double usualRate, Tables.Stream stream) {
+        return offer(
+                queued,
+                now -> {
+                    tables.joined(proxy, stream);
+                    logic.joined(now, proxy, zone, usualRate);
+                });
     }
 
     /** An end is never refused; a stream that was replaced takes nobody with it. */
     void left(int proxy, Tables.Stream stream) {
-        queue.add(now -> {
-            if (tables.current(proxy, stream)) {
-                tables.left(proxy);
-                logic.left(now, proxy);
-            }
-        });
+        queue.add(
+                now -> {
+                    if (tables.current(proxy, stream)) {
+                        tables.left(proxy);
+                        logic.left(now, proxy);
+                    }
+                });
     }
 
     boolean applied(AtomicInteger queued, int proxy, int serial, Tables.Stream stream) {
-        return offer(queued, now -> {
-            if (tables.current(proxy, stream)) {
-                logic.caughtUp(now, proxy, serial);
-            }
-        });
-    }
-
-    boolean heard(AtomicInteger queued, String zone, long replica, int count, int failed, long took,
-            long span, Double busy) {
-        return offer(queued, now -> logic.heard(now, zone, replica, count, failed, took, span, busy));
+        return offer(
+                queued,
+                now -> {
+                    if (tables.current(proxy, stream)) {
+                        logic.caughtUp(now, proxy, serial);
+                    }
+                });
+    }
+
+    boolean heard(
+            AtomicInteger queued,
+            String zone,
+            long replica,
+            int count,
+            int failed,
+            long took,
+            long span,
+            Double busy) {
+        return offer(
+                queued, now -> logic.heard(now, zone, replica, count, failed, took, span, busy));
     }
 
     boolean usage(AtomicInteger queued, int proxy, String type, int count, long span) {
@@ -103,11 +132,12 @@
 
     /** What staff agreed is never refused: it comes as it changes, whole. */
     void agreed(long version, Map<Long, Long> out, Map<String, String> terms, Runnable inForce) {
-        queue.add(now -> {
-            tables.agreed();
-            logic.agreed(now, version, out, terms);
-            inForce.run();
-        });
+        queue.add(
+                now -> {
+                    tables.agreed();
+                    logic.agreed(now, version, out, terms);
+                    inForce.run();
+                });
     }
 
     void reach(Reach reach) {
@@ -117,15 +147,16 @@
     /** A list is never refused: it comes one at a time. */
     void listed(List<Listed> entries, boolean changes, Map<Long, String> names) {
         listing.accept(new DiscoveryClient.Listing(0, !changes, entries, names));
-        queue.add(now -> {
-            tables.listed(entries, changes, names);
-            logic.listed(now, entries, changes);
-        });
+        queue.add(
+                now -> {
+                    tables.listed(entries, changes, names);
+                    logic.listed(now, entries, changes);
+                });
     }
 
     /**
-     * Nothing more is decided than the turn in hand, whatever comes; interrupt the thread to have it end at
-     * once.
+     * Nothing more is decided than the turn in hand, whatever comes; interrupt the thread to have
+     * it end at once.
      */
     void close() {
         closed = true;
--- a/src/main/java/rockshift/net/ProcessSignals.java
+++ b/src/main/java/rockshift/net/ProcessSignals.java
@@ -4,10 +4,11 @@
 import sun.misc.SignalHandler;
 
 /**
- * The signals that a governor's process gets, from its first instruction on: SIGHUP has the file read again,
- * SIGTERM ends it with status 0. It owns who is told of them, and what came before anybody could be told: a
- * reload is kept until then, an end is carried out at once. It must load next to nothing, as whatever comes
- * before it stands is left to the virtual machine, which ends the process.
+ * The signals that a governor's process gets, from its first instruction on: SIGHUP has the file
+ * read again, SIGTERM ends it with status 0. It owns who is told of them, and what came before
+ * anybody could be told: a reload is kept until then, an end is carried out at once. It must load
+ * next to nothing, as whatever comes before it stands is left to the virtual machine, which ends
+ * the process.
  */
 public final class ProcessSignals {
     /** Who is told of signals. */
@@ -20,30 +21,36 @@
     private Listener listener;
     private boolean reloadKept;
     private boolean exiting;
+
     /** Whether whoever started the process had SIGHUP ignored, which nobody here can undo. */
     private boolean hangupIgnored;
 
     /**
-     * Signals that come from now on come here. Anonymous classes, as the first lambda costs a tenth of the
-     * start.
+     * Signals that come from now on come here. Anonymous classes, as the first lambda costs a tenth
+     * of the start.
      */
     public static ProcessSignals install() {
         ProcessSignals signals = new ProcessSignals();
         signals.hangupIgnored =
-                SignalHandler.SIG_IGN == Signal.handle(new Signal("HUP"), new SignalHandler() {
-                    @Override
-                    public void handle(Signal hangup) {
-                        signals.reload();
-                    }
-                });
-        Runtime.getRuntime().addShutdownHook(new Thread("stop") {
-            @Override
-            public void run() {
-                if (signals.stop()) {
-                    Runtime.getRuntime().halt(0);
-                }
-            }
-        });
+                SignalHandler.SIG_IGN
+                        == Signal.handle(
+                                new Signal("HUP"),
+                                new SignalHandler() {
+                                    @Override
+                                    public void handle(Signal hangup) {
+                                        signals.reload();
+                                    }
+                                });
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread("stop") {
+                            @Override
+                            public void run() {
+                                if (signals.stop()) {
+                                    Runtime.getRuntime().halt(0);
+                                }
+                            }
+                        });
         return signals;
     }
 
@@ -75,7 +82,9 @@
         }
     }
 
-    /** Ends what serves; answers whether a signal is why, and not that the program ends by itself. */
+    /**
+     * Ends what serves; answers whether a signal is why, and not that the program ends by itself.
+     */
     boolean stop() {
         Listener told;
         synchronized (this) {
--- a/src/main/java/rockshift/net/RespCodec.java
+++ b/src/main/java/rockshift/net/RespCodec.java
@@ -7,19 +7,27 @@
 import java.util.List;
 
 /**
- * The codec of the streams: RESP2 arrays of bulk strings, put together from bytes that come in pieces, and
- * the words in them. It owns the bytes of one connection's unfinished message and nothing else. It must
- * never wait, never keep more than one message may hold, and never act on what a message says.
+ * The codec of the streams: RESP2 arrays of bulk strings, put together from bytes that come in
+ * pieces, and the words in them. It owns the bytes of one connection's unfinished message and
+ * nothing else. It must never wait, never keep more than one message may hold, and never act on
+ * what a message says.
  */
 public final class RespCodec {
     /** Bytes: the longest message that the protocol allows. */
     static final int LONGEST = 1 << 20;
+
     /** Bytes kept for each connection while it is quiet; most messages fit. */
     static final int USUAL = 1 << 11;
-    /** The largest figure that is taken: no rate, time in ms or count comes near, and no sum overflows. */
+
+    /**
+     * The largest figure that is taken: no rate, time in ms or count comes near, and no sum
+     * overflows.
+     */
     private static final double LARGEST = 1e9;
+
     /** Starts and ends kept for each connection: twice the strings of the longest usual message. */
     private static final int FEW = 64;
+
     /** Digits of the longest count or length; more are no number that a message could hold. */
     private static final int DIGITS = 7;
 
@@ -57,7 +65,9 @@
     static final String MARK = "ticket";
     static final String MORE = "more";
 
-    /** Bytes that are no message: nothing after them can be read either. The code names the reason. */
+    /**
+     * Bytes that are no message: nothing after them can be read either. The code names the reason.
+     */
     public static final class Broken extends Exception {
         private static final long serialVersionUID = 1L;
         final String code;
@@ -69,7 +79,8 @@
     }
 
     /**
-     * A message that can be read and not be used; the next one may be good. It keeps no trace: many may come.
+     * A message that can be read and not be used; the next one may be good. It keeps no trace: many
+     * may come.
      */
     public static final class Spoilt extends Exception {
         private static final long serialVersionUID = 1L;
@@ -83,14 +94,22 @@
 
     private byte[] bytes = new byte[USUAL];
     private int end;
+
     /** Where the message begins, and how far it was read. */
     private int begin;
+
     private int at;
-    /** Strings that the message has, or -1 before that is known; the length of the next one, or -1. */
+
+    /**
+     * Strings that the message has, or -1 before that is known; the length of the next one, or -1.
+     */
     private int strings = -1;
+
     private int length = -1;
+
     /** Start and end of each string read. */
     private int[] cuts = new int[FEW];
+
     private int read;
 
     /** Takes over bytes that came. */
@@ -199,7 +218,8 @@
     }
 
     private String string(int i) {
-        return new String(bytes, cuts[2 * i], cuts[2 * i + 1] - cuts[2 * i], StandardCharsets.UTF_8);
+        return new String(
+                bytes, cuts[2 * i], cuts[2 * i + 1] - cuts[2 * i], StandardCharsets.UTF_8);
     }
 
     public String kind() {
--- a/src/main/java/rockshift/net/Serve.java
+++ b/src/main/java/rockshift/net/Serve.java
@@ -9,18 +9,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A governor on sockets, put together from its parts: the configuration, the module's thread, the client of
- * discovery and the streams. It owns their start and their end, in whatever order these are asked for, and
- * what a reload changes. It must never take part in what the parts do, and no file may end what serves.
+ * A governor on sockets, put together from its parts: the configuration, the module's thread, the
+ * client of discovery and the streams. It owns their start and their end, in whatever order these
+ * are asked for, and what a reload changes. It must never take part in what the parts do, and no
+ * file may end what serves.
  */
 public final class Serve implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
+
     /** Exit statuses: a file that can't be used, and all else that keeps it from serving. */
     private static final int INVALID_USAGE = 2;
+
     private static final int FAILED = 1;
+
     /**
-     * Ms between two looks at a file that nobody can be told of: a drain's grace is longer, and a look costs
-     * nothing.
+     * Ms between two looks at a file that nobody can be told of: a drain's grace is longer, and a
+     * look costs nothing.
      */
     private static final long LOOK = 1_000;
 
@@ -33,6 +37,7 @@
     private final AgreedChangesReceiver receiver;
     private final Object reloading = new Object();
     private int port;
+
     /** Whether it ends or has ended: nothing is begun any more. */
     private boolean closed;
 
@@ -64,15 +69,20 @@
             } catch (IOException failure) {
                 streams.close();
                 throw new IOException(
-                        "cannot listen on " + configuration.listen() + ": " + failure.getMessage(), failure);
+                        "cannot listen on " + configuration.listen() + ": " + failure.getMessage(),
+                        failure);
             }
             thread.start();
             discovery.start();
         }
-        LOG.info("{} serves on {}, port {}", configuration.name(), configuration.listen().getHostString(),
+        LOG.info(
+                "{} serves on {}, port {}",
+                configuration.name(),
+                configuration.listen().getHostString(),
                 port);
         if (streams.beyond() > 0) {
-            LOG.warn("limits.sockets {}: {} of the proxies told could not all join here",
+            LOG.warn(
+                    "limits.sockets {}: {} of the proxies told could not all join here",
                     configuration.descriptors(),
                     streams.beyond());
         }
@@ -84,11 +94,13 @@
     }
 
     /**
-     * Takes in what may change while serving: where discovery is. What was read at the start and can't change
-     * is named and left, and a file that can't be used changes nothing. No stream notices any of it.
+     * Takes in what may change while serving: where discovery is. What was read at the start and
+     * can't change is named and left, and a file that can't be used changes nothing. No stream
+     * notices any of it.
      */
     void reload(String file) {
-        // One after the other, so that the file that was written last counts; a file that is slow to read
+        // One after the other, so that the file that was written last counts; a file that is slow
+        // to read
         // holds up nobody else.
         synchronized (reloading) {
             try {
@@ -98,8 +110,12 @@
                         return;
                     }
                     String fixed = configuration.fixed(anew);
-                    LOG.info("{} read again, discovery at {}:{}{}", file, anew.discovery().getHostString(),
-                            anew.discovery().getPort(), fixed.isEmpty() ? "" : "; takes a restart: " + fixed);
+                    LOG.info(
+                            "{} read again, discovery at {}:{}{}",
+                            file,
+                            anew.discovery().getHostString(),
+                            anew.discovery().getPort(),
+                            fixed.isEmpty() ? "" : "; takes a restart: " + fixed);
                     discovery.follow(anew.discovery());
                 }
             } catch (Configuration.InvalidFileException wrong) {
@@ -109,8 +125,9 @@
     }
 
     /**
-     * Ends the parts, and waits for none but, for a moment, the sockets. The module comes first: it would
-     * take the ends of streams that are ended here for proxies that left, and tell the others so.
+     * Ends the parts, and waits for none but, for a moment, the sockets. The module comes first: it
+     * would take the ends of streams that are ended here for proxies that left, and tell the others
+     * so.
      */
     @Override
     public void close() throws InterruptedException {
@@ -143,10 +160,11 @@
     }
 
     /**
-     * Serves until the process is told to end; answers an exit status where it can't begin or go on. A
-     * source is what runs beside it, or null.
+     * Serves until the process is told to end; answers an exit status where it can't begin or go
+     * on. A source is what runs beside it, or null.
      */
-    public static int run(Map<String, String> environment, ProcessSignals signals, AgreedChangesSource source)
+    public static int run(
+            Map<String, String> environment, ProcessSignals signals, AgreedChangesSource source)
             throws InterruptedException {
         String file = environment.get("RELAY_CONFIG");
         String seen = stamp(file);
@@ -173,11 +191,13 @@
     }
 
     /**
-     * Where whoever started the process has SIGHUP ignored, a Java process can't hear of it, and the file is
-     * looked at instead: one that is another than was seen before is read.
+     * Where whoever started the process has SIGHUP ignored, a Java process can't hear of it, and
+     * the file is looked at instead: one that is another than was seen before is read.
      */
     private void watch(String file, String before) throws InterruptedException {
-        LOG.warn("SIGHUP is ignored by whoever started this process: {} is looked at every second instead",
+        LOG.warn(
+                "SIGHUP is ignored by whoever started this process: {} is looked at every second"
+                        + " instead",
                 file);
         for (String seen = before; thread.isAlive(); thread.join(LOOK)) {
             String now = stamp(file);
@@ -192,7 +212,8 @@
     private static String stamp(String file) {
         try {
             BasicFileAttributes now =
-                    Files.readAttributes(Path.of(file == null ? "" : file), BasicFileAttributes.class);
+                    Files.readAttributes(
+                            Path.of(file == null ? "" : file), BasicFileAttributes.class);
             return now.fileKey() + " " + now.lastModifiedTime() + " " + now.size();
         } catch (IOException failure) {
             return failure.toString();
--- a/src/main/java/rockshift/net/Streams.java
+++ b/src/main/java/rockshift/net/Streams.java
@@ -33,70 +33,108 @@
 import rockshift.ClassNames;
 
 /**
- * The listener and the connections of proxies, collectors and strangers: bytes in, bytes out, and who each
- * party is. It owns the sockets and the bytes that wait for them, and what may come in: a spoilt message of a
- * known party is dropped whole, and nothing of it reaches the module. It must never wait for the module, for
- * writing or for another party, and what one party does may cost that party its connection and no more.
+ * The listener and the connections of proxies, collectors and strangers: bytes in, bytes out, and
+ * who each party is. It owns the sockets and the bytes that wait for them, and what may come in: a
+ * spoilt message of a known party is dropped whole, and nothing of it reaches the module. It must
+ * never wait for the module, for writing or for another party, and what one party does may cost
+ * that party its connection and no more.
  */
 final class Streams {
     private static final Logger LOG = LoggerFactory.getLogger(Streams.class);
+
     /** Bytes read from one connection before the others have their turn. */
     private static final int PIECE = 1 << 16;
-    /** Bytes that a party may leave unread before its connection is reset: the protocol's figure. */
+
+    /**
+     * Bytes that a party may leave unread before its connection is reset: the protocol's figure.
+     */
     private static final int UNREAD = 128 << 10;
-    /** The same for answers to its pings, which it can have as many of as it likes: some hundred. */
+
+    /**
+     * The same for answers to its pings, which it can have as many of as it likes: some hundred.
+     */
     private static final int UNREAD_PONGS = 2 << 10;
+
     /** Bytes of all unfinished long messages together: a third of the heap. */
     private static final int UNFINISHED = 20 << 20;
+
     /**
-     * Ms: the longest span or mean time that a report may tell of, far more than waits behind a broken
-     * stream.
+     * Ms: the longest span or mean time that a report may tell of, far more than waits behind a
+     * broken stream.
      */
     private static final int LONGEST = 600_000;
+
     /** Transactions a ms: more than a zone's proxies could bring. */
     private static final int MOST_A_MILLI = 1_000;
+
     /** Share of its time that a replica may say it was busy: noise brings it a little above 1. */
     private static final int MOST_BUSY = 2;
+
     /** Characters of what is logged of a party's own words. */
     private static final int QUOTED = 100;
+
     /** Connections that may wait to be accepted: all proxies dialling at once. */
     private static final int BACKLOG = 1024;
-    /** Descriptors that are not for parties: the program's own, 24 and two calls of discovery by count; and
-     * those of them that hold connections which are being taken, or ended to make room. */
+
+    /**
+     * Descriptors that are not for parties: the program's own, 24 and two calls of discovery by
+     * count; and those of them that hold connections which are being taken, or ended to make room.
+     */
     private static final int RESERVED = 48;
+
     private static final int PASSING = 16;
-    /** Ms that a stranger has to say who it is: the protocol leaves it 1 s and wants it told within 3 s. */
+
+    /**
+     * Ms that a stranger has to say who it is: the protocol leaves it 1 s and wants it told within
+     * 3 s.
+     */
     private static final int TO_JOIN = 1_500;
+
     /**
-     * Ms that it has where room is short, and between looks at one that is idle: a party speaks as it dials.
+     * Ms that it has where room is short, and between looks at one that is idle: a party speaks as
+     * it dials.
      */
     private static final int TO_JOIN_CROWDED = 300;
+
     /** Ms between two looks at who says nothing. */
     private static final int LOOK = 100;
+
     /** Nanoseconds between two looks whether there is room again. */
     private static final long ROOM_PAUSE = 1_000_000;
-    /** Strangers' ends that are logged a second, each with its line; those beyond are counted in one. */
+
+    /**
+     * Strangers' ends that are logged a second, each with its line; those beyond are counted in
+     * one.
+     */
     private static final int LINES = 50;
+
     /** Ms for ending all connections: a planned restart leaves 0.7 s. */
     private static final int FAREWELL = 300;
+
     private static final byte[] PONG = RespCodec.message(List.of(RespCodec.PONG));
 
     private final EventLoop loop;
     private final Set<String> zones;
     private final ClassNames classes;
     private final int proxies;
+
     /** Whether reports of load tell how busy a replica was. */
     private final boolean loads;
+
     private final int most;
     private final DefaultListeningIOReactor reactor;
     // Used by the reactor's one thread alone.
     private final ByteBuffer piece = ByteBuffer.allocate(PIECE);
     private final LinkedHashSet<Connection> connections = new LinkedHashSet<>();
+
     /** The last connection on which each proxy or collector told its name. */
     private final Map<String, Connection> newest = new HashMap<>();
+
     private long unfinished;
+
     /** Strangers that ended since then, and by code those that had no line of their own. */
     private long countedSince = System.nanoTime();
+
     private int counted;
     private final Map<String, Integer> unlogged = new TreeMap<>();
 
@@ -107,12 +145,26 @@
         proxies = (int) Double.parseDouble(terms.get("proxies"));
         loads = List.of(terms.getOrDefault("load.values", "").split(",")).contains(RespCodec.BUSY);
         most = Math.max(1, descriptors - RESERVED);
-        IOReactorConfig one = IOReactorConfig.custom().setIoThreadCount(1).setBacklogSize(BACKLOG)
-                .setSoReuseAddress(true).setTcpNoDelay(true).setSelectInterval(TimeValue.ofMilliseconds(LOOK))
-                .build();
-        reactor = new DefaultListeningIOReactor((session, attachment) -> connection(session), one, null, null,
-                null, failure -> LOG.error("failure of the listener", failure), null,
-                null, session -> session.close(CloseMode.IMMEDIATE), this::worker);
+        IOReactorConfig one =
+                IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setBacklogSize(BACKLOG)
+                        .setSoReuseAddress(true)
+                        .setTcpNoDelay(true)
+                        .setSelectInterval(TimeValue.ofMilliseconds(LOOK))
+                        .build();
+        reactor =
+                new DefaultListeningIOReactor(
+                        (session, attachment) -> connection(session),
+                        one,
+                        null,
+                        null,
+                        null,
+                        failure -> LOG.error("failure of the listener", failure),
+                        null,
+                        null,
+                        session -> session.close(CloseMode.IMMEDIATE),
+                        this::worker);
     }
 
     /** What the reactor tells of a connection. */
@@ -120,18 +172,22 @@
         return new Connection(session);
     }
 
-    /** How many proxies of those told can't be joined here all at once, as descriptors run short. */
+    /**
+     * How many proxies of those told can't be joined here all at once, as descriptors run short.
+     */
     int beyond() {
         return Math.max(0, proxies + zones.size() - most);
     }
 
     /**
-     * Names the reactor's one thread for each connection that the listener took. The listener is quicker, and
-     * one that finds no descriptor left ends for good: it waits here until ended connections are let go.
+     * Names the reactor's one thread for each connection that the listener took. The listener is
+     * quicker, and one that finds no descriptor left ends for good: it waits here until ended
+     * connections are let go.
      */
     private int worker(IOWorkerStats[] workers) {
         while (reactor.getStatus() == IOReactorStatus.ACTIVE
-                && workers[0].totalChannelCount() + workers[0].pendingChannelCount() > most + PASSING) {
+                && workers[0].totalChannelCount() + workers[0].pendingChannelCount()
+                        > most + PASSING) {
             LockSupport.parkNanos(ROOM_PAUSE);
         }
         return 0;
@@ -148,7 +204,10 @@
         }
     }
 
-    /** Ends all connections. The reactor's threads close what is theirs, and are given a moment for it. */
+    /**
+     * Ends all connections. The reactor's threads close what is theirs, and are given a moment for
+     * it.
+     */
     void close() throws InterruptedException {
         reactor.initiateShutdown();
         reactor.awaitShutdown(TimeValue.ofMilliseconds(FAREWELL));
@@ -157,7 +216,10 @@
     /** Why a connection ended: a code, and what else there is to say. */
     private record Ending(String code, String about) {}
 
-    /** Whether a stranger's end has a line of its own; of the others one line tells as the next one ends. */
+    /**
+     * Whether a stranger's end has a line of its own; of the others one line tells as the next one
+     * ends.
+     */
     private boolean logged(String code) {
         if (System.nanoTime() - countedSince > TimeUnit.SECONDS.toNanos(1)) {
             if (!unlogged.isEmpty()) {
@@ -182,15 +244,21 @@
         private final RespCodec resp = new RespCodec();
         private final ConcurrentLinkedQueue<ByteBuffer> waiting = new ConcurrentLinkedQueue<>();
         private final AtomicInteger unread = new AtomicInteger();
+
         /** Its messages that the module has not taken in yet. */
         private final AtomicInteger queued = new AtomicInteger();
+
         /**
-         * Why it ended, once: by the reactor's thread, or by the module's where it leaves too much unread.
+         * Why it ended, once: by the reactor's thread, or by the module's where it leaves too much
+         * unread.
          */
         private final AtomicReference<Ending> ending = new AtomicReference<>();
+
         private String name = "stranger";
+
         /** The zone of a collector; the number of a proxy. */
         private String zone;
+
         private int proxy = -1;
         private int dropped;
 
@@ -232,7 +300,8 @@
         }
 
         /**
-         * A party has one connection, the newest: of a machine that vanished nothing else ends the old one.
+         * A party has one connection, the newest: of a machine that vanished nothing else ends the
+         * old one.
          */
         private void named(String name) {
             this.name = name;
@@ -271,9 +340,9 @@
         }
 
         /**
-         * Takes in one message; false where too many of this party wait for the module already. One that
-         * can't be used ends a stranger. A known party loses the message alone, as those around it may be
-         * good.
+         * Takes in one message; false where too many of this party wait for the module already. One
+         * that can't be used ends a stranger. A known party loses the message alone, as those
+         * around it may be good.
          */
         private boolean taken() {
             try {
@@ -283,7 +352,9 @@
                 if (stranger()) {
                     end(spoilt.code, spoilt.getMessage());
                 } else if (dropped++ == 0) {
-                    LOG.warn("dropped a message of {}: {}", name,
+                    LOG.warn(
+                            "dropped a message of {}: {}",
+                            name,
                             quoted(spoilt.code + " " + spoilt.getMessage()));
                 }
                 return true;
@@ -322,9 +393,15 @@
                     int count = counted();
                     int failed = resp.whole(RespCodec.FAILED);
                     field(failed <= count, RespCodec.FAILED);
-                    yield loop.heard(queued, zone, DiscoveryClient.number(resp.text(RespCodec.REPLICA)),
-                            count, failed,
-                            tenths(RespCodec.MEAN_TIME), tenths(RespCodec.SPAN), busy());
+                    yield loop.heard(
+                            queued,
+                            zone,
+                            DiscoveryClient.number(resp.text(RespCodec.REPLICA)),
+                            count,
+                            failed,
+                            tenths(RespCodec.MEAN_TIME),
+                            tenths(RespCodec.SPAN),
+                            busy());
                 }
                 case RespCodec.USAGE -> {
                     require(!stranger(), "a report from a stranger");
@@ -332,7 +409,8 @@
                     field(proxy < 0 || number == proxy, RespCodec.PROXY);
                     String type = resp.text(RespCodec.CLASS);
                     field(classes.contains(type), RespCodec.CLASS);
-                    // What failed may have come before the span: more can have failed in it than came.
+                    // What failed may have come before the span: more can have failed in it than
+                    // came.
                     resp.whole(RespCodec.FAILED);
                     yield loop.usage(queued, number, type, counted(), tenths(RespCodec.SPAN));
                 }
@@ -384,11 +462,14 @@
         }
 
         /**
-         * A replica's load where one is told; a report of load without it is spoilt where the terms have it.
+         * A replica's load where one is told; a report of load without it is spoilt where the terms
+         * have it.
          */
         private Double busy() throws RespCodec.Spoilt {
             Double busy = resp.paired(RespCodec.LOAD, RespCodec.BUSY);
-            field(busy == null ? !loads || !resp.has(RespCodec.LOAD) : busy <= MOST_BUSY, RespCodec.LOAD);
+            field(
+                    busy == null ? !loads || !resp.has(RespCodec.LOAD) : busy <= MOST_BUSY,
+                    RespCodec.LOAD);
             return busy;
         }
 
@@ -471,7 +552,12 @@
             if (stranger() && !logged(ending.get().code)) {
                 return;
             }
-            LOG.info("closed {} from {}: {} {}{}", name, from, ending.get().code, ending.get().about,
+            LOG.info(
+                    "closed {} from {}: {} {}{}",
+                    name,
+                    from,
+                    ending.get().code,
+                    ending.get().about,
                     dropped > 0 ? "; " + dropped + " messages dropped" : "");
         }
     }
--- a/src/main/java/rockshift/net/Tables.java
+++ b/src/main/java/rockshift/net/Tables.java
@@ -22,16 +22,18 @@
 import rockshift.Orders;
 
 /**
- * What each table, level, binding and withdrawal stands at, and so what each joined proxy is sent: one
- * message a turn, or as few as the protocol allows. It is used by the thread of {@link EventLoop} alone. It
- * must never decide what stands in a table, hold a message back, or add a line that the module is not told
- * of.
+ * What each table, level, binding and withdrawal stands at, and so what each joined proxy is sent:
+ * one message a turn, or as few as the protocol allows. It is used by the thread of {@link
+ * EventLoop} alone. It must never decide what stands in a table, hold a message back, or add a line
+ * that the module is not told of.
  */
 final class Tables implements Orders {
     private static final Logger LOG = LoggerFactory.getLogger(Tables.class);
     private static final Pattern NUMBERED = Pattern.compile("replica (\\d+)");
+
     /**
-     * Suspects that are kept, those gone among them: under a megabyte. With more, all replicas are suspect.
+     * Suspects that are kept, those gone among them: under a megabyte. With more, all replicas are
+     * suspect.
      */
     private static final int MOST_SUSPECT = 10_000;
 
@@ -45,14 +47,18 @@
     private static final class Table {
         final TreeMap<Long, Double> lines = new TreeMap<>();
         final LinkedHashMap<ClassSet, Level> levels = new LinkedHashMap<>();
+
         /** What this turn changed. */
         final TreeMap<Long, Double> newLines = new TreeMap<>();
+
         final LinkedHashMap<ClassSet, Level> newLevels = new LinkedHashMap<>();
+
         /**
-         * What proxies that are bound for some classes are told in this turn, as far as it was asked for
-         * already.
+         * What proxies that are bound for some classes are told in this turn, as far as it was
+         * asked for already.
          */
         final Map<ClassSet, List<UpdatePart>> wholeParts = new HashMap<>();
+
         final Map<ClassSet, List<UpdatePart>> newParts = new HashMap<>();
 
         /** Forgets what was encoded, as the table changes or the turn ends. */
@@ -72,13 +78,18 @@
     /** A joined proxy. */
     private static final class Seat {
         final Stream stream;
+
         /** Tables, with the classes that they are for; those bound in this turn. */
         final TreeMap<Integer, ClassSet> bound = new TreeMap<>();
+
         final Set<Integer> fresh = new TreeSet<>();
+
         /** What the proxy was told on this stream: whether a replica is shut out. */
         final Map<Long, Boolean> told = new HashMap<>();
+
         /** Replicas that this turn shuts out or lets back. */
         final Set<Long> out = new TreeSet<>();
+
         final Set<Long> back = new TreeSet<>();
 
         Seat(Stream stream) {
@@ -103,19 +114,29 @@
 
     /** Of replicas that the module knows: what they are called outside. */
     private final Map<Long, String> names = new HashMap<>();
+
     private final ClassNames classNames;
     private final LongConsumer waker;
     private final Map<Integer, Table> tables = new HashMap<>();
+
     /** The tables that this turn changed, and those that a proxy was told whole. */
     private final Set<Table> changed = new HashSet<>();
+
     private final Set<Table> told = new HashSet<>();
     private final TreeMap<Integer, Seat> seats = new TreeMap<>();
     private final Set<Long> withdrawn = new TreeSet<>();
-    /** Replicas that some governor may have shut out of a proxy before: only these need letting back. */
+
+    /**
+     * Replicas that some governor may have shut out of a proxy before: only these need letting
+     * back.
+     */
     private final Set<Long> suspect = new TreeSet<>();
+
     private boolean allSuspect;
+
     /** By proxy: what it was told to keep off. It keeps that across its streams. */
     private final Map<Integer, Set<Long>> shut = new HashMap<>();
+
     private int serial;
 
     Tables(ClassNames classNames, LongConsumer waker) {
@@ -124,9 +145,10 @@
     }
 
     /**
-     * What listed replicas are called, before the module may name them. Governors shut out who is listed as
-     * leaving. A replica that was never seen so, and has not started anew since before it was first seen, is
-     * held against by no proxy: a third of what a join comes to would tell of such ones.
+     * What listed replicas are called, before the module may name them. Governors shut out who is
+     * listed as leaving. A replica that was never seen so, and has not started anew since before it
+     * was first seen, is held against by no proxy: a third of what a join comes to would tell of
+     * such ones.
      */
     void listed(List<Listed> entries, boolean changes, Map<Long, String> called) {
         for (Listed entry : entries) {
@@ -147,9 +169,13 @@
         allSuspect = true;
     }
 
-    /** Whether a proxy that gets a line must be told if it may send there, and the message grows by that. */
+    /**
+     * Whether a proxy that gets a line must be told if it may send there, and the message grows by
+     * that.
+     */
     private boolean tell(Seat seat, long replica) {
-        return (allSuspect || suspect.contains(replica)) && seat.tell(replica, withdrawn.contains(replica));
+        return (allSuspect || suspect.contains(replica))
+                && seat.tell(replica, withdrawn.contains(replica));
     }
 
     /** A proxy is there under a new stream, which holds whatever the proxy held. */
@@ -200,8 +226,8 @@
     }
 
     /**
-     * A proxy keeps what any governor before shut out, and nobody here may know of it: it is told of each
-     * replica in its table that may ever have been shut out whether it may send there.
+     * A proxy keeps what any governor before shut out, and nobody here may know of it: it is told
+     * of each replica in its table that may ever have been shut out whether it may send there.
      */
     @Override
     public int bind(int table, int proxy, ClassSet classes) {
@@ -226,7 +252,8 @@
             withdrawn.remove(replica);
         }
         Seat seat = seats.get(proxy);
-        boolean concerned = seat != null && (out || shut.getOrDefault(proxy, Set.of()).contains(replica));
+        boolean concerned =
+                seat != null && (out || shut.getOrDefault(proxy, Set.of()).contains(replica));
         return concerned && seat.tell(replica, out) ? 1 : 0;
     }
 
@@ -260,8 +287,14 @@
     /** The module knows replicas by number; the staff know them by name. */
     @Override
     public void log(String line) {
-        LOG.info(NUMBERED.matcher(line).replaceAll(found -> "replica " + Matcher
-                .quoteReplacement(names.get(Long.parseLong(found.group(1))))));
+        LOG.info(
+                NUMBERED.matcher(line)
+                        .replaceAll(
+                                found ->
+                                        "replica "
+                                                + Matcher.quoteReplacement(
+                                                        names.get(
+                                                                Long.parseLong(found.group(1))))));
     }
 
     /** Sends each proxy what this turn ordered for it. */
@@ -295,7 +328,9 @@
         seat.back.clear();
     }
 
-    /** Adds what concerns all tables of a proxy, and notes what it keeps of that across its streams. */
+    /**
+     * Adds what concerns all tables of a proxy, and notes what it keeps of that across its streams.
+     */
     private void tellWhoIsShutOut(UpdateMessage message, int proxy, Seat seat) {
         Set<Long> kept = shut.computeIfAbsent(proxy, number -> new TreeSet<>());
         if (!seat.out.isEmpty()) {
@@ -321,28 +356,29 @@
     }
 
     /**
-     * The parts that tell a proxy of one of its tables in this turn; encoded once for all who are told the
-     * same.
+     * The parts that tell a proxy of one of its tables in this turn; encoded once for all who are
+     * told the same.
      */
     private List<UpdatePart> parts(Seat seat, int number, ClassSet classes) {
         Table table = tables.get(number);
         if (seat.fresh.contains(number)) {
             told.add(table);
-            return table.wholeParts.computeIfAbsent(classes,
-                    meant -> encode(meant, table.lines, table.levels, true));
+            return table.wholeParts.computeIfAbsent(
+                    classes, meant -> encode(meant, table.lines, table.levels, true));
         } else if (changed.contains(table)) {
-            return table.newParts.computeIfAbsent(classes,
-                    meant -> encode(meant, table.newLines, table.newLevels, false));
+            return table.newParts.computeIfAbsent(
+                    classes, meant -> encode(meant, table.newLines, table.newLevels, false));
         }
         return List.of();
     }
 
-    private List<UpdatePart> encode(ClassSet classes, Map<Long, Double> lines, Map<ClassSet, Level> levels,
-            boolean whole) {
+    private List<UpdatePart> encode(
+            ClassSet classes, Map<Long, Double> lines, Map<ClassSet, Level> levels, boolean whole) {
         List<UpdatePart> parts = new ArrayList<>();
         Level beside = null;
         if (whole || !lines.isEmpty()) {
-            UpdatePart.Builder part = new UpdatePart.Builder(classNames, classes).lines(whole, lines, names);
+            UpdatePart.Builder part =
+                    new UpdatePart.Builder(classNames, classes).lines(whole, lines, names);
             beside = forAll(classes, levels.values());
             if (beside != null) {
                 part.level(beside.level, beside.again);
@@ -352,7 +388,10 @@
         for (Level level : levels.values()) {
             ClassSet meant = classes.intersection(level.classes);
             if (level != beside && !meant.isEmpty()) {
-                parts.add(new UpdatePart.Builder(classNames, meant).level(level.level, level.again).build());
+                parts.add(
+                        new UpdatePart.Builder(classNames, meant)
+                                .level(level.level, level.again)
+                                .build());
             }
         }
         return parts;
--- a/src/main/java/rockshift/net/UpdateMessage.java
+++ b/src/main/java/rockshift/net/UpdateMessage.java
@@ -6,8 +6,8 @@
 import rockshift.Orders;
 
 /**
- * What one proxy is sent in one turn: parts, and at the end what concerns all its tables. Where the parts are
- * too many for one message of the protocol, they become several, one after the other.
+ * What one proxy is sent in one turn: parts, and at the end what concerns all its tables. Where the
+ * parts are too many for one message of the protocol, they become several, one after the other.
  */
 final class UpdateMessage {
     private static final List<String> MORE = List.of(RespCodec.MORE, "1");
--- a/src/main/java/rockshift/net/UpdatePart.java
+++ b/src/main/java/rockshift/net/UpdatePart.java
@@ -10,8 +10,8 @@
 import rockshift.ClassSet;
 
 /**
- * One part of an update, in the words of the protocol. It is encoded once but for the number of its words, so
- * that all proxies that are told the same can share it.
+ * One part of an update, in the words of the protocol. It is encoded once but for the number of its
+ * words, so that all proxies that are told the same can share it.
  */
 final class UpdatePart {
     private final int words;
@@ -52,7 +52,12 @@
         }
 
         Builder level(double level, int again) {
-            words.addAll(List.of(RespCodec.LEVEL, plain(level), RespCodec.AGAIN, Integer.toString(again)));
+            words.addAll(
+                    List.of(
+                            RespCodec.LEVEL,
+                            plain(level),
+                            RespCodec.AGAIN,
+                            Integer.toString(again)));
             return this;
         }
 
--- a/src/main/java/rockshift/operator/InvalidFileException.java
+++ b/src/main/java/rockshift/operator/InvalidFileException.java
@@ -5,7 +5,11 @@
     private static final long serialVersionUID = 1L;
 
     public InvalidFileException(String file, int line, String field, String what) {
-        super(file + (line > 0 ? ", line " + line : "") + (field.isEmpty() ? "" : ", field " + field) + ": "
-                + what);
+        super(
+                file
+                        + (line > 0 ? ", line " + line : "")
+                        + (field.isEmpty() ? "" : ", field " + field)
+                        + ": "
+                        + what);
     }
 }
--- a/src/main/java/rockshift/operator/LineIndex.java
+++ b/src/main/java/rockshift/operator/LineIndex.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Where fields and blocks stand in a text, by their path: the parser keeps no lines, and takes unclosed
- * braces and missing values without a word. Knows words, strings, comments and brackets, and no more of the
- * language.
+ * Where fields and blocks stand in a text, by their path: the parser keeps no lines, and takes
+ * unclosed braces and missing values without a word. Knows words, strings, comments and brackets,
+ * and no more of the language.
  */
 final class LineIndex {
     private final Map<String, Integer> byPath = new HashMap<>();
@@ -20,7 +20,8 @@
 
     /** The line of a path, or that of the nearest block around it; 0 if there is none. */
     int of(String path) {
-        for (String at = path; !at.isEmpty();
+        for (String at = path;
+                !at.isEmpty();
                 at = at.contains(".") ? at.substring(0, at.lastIndexOf('.')) : "") {
             if (byPath.containsKey(at)) {
                 return byPath.get(at);
@@ -42,7 +43,8 @@
         for (int i = 0; i < text.length(); i = next) {
             char c = text.charAt(i);
             next = i + 1;
-            boolean comment = c == '#' || c == '/' && i + 1 < text.length() && text.charAt(i + 1) == '/';
+            boolean comment =
+                    c == '#' || c == '/' && i + 1 < text.length() && text.charAt(i + 1) == '/';
             if (comment) {
                 next = endOfLine(text, i);
             } else if (c == '"') {
@@ -57,7 +59,8 @@
                 next = end + 1;
             } else if (c == '\n') {
                 if (valued && empty) {
-                    throw new InvalidFileException(file, since, path(blocks, words.toString()), "no value");
+                    throw new InvalidFileException(
+                            file, since, path(blocks, words.toString()), "no value");
                 }
                 if (brackets == 0) {
                     valued = false;
@@ -74,7 +77,8 @@
                 empty = false;
             } else if (c == '{' && !valued) {
                 if (byPath.putIfAbsent(path(blocks, words.toString()), line) != null) {
-                    throw new InvalidFileException(file, line, path(blocks, words.toString()), "given twice");
+                    throw new InvalidFileException(
+                            file, line, path(blocks, words.toString()), "given twice");
                 }
                 blocks.addLast(words.toString());
                 opened.addLast(line);
@@ -90,7 +94,8 @@
             } else if (!Character.isWhitespace(c)) {
                 empty = false;
                 if (!valued) {
-                    boolean separate = !words.isEmpty() && Character.isWhitespace(text.charAt(i - 1));
+                    boolean separate =
+                            !words.isEmpty() && Character.isWhitespace(text.charAt(i - 1));
                     words.append(separate ? "." : "").append(c);
                 }
             }
@@ -99,8 +104,8 @@
             throw new InvalidFileException(file, since, path(blocks, words.toString()), "no value");
         }
         if (!blocks.isEmpty()) {
-            throw new InvalidFileException(file, opened.getLast(), String.join(".", blocks),
-                    "a block that is not closed");
+            throw new InvalidFileException(
+                    file, opened.getLast(), String.join(".", blocks), "a block that is not closed");
         }
     }
 
@@ -110,7 +115,9 @@
         return end < 0 ? text.length() : end;
     }
 
-    /** Where the quote stands that closes a string, or the end of the line or text that cuts it off. */
+    /**
+     * Where the quote stands that closes a string, or the end of the line or text that cuts it off.
+     */
     private static int endOfString(String text, int from) {
         int end = from;
         while (end < text.length() && text.charAt(end) != '"' && text.charAt(end) != '\n') {
--- a/src/main/java/rockshift/operator/OperatorFile.java
+++ b/src/main/java/rockshift/operator/OperatorFile.java
@@ -32,7 +32,10 @@
             Map<String, Object> values = new HCLParser().parse(text);
             return new Section(file, lines, "", values);
         } catch (HCLParserException | IOException | RuntimeException wrong) {
-            throw new InvalidFileException(file, 0, "",
+            throw new InvalidFileException(
+                    file,
+                    0,
+                    "",
                     String.valueOf(wrong.getMessage()).lines().findFirst().orElse("no HCL"));
         }
     }
--- a/src/main/java/rockshift/operator/Section.java
+++ b/src/main/java/rockshift/operator/Section.java
@@ -12,8 +12,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One block of the operator's file. Each field is read as what it must be; what nobody reads is refused at
- * the end.
+ * One block of the operator's file. Each field is read as what it must be; what nobody reads is
+ * refused at the end.
  */
 public final class Section {
     private static final Pattern SPAN = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m|h)");
@@ -72,7 +72,8 @@
         Set<String> found = new LinkedHashSet<>();
         for (Object each : value == null ? List.of() : (List<?>) value) {
             if (!(each instanceof String text) || text.isEmpty() || text.length() > longest) {
-                throw wrong(field, "must list texts of 1 to " + longest + " characters, not " + each);
+                throw wrong(
+                        field, "must list texts of 1 to " + longest + " characters, not " + each);
             } else if (!found.add(text)) {
                 throw wrong(field, "names '" + text + "' twice");
             }
@@ -81,10 +82,13 @@
     }
 
     /** One of a few words. */
-    public String word(String field, String otherwise, String... allowed) throws InvalidFileException {
+    public String word(String field, String otherwise, String... allowed)
+            throws InvalidFileException {
         String value = text(field, otherwise);
         if (!List.of(allowed).contains(value)) {
-            throw wrong(field, "must be one of " + String.join(", ", allowed) + ", not '" + value + "'");
+            throw wrong(
+                    field,
+                    "must be one of " + String.join(", ", allowed) + ", not '" + value + "'");
         }
         return value;
     }
@@ -99,14 +103,22 @@
         }
         double number = ((Number) value).doubleValue();
         if (!(number >= least && number <= most)) {
-            throw wrong(field,
-                    "must be from " + plain(least) + " to " + plain(most) + ", not " + plain(number));
+            throw wrong(
+                    field,
+                    "must be from "
+                            + plain(least)
+                            + " to "
+                            + plain(most)
+                            + ", not "
+                            + plain(number));
         }
         return number;
     }
 
-    public int whole(String field, Integer otherwise, int least, int most) throws InvalidFileException {
-        double number = number(field, otherwise == null ? null : otherwise.doubleValue(), least, most);
+    public int whole(String field, Integer otherwise, int least, int most)
+            throws InvalidFileException {
+        double number =
+                number(field, otherwise == null ? null : otherwise.doubleValue(), least, most);
         if (number != Math.rint(number)) {
             throw wrong(field, "must be a whole number, not " + number);
         }
@@ -126,18 +138,23 @@
     }
 
     /** A span such as 200ms or 5s, in tenths of a ms. */
-    public long span(String field, String otherwise, long leastMs, long mostMs) throws InvalidFileException {
+    public long span(String field, String otherwise, long leastMs, long mostMs)
+            throws InvalidFileException {
         String value = text(field, otherwise);
         Matcher parts = SPAN.matcher(value);
         if (!parts.matches()) {
-            throw wrong(field, "must be a span with its unit, such as 200ms or 5s, not '" + value + "'");
-        }
-        double ms = Double.parseDouble(parts.group(1)) * switch (parts.group(2)) {
-            case "ms" -> 1;
-            case "s" -> 1_000;
-            case "m" -> 60_000;
-            default -> 3_600_000;
-        };
+            throw wrong(
+                    field,
+                    "must be a span with its unit, such as 200ms or 5s, not '" + value + "'");
+        }
+        double ms =
+                Double.parseDouble(parts.group(1))
+                        * switch (parts.group(2)) {
+                            case "ms" -> 1;
+                            case "s" -> 1_000;
+                            case "m" -> 60_000;
+                            default -> 3_600_000;
+                        };
         if (ms < leastMs || ms > mostMs) {
             throw wrong(field, "must be from " + leastMs + "ms to " + mostMs + "ms, not " + value);
         }
@@ -145,17 +162,22 @@
     }
 
     /** A size such as 4MB, in bytes. */
-    public long bytes(String field, String otherwise, long least, long most) throws InvalidFileException {
+    public long bytes(String field, String otherwise, long least, long most)
+            throws InvalidFileException {
         String value = text(field, otherwise);
         Matcher parts = BYTES.matcher(value);
         if (!parts.matches()) {
-            throw wrong(field, "must be a size with its unit, such as 512KB or 4MB, not '" + value + "'");
-        }
-        long size = Long.parseLong(parts.group(1)) << switch (parts.group(2)) {
-            case "B" -> 0;
-            case "KB" -> 10;
-            default -> 20;
-        };
+            throw wrong(
+                    field,
+                    "must be a size with its unit, such as 512KB or 4MB, not '" + value + "'");
+        }
+        long size =
+                Long.parseLong(parts.group(1))
+                        << switch (parts.group(2)) {
+                            case "B" -> 0;
+                            case "KB" -> 10;
+                            default -> 20;
+                        };
         if (size < least || size > most) {
             throw wrong(field, "must be from " + least + " to " + most + " bytes, not " + value);
         }
@@ -176,8 +198,8 @@
         int colon = text.lastIndexOf(':');
         try {
             if (colon > 0) {
-                return new InetSocketAddress(text.substring(0, colon),
-                        Integer.parseInt(text.substring(colon + 1)));
+                return new InetSocketAddress(
+                        text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException wrong) {
             // Told below, in words that fit both.
@@ -197,7 +219,9 @@
         Object value = take(field);
         if (value instanceof Map<?, ?> map) {
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                found.put(entry.getKey().toString(), section(field + "." + entry.getKey(), entry.getValue()));
+                found.put(
+                        entry.getKey().toString(),
+                        section(field + "." + entry.getKey(), entry.getValue()));
             }
         } else if (value != null) {
             throw wrong(field, "must be blocks with a label");
--- a/src/main/java/rockshift/raft/Effects.java
+++ b/src/main/java/rockshift/raft/Effects.java
@@ -5,11 +5,11 @@
 /** What a host carries out for one {@link Raft}, in the order of the calls. */
 public interface Effects {
     /**
-     * Makes durable what changed, and tells {@link Raft#saved} the ticket once it is. One is under way at a
-     * time.
+     * Makes durable what changed, and tells {@link Raft#saved} the ticket once it is. One is under
+     * way at a time.
      *
-     * @param from the first index that the entries stand at: whatever stood from there on is void; 0 if none
-     * changed
+     * @param from the first index that the entries stand at: whatever stood from there on is void;
+     *     0 if none changed
      * @param snapshot replaces all entries, before the others are written; null if there is none
      */
     void save(long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot);
--- a/src/main/java/rockshift/raft/Entry.java
+++ b/src/main/java/rockshift/raft/Entry.java
@@ -3,20 +3,32 @@
 /**
  * One place of the log.
  *
- * @param session the client's session of a change; of an opening, the number that the client drew for it
+ * @param session the client's session of a change; of an opening, the number that the client drew
+ *     for it
  * @param serial the number of a change within its session, from 1 on
  * @param members the membership that holds from this entry on; null but for {@link Kind#MEMBERS}
  */
-public record Entry(long index, long term, Kind kind, long session, long serial, byte[] body,
+public record Entry(
+        long index,
+        long term,
+        Kind kind,
+        long session,
+        long serial,
+        byte[] body,
         Membership members) {
     /**
-     * What an entry does: begin a leader's term, open a session, change what is agreed, change who agrees.
+     * What an entry does: begin a leader's term, open a session, change what is agreed, change who
+     * agrees.
      */
     public enum Kind {
-        START, OPEN, CHANGE, MEMBERS
+        START,
+        OPEN,
+        CHANGE,
+        MEMBERS
     }
 
     private static final byte[] EMPTY = {};
+
     /** Bytes that an entry takes beside its body, for limits on flight and memory. */
     private static final int FRAME = 48;
 
--- a/src/main/java/rockshift/raft/Log.java
+++ b/src/main/java/rockshift/raft/Log.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The entries that a member holds, above a base that a snapshot stands for. It knows nothing of what is
- * durable.
+ * The entries that a member holds, above a base that a snapshot stands for. It knows nothing of
+ * what is durable.
  */
 public final class Log {
     private final List<Entry> entries = new ArrayList<>();
@@ -62,7 +62,9 @@
         }
     }
 
-    /** Entries from an index on, up to so many and so many bytes; one at least where there is any. */
+    /**
+     * Entries from an index on, up to so many and so many bytes; one at least where there is any.
+     */
     List<Entry> from(long index, int most, long mostBytes) {
         int first = (int) (index - baseIndex - 1);
         int end = first;
--- a/src/main/java/rockshift/raft/Membership.java
+++ b/src/main/java/rockshift/raft/Membership.java
@@ -25,7 +25,10 @@
     }
 
     public Member named(String name) {
-        return byId.values().stream().filter(member -> member.name().equals(name)).findFirst().orElse(null);
+        return byId.values().stream()
+                .filter(member -> member.name().equals(name))
+                .findFirst()
+                .orElse(null);
     }
 
     public boolean votes(long id) {
@@ -55,8 +58,11 @@
 
     /** The highest value that so many voters have reached. */
     long reachedBy(long needed, ToLongFunction<Long> value) {
-        long[] sorted = byId.keySet().stream().filter(this::votes).mapToLong(value).sorted().toArray();
-        return needed < 1 || sorted.length < needed ? Long.MIN_VALUE : sorted[sorted.length - (int) needed];
+        long[] sorted =
+                byId.keySet().stream().filter(this::votes).mapToLong(value).sorted().toArray();
+        return needed < 1 || sorted.length < needed
+                ? Long.MIN_VALUE
+                : sorted[sorted.length - (int) needed];
     }
 
     @Override
--- a/src/main/java/rockshift/raft/Progress.java
+++ b/src/main/java/rockshift/raft/Progress.java
@@ -6,25 +6,33 @@
 final class Progress {
     /** One message at a time until the logs are known to meet; many in flight; or a snapshot. */
     enum Way {
-        PROBE, REPLICATE, SNAPSHOT
+        PROBE,
+        REPLICATE,
+        SNAPSHOT
     }
 
     final long id;
     Way way = Way.PROBE;
     long match;
     long next;
+
     /** Last index of each message in flight. */
     final ArrayDeque<Long> flight = new ArrayDeque<>();
+
     boolean probing;
     long heardAt;
+
     /** The newest round that it answered, and when that was begun. */
     long round;
+
     long sentAt = Long.MIN_VALUE;
+
     /**
-     * While a snapshot is sent: which one and its checksum, up to where it is held, when a piece was sent
-     * last.
+     * While a snapshot is sent: which one and its checksum, up to where it is held, when a piece
+     * was sent last.
      */
     Snapshot sending;
+
     int checksum;
     int offset;
     long pieceAt;
--- a/src/main/java/rockshift/raft/Raft.java
+++ b/src/main/java/rockshift/raft/Raft.java
@@ -14,40 +14,54 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member's part in the protocol. The host calls an input method for each thing that happens, then {@link
- * #decide} until that answers false; what is decided comes out through {@link Effects}. Inputs only update
- * what is known. Times are tenths of a millisecond on the host's even clock; the host hands in the time
- * before anything else, so that a member that stood still notices first. The conditions on which safety rests
- * stand in {@link Rules}; docs/raft.md tells the rest.
+ * One member's part in the protocol. The host calls an input method for each thing that happens,
+ * then {@link #decide} until that answers false; what is decided comes out through {@link Effects}.
+ * Inputs only update what is known. Times are tenths of a millisecond on the host's even clock; the
+ * host hands in the time before anything else, so that a member that stood still notices first. The
+ * conditions on which safety rests stand in {@link Rules}; docs/raft.md tells the rest.
  */
 public final class Raft {
     // ---- constants: unit, and the reason for the size -------------------------------------------
     /**
-     * Messages in flight to one follower: a few round trips of a slow link, and a bound on what a dead one is
-     * owed.
+     * Messages in flight to one follower: a few round trips of a slow link, and a bound on what a
+     * dead one is owed.
      */
     private static final int FLIGHT = 32;
+
     /** Bytes of entries in one message: a part of the largest frame, and little to send again. */
     private static final int MOST_BYTES = 128 << 10;
+
     /** Bytes of one piece of a snapshot. */
     private static final int PIECE = 64 << 10;
+
     /** Bytes of the largest snapshot that is taken in: a quarter of the smallest heap. */
     public static final int LARGEST_SNAPSHOT = 16 << 20;
+
     /** Bytes of the largest change. */
     public static final int LARGEST_CHANGE = 64 << 10;
-    /** Entries and bytes that may wait to be committed: beyond it proposals are refused, not queued. */
+
+    /**
+     * Entries and bytes that may wait to be committed: beyond it proposals are refused, not queued.
+     */
     private static final int MOST_OPEN = 20_000;
+
     private static final long MOST_OPEN_BYTES = 8 << 20;
+
     /** Reads that may wait for a round. */
     private static final int MOST_READS = 4_096;
+
     /** Entries by which one that joins may be behind as it gets its vote: a heartbeat's worth. */
     private static final int CLOSE = 512;
+
     /** Entries kept below a snapshot, so that who is a little behind needs no snapshot. */
     private static final int TAIL = 2_000;
 
     /** What a member is in the current term; one on trial asks whether it would be elected. */
     public enum Role {
-        FOLLOWER, TRIAL, CANDIDATE, LEADER
+        FOLLOWER,
+        TRIAL,
+        CANDIDATE,
+        LEADER
     }
 
     private record Read(long token, long round, long index) {}
@@ -55,9 +69,18 @@
     private record Held(long ticket, Message message) {}
 
     /** Where a member stands, for staff and for checks. */
-    public record Standing(Role role, long term, long leader, long commit, long applied, long saved,
+    public record Standing(
+            Role role,
+            long term,
+            long leader,
+            long commit,
+            long applied,
+            long saved,
             long first,
-            long last, Membership members, Map<Long, Long> matches, boolean leased) {}
+            long last,
+            Membership members,
+            Map<Long, Long> matches,
+            boolean leased) {}
 
     // ---- state ----------------------------------------------------------------------------------
     private final long id;
@@ -69,8 +92,10 @@
     private long now;
     private Ballot ballot;
     private Snapshot snapshot;
+
     /** Memberships by the index from which they hold; the last is in force. */
     private final TreeMap<Long, Membership> configs = new TreeMap<>();
+
     private Role role = Role.FOLLOWER;
     private long leader;
     private long heardAt;
@@ -109,8 +134,17 @@
     private Message.Piece coming;
     private ByteArrayOutputStream came = new ByteArrayOutputStream();
 
-    /** A member as its disk has it: its ballot, its newest snapshot and the entries above the snapshot. */
-    public Raft(long id, Timing timing, Rules rules, RandomGenerator chance, long now, Ballot ballot,
+    /**
+     * A member as its disk has it: its ballot, its newest snapshot and the entries above the
+     * snapshot.
+     */
+    public Raft(
+            long id,
+            Timing timing,
+            Rules rules,
+            RandomGenerator chance,
+            long now,
+            Ballot ballot,
             Snapshot snapshot,
             List<Entry> entries) {
         this.id = id;
@@ -128,7 +162,8 @@
         commit = snapshot.index();
         applied = snapshot.index();
         saved = log.last();
-        // It may have promised a lease just before it ended: it waits as one that has heard from a leader.
+        // It may have promised a lease just before it ended: it waits as one that has heard from a
+        // leader.
         heardAt = now;
         rest();
     }
@@ -184,18 +219,31 @@
         return snapshot;
     }
 
-    /** Whether a leader that most hear is in touch: a leader knows by answers, a follower by its words. */
+    /**
+     * Whether a leader that most hear is in touch: a leader knows by answers, a follower by its
+     * words.
+     */
     public boolean inTouch() {
-        return role == Role.LEADER ? now < contactAt() + timing.election()
+        return role == Role.LEADER
+                ? now < contactAt() + timing.election()
                 : leader != 0 && now < heardAt + 2 * timing.election();
     }
 
     public Standing standing() {
         Map<Long, Long> matches = new TreeMap<>();
         followers.forEach((member, progress) -> matches.put(member, progress.match));
-        return new Standing(role, ballot.term(), leader(), commit, applied, saved, log.base() + 1, log.last(),
+        return new Standing(
+                role,
+                ballot.term(),
+                leader(),
+                commit,
+                applied,
+                saved,
+                log.base() + 1,
+                log.last(),
                 members(),
-                matches, leaseHolds());
+                matches,
+                leaseHolds());
     }
 
     // ---- inputs ---------------------------------------------------------------------------------
@@ -213,7 +261,10 @@
         now = Math.max(now, time);
         if (role == Role.LEADER) {
             if (now >= contactAt() + timing.election()) {
-                notes.add("term " + ballot.term() + ": most members are out of reach, no longer leading");
+                notes.add(
+                        "term "
+                                + ballot.term()
+                                + ": most members are out of reach, no longer leading");
                 follow(ballot.term(), 0);
                 return;
             }
@@ -247,13 +298,15 @@
     }
 
     /**
-     * Whether the disk takes what it is given. One whose disk does not works on, but neither leads nor
-     * campaigns.
+     * Whether the disk takes what it is given. One whose disk does not works on, but neither leads
+     * nor campaigns.
      */
     public void disk(boolean works) {
         if (diskWorks != works) {
-            notes.add(works ? "disk takes entries again"
-                    : "disk takes nothing: no votes, no entries, until it does");
+            notes.add(
+                    works
+                            ? "disk takes entries again"
+                            : "disk takes nothing: no votes, no entries, until it does");
         }
         diskWorks = works;
         abdicate();
@@ -262,17 +315,28 @@
     /** A leader that can't save hands over to the voter that has most. */
     private void abdicate() {
         if (role == Role.LEADER && !diskWorks && handTo == 0) {
-            followers.values().stream().filter(other -> members().votes(other.id))
-                    .max(Comparator.comparingLong(other -> other.match)).ifPresent(next -> transfer(next.id));
+            followers.values().stream()
+                    .filter(other -> members().votes(other.id))
+                    .max(Comparator.comparingLong(other -> other.match))
+                    .ifPresent(next -> transfer(next.id));
         }
     }
 
     /** Asks for a change to be agreed; answers its index, or leaves why not in the second place. */
     public long propose(Entry.Kind kind, long session, long serial, byte[] body, Refusal[] why) {
-        Refusal refusal = role != Role.LEADER ? Refusal.NOT_LEADER : handTo != 0 ? Refusal.HANDING_OVER
-                : !diskWorks ? Refusal.DISK : body.length > LARGEST_CHANGE ? Refusal.TOO_LARGE
-                        : log.last() - commit >= MOST_OPEN || openBytes() > MOST_OPEN_BYTES ? Refusal.BUSY
-                                : null;
+        Refusal refusal =
+                role != Role.LEADER
+                        ? Refusal.NOT_LEADER
+                        : handTo != 0
+                                ? Refusal.HANDING_OVER
+                                : !diskWorks
+                                        ? Refusal.DISK
+                                        : body.length > LARGEST_CHANGE
+                                                ? Refusal.TOO_LARGE
+                                                : log.last() - commit >= MOST_OPEN
+                                                                || openBytes() > MOST_OPEN_BYTES
+                                                        ? Refusal.BUSY
+                                                        : null;
         if (refusal != null) {
             why[0] = refusal;
             return 0;
@@ -303,7 +367,9 @@
             return Refusal.LAST_VOTER;
         } else if (after.all().size() > Membership.MOST) {
             return Refusal.TOO_MANY;
-        } else if (!remove && member.role() == Member.Role.VOTER && !before.votes(member.id())
+        } else if (!remove
+                && member.role() == Member.Role.VOTER
+                && !before.votes(member.id())
                 && (progress == null || progress.match + CLOSE < commit)) {
             return Refusal.NOT_CAUGHT_UP;
         }
@@ -344,7 +410,10 @@
         }
     }
 
-    /** What is applied was saved as a snapshot: the entries below it are no longer needed, but for a tail. */
+    /**
+     * What is applied was saved as a snapshot: the entries below it are no longer needed, but for a
+     * tail.
+     */
     public void compacted(Snapshot other) {
         if (other.index() > snapshot.index() && other.index() <= applied) {
             snapshot = other;
@@ -367,9 +436,12 @@
         if (message instanceof Message.Ask ask) {
             asked(ask);
         } else if (message.term() < ballot.term()) {
-            // A leader of an older term learns of ours, and ends; answers to what is long past mean nothing.
+            // A leader of an older term learns of ours, and ends; answers to what is long past mean
+            // nothing.
             if (message instanceof Message.Append || message instanceof Message.Piece) {
-                post(new Message.Appended(id, message.from(), ballot.term(), false, 0, 0, 0, 0, 0, now),
+                post(
+                        new Message.Appended(
+                                id, message.from(), ballot.term(), false, 0, 0, 0, 0, 0, now),
                         needs());
             }
         } else if (message instanceof Message.Vote vote && vote.trial() && vote.given()) {
@@ -394,7 +466,9 @@
                 answered(answer);
             } else if (message instanceof Message.Taken taken) {
                 taken(taken);
-            } else if (message instanceof Message.Campaign && diskWorks && members().votes(id)
+            } else if (message instanceof Message.Campaign
+                    && diskWorks
+                    && members().votes(id)
                     && role != Role.LEADER) {
                 campaign(false, true);
             }
@@ -411,17 +485,23 @@
             return;
         }
         boolean fits =
-                rules.upToDate(ask.lastIndex(), ask.lastTerm(), log.last(), log.lastTerm()) && diskWorks;
+                rules.upToDate(ask.lastIndex(), ask.lastTerm(), log.last(), log.lastTerm())
+                        && diskWorks;
         if (ask.trial()) {
             boolean yes = ask.term() > ballot.term() && fits;
-            post(new Message.Vote(id, ask.from(), yes ? ask.term() : ballot.term(), true, yes), needs());
+            post(
+                    new Message.Vote(id, ask.from(), yes ? ask.term() : ballot.term(), true, yes),
+                    needs());
             return;
         }
         if (ask.term() > ballot.term()) {
             follow(ask.term(), 0);
         }
-        boolean yes = ask.term() == ballot.term() && fits && (role == Role.FOLLOWER || role == Role.TRIAL)
-                && rules.free(ballot, ask.from());
+        boolean yes =
+                ask.term() == ballot.term()
+                        && fits
+                        && (role == Role.FOLLOWER || role == Role.TRIAL)
+                        && rules.free(ballot, ask.from());
         if (yes) {
             vote(new Ballot(ballot.term(), ask.from()));
             role = Role.FOLLOWER;
@@ -439,16 +519,21 @@
         role = trial ? Role.TRIAL : Role.CANDIDATE;
         leader = 0;
         given.clear();
-        // Who still waits for the old leader refuses a trial, which harms nobody: it is made again soon.
-        campaignAt = now + timing.election() / (trial ? 5 : 2)
-                + chance.nextLong(timing.election() / (trial ? 5 : 2));
+        // Who still waits for the old leader refuses a trial, which harms nobody: it is made again
+        // soon.
+        campaignAt =
+                now
+                        + timing.election() / (trial ? 5 : 2)
+                        + chance.nextLong(timing.election() / (trial ? 5 : 2));
         if (!trial) {
             vote(new Ballot(ballot.term() + 1, id));
         }
         long term = trial ? ballot.term() + 1 : ballot.term();
         for (Member member : members().all()) {
             if (member.id() != id && member.role() == Member.Role.VOTER) {
-                post(new Message.Ask(id, member.id(), term, log.last(), log.lastTerm(), trial, forced),
+                post(
+                        new Message.Ask(
+                                id, member.id(), term, log.last(), log.lastTerm(), trial, forced),
                         needs());
             }
         }
@@ -480,11 +565,18 @@
                 followers.put(member.id(), new Progress(member.id(), log.last() + 1, now));
             }
         }
-        notes.add("leads in term " + ballot.term() + " with " + log.last() + " entries, " + commit
-                + " known agreed");
+        notes.add(
+                "leads in term "
+                        + ballot.term()
+                        + " with "
+                        + log.last()
+                        + " entries, "
+                        + commit
+                        + " known agreed");
         add(Entry.start(log.last() + 1, ballot.term()));
         if (configs.lastKey() == 0) {
-            // Who founded the cluster is told to those that come in with an empty log, like everything else.
+            // Who founded the cluster is told to those that come in with an empty log, like
+            // everything else.
             add(Entry.members(log.last() + 1, ballot.term(), members()));
         }
         speak();
@@ -533,13 +625,24 @@
             while (hint > log.base() && log.term(hint) > prevTerm) {
                 hint--;
             }
-            post(new Message.Appended(id, append.from(), ballot.term(), false, hint,
-                    Math.max(0, log.term(hint)),
-                    append.prevIndex(), append.round(), append.sentAt(), now), needs());
+            post(
+                    new Message.Appended(
+                            id,
+                            append.from(),
+                            ballot.term(),
+                            false,
+                            hint,
+                            Math.max(0, log.term(hint)),
+                            append.prevIndex(),
+                            append.round(),
+                            append.sentAt(),
+                            now),
+                    needs());
             return;
         }
         for (Entry entry : entries.subList(known, entries.size())) {
-            if (entry.index() <= log.last() && !rules.stands(entry.term(), log.term(entry.index()))) {
+            if (entry.index() <= log.last()
+                    && !rules.stands(entry.term(), log.term(entry.index()))) {
                 cut(entry.index());
             }
             if (entry.index() == log.last() + 1) {
@@ -550,7 +653,8 @@
         }
         long last = Math.max(prev, entries.isEmpty() ? 0 : entries.get(entries.size() - 1).index());
         commit = Math.max(commit, Math.min(append.commit(), Math.min(last, log.last())));
-        // A disk that is behind does not make the member seem out of reach: what is durable is told at once.
+        // A disk that is behind does not make the member seem out of reach: what is durable is told
+        // at once.
         long ready = rules.waits() ? Math.min(last, saved) : last;
         post(match(append, ready), dirtyBallot());
         if (ready < last) {
@@ -559,7 +663,15 @@
     }
 
     private Message match(Message.Append append, long match) {
-        return new Message.Appended(id, append.from(), ballot.term(), true, match, 0, 0, append.round(),
+        return new Message.Appended(
+                id,
+                append.from(),
+                ballot.term(),
+                true,
+                match,
+                0,
+                0,
+                append.round(),
                 append.sentAt(),
                 now);
     }
@@ -578,17 +690,30 @@
                 || piece.index() <= commit) {
             commit = Math.max(commit, Math.min(piece.index(), log.last()));
             post(taken(piece, piece.total()), needs());
-            post(new Message.Appended(id, piece.from(), ballot.term(), true, Math.min(piece.index(), saved),
-                    0, 0,
-                    piece.round(), piece.sentAt(), now), needs());
+            post(
+                    new Message.Appended(
+                            id,
+                            piece.from(),
+                            ballot.term(),
+                            true,
+                            Math.min(piece.index(), saved),
+                            0,
+                            0,
+                            piece.round(),
+                            piece.sentAt(),
+                            now),
+                    needs());
             return;
         }
         if (piece.total() > LARGEST_SNAPSHOT) {
             notes.add("a snapshot of " + piece.total() + " bytes is too large, left");
             return;
         }
-        if (coming == null || coming.index() != piece.index() || coming.snapshotTerm() != piece.snapshotTerm()
-                || coming.checksum() != piece.checksum() || coming.total() != piece.total()) {
+        if (coming == null
+                || coming.index() != piece.index()
+                || coming.snapshotTerm() != piece.snapshotTerm()
+                || coming.checksum() != piece.checksum()
+                || coming.total() != piece.total()) {
             coming = piece;
             came = new ByteArrayOutputStream();
         }
@@ -603,20 +728,41 @@
         coming = null;
         came = new ByteArrayOutputStream();
         if (Checksum.of(data) != piece.checksum()) {
-            notes.add("snapshot of entry " + piece.index() + " came corrupt from " + name(piece.from())
-                    + ", asked anew");
+            notes.add(
+                    "snapshot of entry "
+                            + piece.index()
+                            + " came corrupt from "
+                            + name(piece.from())
+                            + ", asked anew");
             post(taken(piece, 0), 0);
             return;
         }
         install(new Snapshot(piece.index(), piece.snapshotTerm(), piece.members(), data));
         notes.add("snapshot of entry " + piece.index() + " taken from " + name(piece.from()));
         post(taken(piece, piece.total()), needs());
-        post(new Message.Appended(id, piece.from(), ballot.term(), true, piece.index(), 0, 0, piece.round(),
-                piece.sentAt(), now), needs());
+        post(
+                new Message.Appended(
+                        id,
+                        piece.from(),
+                        ballot.term(),
+                        true,
+                        piece.index(),
+                        0,
+                        0,
+                        piece.round(),
+                        piece.sentAt(),
+                        now),
+                needs());
     }
 
     private Message taken(Message.Piece piece, int offset) {
-        return new Message.Taken(id, piece.from(), ballot.term(), piece.index(), offset, piece.round(),
+        return new Message.Taken(
+                id,
+                piece.from(),
+                ballot.term(),
+                piece.index(),
+                offset,
+                piece.round(),
                 piece.sentAt(),
                 now);
     }
@@ -676,8 +822,10 @@
                 progress.snapshot(snapshot, Checksum.of(snapshot.data()));
                 return piece(progress);
             }
-            List<Entry> entries = progress.next > log.last() ? List.of()
-                    : log.from(progress.next, timing.batch(), MOST_BYTES);
+            List<Entry> entries =
+                    progress.next > log.last()
+                            ? List.of()
+                            : log.from(progress.next, timing.batch(), MOST_BYTES);
             append(progress, entries);
             any = true;
             if (progress.way == Progress.Way.PROBE) {
@@ -691,15 +839,27 @@
     }
 
     private void append(Progress progress, List<Entry> entries) {
-        post(new Message.Append(id, progress.id, ballot.term(), progress.next - 1,
-                log.term(progress.next - 1), commit,
-                round, roundAt, entries), 0);
+        post(
+                new Message.Append(
+                        id,
+                        progress.id,
+                        ballot.term(),
+                        progress.next - 1,
+                        log.term(progress.next - 1),
+                        commit,
+                        round,
+                        roundAt,
+                        entries),
+                0);
     }
 
     /** A word without entries: it shows a follower that it lacks some, where a message was lost. */
     private void word(Progress progress) {
         if (progress.way == Progress.Way.SNAPSHOT) {
-            post(new Message.Append(id, progress.id, ballot.term(), 0, 0, 0, round, roundAt, List.of()), 0);
+            post(
+                    new Message.Append(
+                            id, progress.id, ballot.term(), 0, 0, 0, round, roundAt, List.of()),
+                    0);
         } else {
             append(progress, List.of());
         }
@@ -709,9 +869,21 @@
         Snapshot sent = progress.sending;
         int end = Math.min(sent.data().length, progress.offset + PIECE);
         progress.pieceAt = now;
-        post(new Message.Piece(id, progress.id, ballot.term(), sent.index(), sent.term(), sent.members(),
-                sent.data().length, progress.checksum, progress.offset,
-                Arrays.copyOfRange(sent.data(), progress.offset, end), round, roundAt), 0);
+        post(
+                new Message.Piece(
+                        id,
+                        progress.id,
+                        ballot.term(),
+                        sent.index(),
+                        sent.term(),
+                        sent.members(),
+                        sent.data().length,
+                        progress.checksum,
+                        progress.offset,
+                        Arrays.copyOfRange(sent.data(), progress.offset, end),
+                        round,
+                        roundAt),
+                0);
         return true;
     }
 
@@ -722,8 +894,10 @@
         }
         hear(progress, answer.round(), answer.sentAt(), answer.clock());
         if (!answer.ok()) {
-            boolean stale = answer.refused() <= progress.match
-                    || progress.way == Progress.Way.PROBE && answer.refused() != progress.next - 1;
+            boolean stale =
+                    answer.refused() <= progress.match
+                            || progress.way == Progress.Way.PROBE
+                                    && answer.refused() != progress.next - 1;
             if (!stale && progress.way != Progress.Way.SNAPSHOT) {
                 long hint = Math.min(answer.match(), log.last());
                 while (hint > log.base() && log.term(hint) > answer.hintTerm()) {
@@ -738,7 +912,8 @@
             }
             boolean met = progress.way == Progress.Way.PROBE && answer.match() >= progress.next - 1;
             boolean installed =
-                    progress.way == Progress.Way.SNAPSHOT && progress.match >= progress.sending.index();
+                    progress.way == Progress.Way.SNAPSHOT
+                            && progress.match >= progress.sending.index();
             if (met || installed) {
                 progress.replicate();
             }
@@ -771,17 +946,28 @@
         progress.answered(now, answeredRound, sentAt, clock);
         if (progress.clock.apart() > timing.drift() && !driftTold) {
             driftTold = true;
-            notes.add("the clock of " + name(progress.id)
-                    + " runs apart by more than allowed: reads without leases");
+            notes.add(
+                    "the clock of "
+                            + name(progress.id)
+                            + " runs apart by more than allowed: reads without leases");
         }
         confirm();
     }
 
     /** Lets reads go whose round most have answered. */
     private void confirm() {
-        long of = members().reachedBy(rules.needed(members()), member -> member == id ? round
-                : followers.containsKey(member) ? followers.get(member).round : 0);
-        while (!reads.isEmpty() && rules.confirmed(of, reads.getFirst().round)
+        long of =
+                members()
+                        .reachedBy(
+                                rules.needed(members()),
+                                member ->
+                                        member == id
+                                                ? round
+                                                : followers.containsKey(member)
+                                                        ? followers.get(member).round
+                                                        : 0);
+        while (!reads.isEmpty()
+                && rules.confirmed(of, reads.getFirst().round)
                 && rules.knows(log.term(commit), ballot.term())) {
             confirmed.add(new Read(reads.removeFirst().token, 0, commit));
         }
@@ -789,23 +975,49 @@
 
     /** When most of the voters, this one with them, were last heard from. */
     private long contactAt() {
-        return members().reachedBy(rules.needed(members()), member -> member == id ? now
-                : followers.containsKey(member) ? followers.get(member).heardAt : Long.MIN_VALUE / 2);
+        return members()
+                .reachedBy(
+                        rules.needed(members()),
+                        member ->
+                                member == id
+                                        ? now
+                                        : followers.containsKey(member)
+                                                ? followers.get(member).heardAt
+                                                : Long.MIN_VALUE / 2);
     }
 
     private boolean leaseHolds() {
-        if (role != Role.LEADER || !timing.leases() || driftTold || !rules.leased(handedOver)
+        if (role != Role.LEADER
+                || !timing.leases()
+                || driftTold
+                || !rules.leased(handedOver)
                 || !rules.knows(log.term(commit), ballot.term())) {
             return false;
         }
-        long sentAt = members().reachedBy(rules.needed(members()), member -> member == id ? now
-                : followers.containsKey(member) ? followers.get(member).sentAt : Long.MIN_VALUE / 2);
+        long sentAt =
+                members()
+                        .reachedBy(
+                                rules.needed(members()),
+                                member ->
+                                        member == id
+                                                ? now
+                                                : followers.containsKey(member)
+                                                        ? followers.get(member).sentAt
+                                                        : Long.MIN_VALUE / 2);
         return now < rules.lease(sentAt, timing);
     }
 
     private void advance() {
-        long reached = members().reachedBy(rules.needed(members()), member -> member == id ? saved
-                : followers.containsKey(member) ? followers.get(member).match : 0);
+        long reached =
+                members()
+                        .reachedBy(
+                                rules.needed(members()),
+                                member ->
+                                        member == id
+                                                ? saved
+                                                : followers.containsKey(member)
+                                                        ? followers.get(member).match
+                                                        : 0);
         reached = Math.min(reached, log.last());
         if (reached > commit && rules.countable(log.term(reached), ballot.term())) {
             commit = reached;
@@ -832,7 +1044,9 @@
     private void admitJoining() {
         for (Member member : List.copyOf(members().all())) {
             Progress progress = followers.get(member.id());
-            if (member.role() == Member.Role.JOINING && progress != null && progress.match + CLOSE >= commit
+            if (member.role() == Member.Role.JOINING
+                    && progress != null
+                    && progress.match + CLOSE >= commit
                     && progress.way == Progress.Way.REPLICATE
                     && change(member.as(Member.Role.VOTER), false) == null) {
                 notes.add(member.name() + " has caught up and votes");
@@ -843,12 +1057,16 @@
 
     // ---- decisions ------------------------------------------------------------------------------
 
-    /** What a message that is made now must wait for, to be a promise that a crash does not break. */
+    /**
+     * What a message that is made now must wait for, to be a promise that a crash does not break.
+     */
     private long needs() {
         return !rules.waits() ? 0 : dirty ? tickets + 1 : saving;
     }
 
-    /** The same for what rests on the ballot alone, which a save of entries alone need not hold up. */
+    /**
+     * The same for what rests on the ballot alone, which a save of entries alone need not hold up.
+     */
     private long dirtyBallot() {
         return !rules.waits() || ballot.equals(savedBallot) ? 0 : needs();
     }
@@ -865,9 +1083,10 @@
         if (!notes.isEmpty()) {
             effects.log(notes.remove());
         } else if (role == Role.LEADER
-                && (!reads.isEmpty() && reads.getLast().round > round || tellFrom <= commit
-                        && commit == log.last())) {
-            // Followers hear at once of what was agreed, where nothing is on the way that would tell them
+                && (!reads.isEmpty() && reads.getLast().round > round
+                        || tellFrom <= commit && commit == log.last())) {
+            // Followers hear at once of what was agreed, where nothing is on the way that would
+            // tell them
             // later.
             speak();
         } else if (role == Role.LEADER && sendAll()) {
@@ -880,7 +1099,9 @@
             effects.restore(unrestored);
             applied = unrestored.index();
             unrestored = null;
-        } else if (unrestored == null && unsavedSnapshot == null && applied < Math.min(commit, saved)) {
+        } else if (unrestored == null
+                && unsavedSnapshot == null
+                && applied < Math.min(commit, saved)) {
             applied++;
             effects.apply(log.get(applied));
         } else if (!refusedReads.isEmpty()) {
@@ -940,20 +1161,41 @@
         return known == null ? "member " + Long.toHexString(member) : known.name();
     }
 
-    /** Everything that a next step could depend on, but for times: equal words mean equal states. */
+    /**
+     * Everything that a next step could depend on, but for times: equal words mean equal states.
+     */
     public String fingerprint() {
         StringBuilder text =
-                new StringBuilder().append(role).append(ballot).append(leader).append('|').append(commit)
-                        .append(',').append(applied).append(',').append(saved).append(',').append(saving)
+                new StringBuilder()
+                        .append(role)
+                        .append(ballot)
+                        .append(leader)
+                        .append('|')
+                        .append(commit)
+                        .append(',')
+                        .append(applied)
+                        .append(',')
+                        .append(saved)
+                        .append(',')
+                        .append(saving)
                         .append(dirty)
-                        .append(given).append(held).append(members());
+                        .append(given)
+                        .append(held)
+                        .append(members());
         for (long i = log.base(); i <= log.last(); i++) {
             text.append(' ').append(log.term(i));
         }
-        followers.values()
-                .forEach(p -> text.append(p.id).append(p.way).append(p.match).append(',').append(p.next)
-                        .append(p.flight)
-                        .append(p.probing));
+        followers
+                .values()
+                .forEach(
+                        p ->
+                                text.append(p.id)
+                                        .append(p.way)
+                                        .append(p.match)
+                                        .append(',')
+                                        .append(p.next)
+                                        .append(p.flight)
+                                        .append(p.probing));
         return text.toString();
     }
 }
--- a/src/main/java/rockshift/raft/Refusal.java
+++ b/src/main/java/rockshift/raft/Refusal.java
@@ -2,9 +2,16 @@
 
 /** Why something was not taken. */
 public enum Refusal {
-    NOT_LEADER("not-leader"), BUSY("busy"), TOO_LARGE("too-large"), HANDING_OVER("handing-over"),
-    UNSETTLED("members-unsettled"), NOT_CAUGHT_UP("not-caught-up"), UNKNOWN_MEMBER("unknown-member"),
-    TOO_MANY("too-many-members"), LAST_VOTER("last-voter"), DISK("disk");
+    NOT_LEADER("not-leader"),
+    BUSY("busy"),
+    TOO_LARGE("too-large"),
+    HANDING_OVER("handing-over"),
+    UNSETTLED("members-unsettled"),
+    NOT_CAUGHT_UP("not-caught-up"),
+    UNKNOWN_MEMBER("unknown-member"),
+    TOO_MANY("too-many-members"),
+    LAST_VOTER("last-voter"),
+    DISK("disk");
 
     private final String code;
 
--- a/src/main/java/rockshift/raft/Rules.java
+++ b/src/main/java/rockshift/raft/Rules.java
@@ -3,8 +3,8 @@
 import java.util.function.LongPredicate;
 
 /**
- * The conditions on which safety rests, each by itself, so that each can be read, and broken on purpose to
- * see that the checks find it. They hold no state.
+ * The conditions on which safety rests, each by itself, so that each can be read, and broken on
+ * purpose to see that the checks find it. They hold no state.
  */
 public class Rules {
     /** A member gives one vote a term. */
@@ -27,8 +27,8 @@
     }
 
     /**
-     * A leader counts copies of its own term's entries only: older ones can be overwritten though most hold
-     * them.
+     * A leader counts copies of its own term's entries only: older ones can be overwritten though
+     * most hold them.
      */
     protected boolean countable(long entryTerm, long term) {
         return entryTerm == term;
@@ -40,15 +40,16 @@
     }
 
     /**
-     * An entry that stands here already is kept, with all after it: an old message must not cut what came
-     * later.
+     * An entry that stands here already is kept, with all after it: an old message must not cut
+     * what came later.
      */
     protected boolean stands(long entryTerm, long ownTerm) {
         return entryTerm == ownTerm;
     }
 
     /**
-     * Who has heard from a leader, or has just started, may have promised it a lease: no other gets a vote.
+     * Who has heard from a leader, or has just started, may have promised it a lease: no other gets
+     * a vote.
      */
     protected boolean loyal(long now, long heardAt, Timing timing) {
         return now < heardAt + timing.election();
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Whether a leader that may once have handed over holds leases: who was told to campaign is not bound by
-     * them.
+     * Whether a leader that may once have handed over holds leases: who was told to campaign is not
+     * bound by them.
      */
     protected boolean leased(boolean handedOver) {
         return !handedOver;
--- a/src/main/java/rockshift/raft/Sessions.java
+++ b/src/main/java/rockshift/raft/Sessions.java
@@ -7,12 +7,15 @@
 import java.util.Map;
 
 /**
- * Applies agreed entries to a machine, each change of a session once however often it was proposed. What a
- * session was answered last is kept with it, and all of it is part of the snapshot. The same entries leave
- * the same state everywhere.
+ * Applies agreed entries to a machine, each change of a session once however often it was proposed.
+ * What a session was answered last is kept with it, and all of it is part of the snapshot. The same
+ * entries leave the same state everywhere.
  */
 public final class Sessions {
-    /** Sessions kept; one more drops the one that was unused longest, whose client must open another. */
+    /**
+     * Sessions kept; one more drops the one that was unused longest, whose client must open
+     * another.
+     */
     public static final int MOST = 512;
 
     /** What changes are applied to. It must come out the same on every member. */
@@ -26,8 +29,8 @@
     }
 
     /**
-     * How an entry ended: whether it took effect now, and what the client is told; a reason if it was
-     * refused.
+     * How an entry ended: whether it took effect now, and what the client is told; a reason if it
+     * was refused.
      */
     public record Outcome(boolean applied, byte[] answer, String refused) {}
 
@@ -35,7 +38,9 @@
     public record Session(long id, long serial, byte[] answer) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Session that && that.id == id && that.serial == serial
+            return other instanceof Session that
+                    && that.id == id
+                    && that.serial == serial
                     && Arrays.equals(that.answer, answer);
         }
 
@@ -49,6 +54,7 @@
 
     private final Rules rules;
     private final Machine machine;
+
     /** By use, oldest first. */
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
 
@@ -74,7 +80,8 @@
         if (session == null) {
             return new Outcome(false, NOTHING, "session-unknown");
         } else if (!rules.isNew(entry.serial(), session.serial)) {
-            return entry.serial() == session.serial ? new Outcome(false, session.answer, null)
+            return entry.serial() == session.serial
+                    ? new Outcome(false, session.answer, null)
                     : new Outcome(false, NOTHING, "serial-past");
         }
         byte[] answer = machine.apply(entry.index(), entry.body());
--- a/src/main/java/rockshift/scale/Capacity.java
+++ b/src/main/java/rockshift/scale/Capacity.java
@@ -11,14 +11,15 @@
 import java.util.function.Predicate;
 
 /**
- * What was measured, worked out at the target by lines through it, beside the budgets. It reads the tables
- * that
- * the other commands keep; void runs are left out.
+ * What was measured, worked out at the target by lines through it, beside the budgets. It reads the
+ * tables that the other commands keep; void runs are left out.
  */
 public final class Capacity {
     private static final double TARGET_GOVERNORS = 1_300;
+
     /** Replicas of the average governor's scope, and of the largest: a hundred times that. */
     private static final double AVERAGE_SCOPE = 36;
+
     private static final double LARGEST_SCOPE = 3_600;
     private static final double MANY_CLASSES = 12;
     private static final double MANY_PROXIES = 800;
@@ -50,18 +51,33 @@
         /** A row of a Markdown table. */
         public String row() {
             SlopeFit.Estimate at = line.at(size);
-            return String.format(Locale.ROOT,
+            return String.format(
+                    Locale.ROOT,
                     "| %s | %s (%s to %s)%s | %s | %s + %s each (%s to %s), "
                             + "%d runs from %.0f to %.0f, r2 %.2f |",
-                    what, number(at.value()), number(at.low()), number(at.high()),
-                    at.marked() ? " **far: " + number(at.reach()) + " times what was measured**" : "",
-                    budgeted() ? verdict() : "", number(line.intercept()), number(line.slope()),
-                    number(line.slopeLow()), number(line.slopeHigh()), line.points(), line.least(),
-                    line.most(), line.determination());
+                    what,
+                    number(at.value()),
+                    number(at.low()),
+                    number(at.high()),
+                    at.marked()
+                            ? " **far: " + number(at.reach()) + " times what was measured**"
+                            : "",
+                    budgeted() ? verdict() : "",
+                    number(line.intercept()),
+                    number(line.slope()),
+                    number(line.slopeLow()),
+                    number(line.slopeHigh()),
+                    line.points(),
+                    line.least(),
+                    line.most(),
+                    line.determination());
         }
 
         private String verdict() {
-            return (factor() <= 1 ? "holds" : "**does not hold**") + ": " + number(factor()) + " of "
+            return (factor() <= 1 ? "holds" : "**does not hold**")
+                    + ": "
+                    + number(factor())
+                    + " of "
                     + number(budget);
         }
 
@@ -89,14 +105,19 @@
             String[] run = parts[0].split(",");
             boolean isVoid = Boolean.parseBoolean(run[run.length - 1]);
             if (!isVoid && parts.length > 2 && parts[2].length() > 1) {
-                figures.add(new RunFigure(Integer.parseInt(run[0]), parts[1],
-                        Double.parseDouble(parts[2].substring(1))));
+                figures.add(
+                        new RunFigure(
+                                Integer.parseInt(run[0]),
+                                parts[1],
+                                Double.parseDouble(parts[2].substring(1))));
             }
         }
     }
 
     private static List<String> rows(Path table) throws IOException {
-        return Files.exists(table) ? Files.readAllLines(table).stream().skip(1).toList() : List.of();
+        return Files.exists(table)
+                ? Files.readAllLines(table).stream().skip(1).toList()
+                : List.of();
     }
 
     /** All that can be worked out from the tables; what has too few runs is left out. */
@@ -105,27 +126,57 @@
         Predicate<FleetShape> usual = shape -> shape.proxies() == 16;
         Predicate<FleetShape> two = usual.and(shape -> shape.classes() == 2);
         Set<GovernorSweep.Figure> budgeted =
-                EnumSet.of(GovernorSweep.Figure.CORE_SHARE, GovernorSweep.Figure.PEAK,
+                EnumSet.of(
+                        GovernorSweep.Figure.CORE_SHARE,
+                        GovernorSweep.Figure.PEAK,
                         GovernorSweep.Figure.BYTES_OUT);
-        governor(all, "average governor", GovernorSweep.Size.REPLICAS, AVERAGE_SCOPE,
+        governor(
+                all,
+                "average governor",
+                GovernorSweep.Size.REPLICAS,
+                AVERAGE_SCOPE,
                 two.and(shape -> shape.replicas() <= SMALL_SCOPES),
                 EnumSet.allOf(GovernorSweep.Figure.class));
-        governor(all, "average, 12 classes", GovernorSweep.Size.CLASSES, MANY_CLASSES,
-                usual.and(shape -> shape.replicas() == AVERAGE_SCOPE), budgeted);
-        governor(all, "largest governor", GovernorSweep.Size.REPLICAS, LARGEST_SCOPE,
+        governor(
+                all,
+                "average, 12 classes",
+                GovernorSweep.Size.CLASSES,
+                MANY_CLASSES,
+                usual.and(shape -> shape.replicas() == AVERAGE_SCOPE),
+                budgeted);
+        governor(
+                all,
+                "largest governor",
+                GovernorSweep.Size.REPLICAS,
+                LARGEST_SCOPE,
                 two.and(shape -> shape.replicas() >= SMALL_SCOPES),
                 EnumSet.allOf(GovernorSweep.Figure.class));
-        governor(all, "largest, 12 classes", GovernorSweep.Size.REPLICAS_TIMES_CLASSES,
-                LARGEST_SCOPE * MANY_CLASSES, usual.and(shape -> shape.replicas() >= SMALL_SCOPES), budgeted);
-        governor(all, "60 replicas, 800 proxies", GovernorSweep.Size.PROXIES, MANY_PROXIES,
-                shape -> shape.replicas() == 60 && shape.classes() == 2, budgeted);
+        governor(
+                all,
+                "largest, 12 classes",
+                GovernorSweep.Size.REPLICAS_TIMES_CLASSES,
+                LARGEST_SCOPE * MANY_CLASSES,
+                usual.and(shape -> shape.replicas() >= SMALL_SCOPES),
+                budgeted);
+        governor(
+                all,
+                "60 replicas, 800 proxies",
+                GovernorSweep.Size.PROXIES,
+                MANY_PROXIES,
+                shape -> shape.replicas() == 60 && shape.classes() == 2,
+                budgeted);
         run(all, "in force everywhere, longest ms", IN_FORCE_BUDGET_MILLIS);
         run(all, "governor, bytes a second", BYTES_BUDGET);
         for (String role : List.of("leader", "follower", "relay", "real governor")) {
-            run(all, role + ", share of a core", role.equals("real governor") ? CORE_BUDGET : Double.NaN);
+            run(
+                    all,
+                    role + ", share of a core",
+                    role.equals("real governor") ? CORE_BUDGET : Double.NaN);
             run(all, role + ", bytes a second read", Double.NaN);
             run(all, role + ", bytes a second written", Double.NaN);
-            run(all, role + ", most MB resident",
+            run(
+                    all,
+                    role + ", most MB resident",
                     role.equals("real governor") ? MEMORY_BUDGET_MB : Double.NaN);
         }
         run(all, "busiest member, share of a core", Double.NaN);
@@ -136,15 +187,29 @@
         return all;
     }
 
-    private void governor(List<Worked> all, String role, GovernorSweep.Size size, double at,
-            Predicate<FleetShape> shapes, Set<GovernorSweep.Figure> wanted) {
+    private void governor(
+            List<Worked> all,
+            String role,
+            GovernorSweep.Size size,
+            double at,
+            Predicate<FleetShape> shapes,
+            Set<GovernorSweep.Figure> wanted) {
         GovernorSweep sweep = new GovernorSweep();
-        samples.stream().filter(sample -> shapes.test(sample.shape())).forEach(sweep.samples()::add);
-        sweep.fits(size).forEach((figure, line) -> {
-            if (wanted.contains(figure)) {
-                all.add(new Worked(role + ": " + figure.unit(), at, line, budget(figure)));
-            }
-        });
+        samples.stream()
+                .filter(sample -> shapes.test(sample.shape()))
+                .forEach(sweep.samples()::add);
+        sweep.fits(size)
+                .forEach(
+                        (figure, line) -> {
+                            if (wanted.contains(figure)) {
+                                all.add(
+                                        new Worked(
+                                                role + ": " + figure.unit(),
+                                                at,
+                                                line,
+                                                budget(figure)));
+                            }
+                        });
     }
 
     private static double budget(GovernorSweep.Figure figure) {
@@ -157,10 +222,14 @@
     }
 
     private void run(List<Worked> all, String name, double budget) {
-        List<RunFigure> found = figures.stream().filter(figure -> figure.name().equals(name)).toList();
-        if (found.size() > 2 && found.stream().mapToInt(RunFigure::governors).distinct().count() > 1) {
-            SlopeFit line = SlopeFit.of(found.stream().mapToDouble(RunFigure::governors).toArray(),
-                    found.stream().mapToDouble(RunFigure::value).toArray());
+        List<RunFigure> found =
+                figures.stream().filter(figure -> figure.name().equals(name)).toList();
+        if (found.size() > 2
+                && found.stream().mapToInt(RunFigure::governors).distinct().count() > 1) {
+            SlopeFit line =
+                    SlopeFit.of(
+                            found.stream().mapToDouble(RunFigure::governors).toArray(),
+                            found.stream().mapToDouble(RunFigure::value).toArray());
             all.add(new Worked(name, TARGET_GOVERNORS, line, budget));
         }
     }
--- a/src/main/java/rockshift/scale/ChangeLoad.java
+++ b/src/main/java/rockshift/scale/ChangeLoad.java
@@ -15,9 +15,9 @@
 import rockshift.distribution.Update;
 
 /**
- * Asks members for changes one after the other at a rate, and tells the checker what was agreed. A third of
- * the changes concerns
- * everyone, a third one service, and a third one service in one zone; one in four takes an earlier one back.
+ * Asks members for changes one after the other at a rate, and tells the checker what was agreed. A
+ * third of the changes concerns everyone, a third one service, and a third one service in one zone;
+ * one in four takes an earlier one back.
  */
 final class ChangeLoad implements Runnable {
     private static final int REPLICAS = 400;
@@ -49,7 +49,9 @@
         return asked.get();
     }
 
-    /** Changes of which nobody said what came of them; what they did is not known to the checker. */
+    /**
+     * Changes of which nobody said what came of them; what they did is not known to the checker.
+     */
     int unanswered() {
         return unanswered.get();
     }
@@ -80,8 +82,14 @@
         String subject = "replica-" + random.nextInt(REPLICAS);
         Change before = held.get(subject);
         // A replica stays where it is: a change of it concerns the same service and zone again.
-        return new Change(Change.Kind.HOLD, subject, 0, 0, "change " + asked.get(),
-                before == null ? service : before.service(), before == null ? zone : before.zone());
+        return new Change(
+                Change.Kind.HOLD,
+                subject,
+                0,
+                0,
+                "change " + asked.get(),
+                before == null ? service : before.service(),
+                before == null ? zone : before.zone());
     }
 
     private void ask(Client client, Change change) throws IOException, InterruptedException {
--- a/src/main/java/rockshift/scale/Fault.java
+++ b/src/main/java/rockshift/scale/Fault.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** A fault that comes once a share of a run's changes was asked for, and what ends it some time later. */
+/**
+ * A fault that comes once a share of a run's changes was asked for, and what ends it some time
+ * later.
+ */
 final class Fault {
     private final double share;
     private final long lastsMillis;
--- a/src/main/java/rockshift/scale/FleetStandIn.java
+++ b/src/main/java/rockshift/scale/FleetStandIn.java
@@ -20,20 +20,27 @@
 import rockshift.net.RespCodec;
 
 /**
- * The proxies and collectors of one governor, on one thread: each proxy joins, answers marks and reports what
- * came to it; each zone's collector reports what was met at the replicas there. The figures reported are
- * drawn from a seed; nothing is served.
+ * The proxies and collectors of one governor, on one thread: each proxy joins, answers marks and
+ * reports what came to it; each zone's collector reports what was met at the replicas there. The
+ * figures reported are drawn from a seed; nothing is served.
  */
 public final class FleetStandIn implements AutoCloseable {
     /** Ms between two reports on the same replica or by the same proxy. */
     public static final int REPORT_MILLIS = 2_000;
+
     private static final int TICK_MILLIS = 50;
     private static final int TICKS = REPORT_MILLIS / TICK_MILLIS;
+
     /** Requests that a replica answers between two reports, and the share by which they vary. */
     private static final int TRIES = 40;
+
     private static final double VARIATION = 0.1;
     private static final int PIECE = 1 << 16;
-    /** Bytes that a governor may leave unread of one party before its reports are dropped and counted. */
+
+    /**
+     * Bytes that a governor may leave unread of one party before its reports are dropped and
+     * counted.
+     */
     private static final int MOST_WAITING = 1 << 18;
 
     /** One connection to the governor: a proxy by its number, or a collector with -1. */
@@ -106,10 +113,16 @@
         if (party.proxy < 0) {
             send(party, "collector az " + party.zone);
         } else {
-            double share = (double) shape.replicas() * TRIES * 1_000 / REPORT_MILLIS / shape.proxies();
-            send(party,
-                    String.format(Locale.ROOT, "joined sidecar %d az %s share %.1f standing 1", party.proxy,
-                            party.zone, share));
+            double share =
+                    (double) shape.replicas() * TRIES * 1_000 / REPORT_MILLIS / shape.proxies();
+            send(
+                    party,
+                    String.format(
+                            Locale.ROOT,
+                            "joined sidecar %d az %s share %.1f standing 1",
+                            party.proxy,
+                            party.zone,
+                            share));
         }
     }
 
@@ -132,7 +145,8 @@
     }
 
     /**
-     * How late a round of reports began at most, in ms: this thread, not the governor, was the limit then.
+     * How late a round of reports began at most, in ms: this thread, not the governor, was the
+     * limit then.
      */
     public long latestMillis() {
         return latestMillis.get();
@@ -192,8 +206,13 @@
                 withTables.incrementAndGet();
             }
             if (party.codec.has("ticket")) {
-                send(party, "applied sidecar " + party.proxy + " version " + party.codec.text("ticket")
-                        + " lag_ms 1.0");
+                send(
+                        party,
+                        "applied sidecar "
+                                + party.proxy
+                                + " version "
+                                + party.codec.text("ticket")
+                                + " lag_ms 1.0");
             }
         }
     }
@@ -202,17 +221,28 @@
     private void report(int tick) {
         for (int i = tick; i < shape.replicas(); i += TICKS) {
             Party collector = collectors.get(i % shape.zones());
-            send(collector,
-                    String.format(Locale.ROOT,
+            send(
+                    collector,
+                    String.format(
+                            Locale.ROOT,
                             "heard az %s host %s n %d bad 0 avg 150.0 window %d report util:%.2f",
-                            collector.zone, DiscoveryStandIn.replica(i), varied(TRIES), REPORT_MILLIS,
+                            collector.zone,
+                            DiscoveryStandIn.replica(i),
+                            varied(TRIES),
+                            REPORT_MILLIS,
                             0.5 * varied(100) / 100));
         }
         double each = (double) shape.replicas() * TRIES / shape.proxies() / shape.classes();
         for (int i = tick; i < shape.proxies(); i += TICKS) {
             for (int k = 0; k < shape.classes(); k++) {
-                send(proxies.get(i),
-                        "usage sidecar " + i + " kind " + FleetShape.className(k) + " n " + varied(each)
+                send(
+                        proxies.get(i),
+                        "usage sidecar "
+                                + i
+                                + " kind "
+                                + FleetShape.className(k)
+                                + " n "
+                                + varied(each)
                                 + " bad 0 window "
                                 + REPORT_MILLIS);
             }
--- a/src/main/java/rockshift/scale/GovernorInRegion.java
+++ b/src/main/java/rockshift/scale/GovernorInRegion.java
@@ -14,8 +14,8 @@
 import rockshift.kit.ProgramCommand;
 
 /**
- * A real governor as a process of its own that subscribes at a region's relays for everything; its log tells
- * what is in force.
+ * A real governor as a process of its own that subscribes at a region's relays for everything; its
+ * log tells what is in force.
  */
 final class GovernorInRegion implements AutoCloseable {
     private static final FleetShape SHAPE = new FleetShape(36, 2, 16, 3);
@@ -24,35 +24,54 @@
 
     private final String name;
     private final ScaleChecker checker;
-    private final DiscoveryStandIn discovery = new DiscoveryStandIn(SHAPE.replicas(), SHAPE.zoneNames());
+    private final DiscoveryStandIn discovery =
+            new DiscoveryStandIn(SHAPE.replicas(), SHAPE.zoneNames());
     private final LoggedProcess process;
 
-    GovernorInRegion(String name, Path folder, List<InetSocketAddress> upstreams, ScaleChecker checker)
+    GovernorInRegion(
+            String name, Path folder, List<InetSocketAddress> upstreams, ScaleChecker checker)
             throws IOException, InterruptedException {
         this.name = name;
         this.checker = checker;
         StringBuilder text = new StringBuilder("distribution {\n  name = \"" + name + "\"\n");
         for (int i = 0; i < upstreams.size(); i++) {
-            text.append("  upstream \"r" + i + "\" { address = \"127.0.0.1:" + upstreams.get(i).getPort()
-                    + "\" }\n");
+            text.append(
+                    "  upstream \"r"
+                            + i
+                            + "\" { address = \"127.0.0.1:"
+                            + upstreams.get(i).getPort()
+                            + "\" }\n");
         }
         Path operator =
-                Files.writeString(folder.resolve(name + ".hcl"),
+                Files.writeString(
+                        folder.resolve(name + ".hcl"),
                         text.append("  scope { everything = true }\n}\n"));
-        Path configuration = Files.writeString(folder.resolve(name + ".json"),
-                SHAPE.configuration(discovery.port(), discovery.list()));
+        Path configuration =
+                Files.writeString(
+                        folder.resolve(name + ".json"),
+                        SHAPE.configuration(discovery.port(), discovery.list()));
         checker.saw(new Observation.Started(HollowGovernor.now(), name, Scope.all()));
-        process = new LoggedProcess(ProgramCommand.serve(configuration, List.of(),
-                List.of("--operator", operator.toString())), PORT, this::line);
+        process =
+                new LoggedProcess(
+                        ProgramCommand.serve(
+                                configuration,
+                                List.of(),
+                                List.of("--operator", operator.toString())),
+                        PORT,
+                        this::line);
         process.awaitPort();
     }
 
     private void line(String line) {
         Matcher inForce = IN_FORCE.matcher(line);
         if (inForce.find()) {
-            checker.saw(new Observation.Logged(HollowGovernor.now(), name,
-                    new Revision(Long.parseUnsignedLong(inForce.group(1), 16),
-                            Long.parseLong(inForce.group(2)))));
+            checker.saw(
+                    new Observation.Logged(
+                            HollowGovernor.now(),
+                            name,
+                            new Revision(
+                                    Long.parseUnsignedLong(inForce.group(1), 16),
+                                    Long.parseLong(inForce.group(2)))));
         }
     }
 
--- a/src/main/java/rockshift/scale/GovernorRun.java
+++ b/src/main/java/rockshift/scale/GovernorRun.java
@@ -14,17 +14,24 @@
 import rockshift.kit.ProgramCommand;
 
 /**
- * One real governor as a process of its own, with a fleet of some shape before it, watched for a while once
- * all proxies have tables or the wait for them is over. It owns the process and everything it talks to, and
- * ends them also when it is ended.
+ * One real governor as a process of its own, with a fleet of some shape before it, watched for a
+ * while once all proxies have tables or the wait for them is over. It owns the process and
+ * everything it talks to, and ends them also when it is ended.
  */
 public final class GovernorRun implements AutoCloseable {
     private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
-    /** What the collector's log says after each collection: heap before, heap after, heap committed. */
+
+    /**
+     * What the collector's log says after each collection: heap before, heap after, heap committed.
+     */
     private static final Pattern COLLECTION = Pattern.compile("(\\d+)M->(\\d+)M\\((\\d+)M\\)");
+
     private static final String DECIDING_THREAD = "event-loop";
     private static final String FOLDER_PREFIX = "rockshift-scale";
-    /** Ms that a rig's round of reports may be late before the run counts for nothing: two rounds. */
+
+    /**
+     * Ms that a rig's round of reports may be late before the run counts for nothing: two rounds.
+     */
     private static final long RIG_LATE_MILLIS = 100;
 
     /** How long a run waits and watches, in ms. */
@@ -42,21 +49,25 @@
         this.folder = folder;
         this.watchHeap = watchHeap;
         discovery = new DiscoveryStandIn(shape.replicas(), shape.zoneNames());
-        Path file = Files.writeString(folder.resolve("governor.json"),
-                shape.configuration(discovery.port(), discovery.list()));
-        List<String> options = watchHeap ? List.of("-Xlog:gc:file=" + folder.resolve("gc.log")) : List.of();
-        governor = new LoggedProcess(ProgramCommand.serve(file, options, List.of()), PORT, line -> {});
+        Path file =
+                Files.writeString(
+                        folder.resolve("governor.json"),
+                        shape.configuration(discovery.port(), discovery.list()));
+        List<String> options =
+                watchHeap ? List.of("-Xlog:gc:file=" + folder.resolve("gc.log")) : List.of();
+        governor =
+                new LoggedProcess(ProgramCommand.serve(file, options, List.of()), PORT, line -> {});
         atEnd = new Thread(this::end);
         Runtime.getRuntime().addShutdownHook(atEnd);
     }
 
     /**
-     * Runs once, with its files in a folder of its own under another while it runs. A run that watches the
-     * heap has the collector's log on, and its other figures are not for slopes. The run's number is the seed
-     * of its reports.
+     * Runs once, with its files in a folder of its own under another while it runs. A run that
+     * watches the heap has the collector's log on, and its other figures are not for slopes. The
+     * run's number is the seed of its reports.
      */
-    public static GovernorSample measure(FleetShape shape, int run, boolean watchHeap, Times times,
-            Path under)
+    public static GovernorSample measure(
+            FleetShape shape, int run, boolean watchHeap, Times times, Path under)
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory(under, FOLDER_PREFIX);
         try (GovernorRun governor = new GovernorRun(shape, folder, watchHeap)) {
@@ -73,7 +84,8 @@
     }
 
     /** What was counted at one moment. */
-    private record Counts(ProcessUsage usage, FleetStandIn.Traffic traffic, DiscoveryStandIn.Traffic asked) {}
+    private record Counts(
+            ProcessUsage usage, FleetStandIn.Traffic traffic, DiscoveryStandIn.Traffic asked) {}
 
     private GovernorSample measure(int run, Times times) throws IOException, InterruptedException {
         try (FleetStandIn fleet = new FleetStandIn(shape, governor.awaitPort(), run)) {
@@ -90,7 +102,12 @@
                 if (governor.isAlive()) {
                     throw unread;
                 }
-                return GovernorSample.died(shape, run, tables, fleet.withTables(), fleet.lostConnections(),
+                return GovernorSample.died(
+                        shape,
+                        run,
+                        tables,
+                        fleet.withTables(),
+                        fleet.lostConnections(),
                         loadAverage());
             }
         }
@@ -104,22 +121,38 @@
         return ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
     }
 
-    private GovernorSample sample(int run, FleetStandIn fleet, double tables, Counts before, Counts after,
-            boolean late) throws IOException {
+    private GovernorSample sample(
+            int run, FleetStandIn fleet, double tables, Counts before, Counts after, boolean late)
+            throws IOException {
         double seconds = (after.usage().takenNanos() - before.usage().takenNanos()) / 1e9;
         double share = after.usage().coreShareSince(before.usage());
         double deciding = after.usage().coreShareSince(before.usage(), DECIDING_THREAD);
         FleetStandIn.Traffic from = before.traffic();
         FleetStandIn.Traffic to = after.traffic();
         Heap heap = watchHeap ? heap() : new Heap(Double.NaN, Double.NaN);
-        return new GovernorSample(shape, run, share, deciding, share - deciding,
-                (to.bytesIn() - from.bytesIn()) / seconds, (to.bytesOut() - from.bytesOut()) / seconds,
+        return new GovernorSample(
+                shape,
+                run,
+                share,
+                deciding,
+                share - deciding,
+                (to.bytesIn() - from.bytesIn()) / seconds,
+                (to.bytesOut() - from.bytesOut()) / seconds,
                 (to.messagesIn() - from.messagesIn()) / seconds,
                 (to.messagesOut() - from.messagesOut()) / seconds,
                 (after.asked().bytes() - before.asked().bytes()) / seconds,
-                after.usage().residentMegabytes(), after.usage().peakMegabytes(), heap.live(),
-                heap.committed(), tables, fleet.withTables(), fleet.lostConnections(), fleet.droppedReports(),
-                fleet.latestMillis(), loadAverage(), late, false);
+                after.usage().residentMegabytes(),
+                after.usage().peakMegabytes(),
+                heap.live(),
+                heap.committed(),
+                tables,
+                fleet.withTables(),
+                fleet.lostConnections(),
+                fleet.droppedReports(),
+                fleet.latestMillis(),
+                loadAverage(),
+                late,
+                false);
     }
 
     /** Seconds until all proxies had a table, or NaN where the wait was over before. */
@@ -134,7 +167,10 @@
         return (System.nanoTime() - began) / 1e9;
     }
 
-    /** The heap that was left after the last collection, and the most that was ever committed, in MB. */
+    /**
+     * The heap that was left after the last collection, and the most that was ever committed, in
+     * MB.
+     */
     private record Heap(double live, double committed) {}
 
     private Heap heap() throws IOException {
@@ -144,8 +180,10 @@
             Matcher collection = COLLECTION.matcher(line);
             if (collection.find()) {
                 live = Double.parseDouble(collection.group(2));
-                committed = Math.max(Double.isNaN(committed) ? 0 : committed,
-                        Double.parseDouble(collection.group(3)));
+                committed =
+                        Math.max(
+                                Double.isNaN(committed) ? 0 : committed,
+                                Double.parseDouble(collection.group(3)));
             }
         }
         return new Heap(live, committed);
