--- a/src/main/java/rockshift/scale/GovernorSweep.java
+++ b/src/main/java/rockshift/scale/GovernorSweep.java
@@ -25,7 +25,8 @@
     public enum Figure {
         CORE_SHARE("core", GovernorSample::coreShare),
         DECISION_SHARE("share of a core that decides", GovernorSample::decisionShare),
-        SOCKET_SHARE("share of a core for sockets and the virtual machine", GovernorSample::socketShare),
+        SOCKET_SHARE(
+                "share of a core for sockets and the virtual machine", GovernorSample::socketShare),
         BYTES_IN("bytes a second in", GovernorSample::bytesIn),
         BYTES_OUT("B/s out", GovernorSample::bytesOut),
         MESSAGES_IN("messages a second in", GovernorSample::messagesIn),
@@ -53,8 +54,8 @@
     }
 
     /**
-     * What the size is: the one dimension that a sweep varies, or replicas times classes where it varies
-     * both.
+     * What the size is: the one dimension that a sweep varies, or replicas times classes where it
+     * varies both.
      */
     public enum Size {
         REPLICAS(shape -> shape.replicas()),
@@ -79,7 +80,8 @@
 
         /** The one that tells these shapes apart. */
         public static Size of(List<FleetShape> shapes) {
-            boolean replicas = shapes.stream().mapToInt(FleetShape::replicas).distinct().count() > 1;
+            boolean replicas =
+                    shapes.stream().mapToInt(FleetShape::replicas).distinct().count() > 1;
             boolean classes = shapes.stream().mapToInt(FleetShape::classes).distinct().count() > 1;
             boolean proxies = shapes.stream().mapToInt(FleetShape::proxies).distinct().count() > 1;
             if (proxies) {
@@ -92,11 +94,14 @@
     /** Median, least and most of some runs. */
     public record Spread(double median, double least, double most) {
         static Spread of(double[] values) {
-            double[] sorted = Arrays.stream(values).filter(value -> !Double.isNaN(value)).sorted().toArray();
+            double[] sorted =
+                    Arrays.stream(values).filter(value -> !Double.isNaN(value)).sorted().toArray();
             if (sorted.length == 0) {
                 return new Spread(Double.NaN, Double.NaN, Double.NaN);
             }
-            return new Spread((sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2, sorted[0],
+            return new Spread(
+                    (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2,
+                    sorted[0],
                     sorted[sorted.length - 1]);
         }
     }
@@ -104,12 +109,17 @@
     private final List<GovernorSample> samples = new ArrayList<>();
 
     /**
-     * Runs each shape some times, and once more with the heap watched. The runs of one shape go side by side,
-     * each with a process and a fleet of its own, as each takes half a minute until what starting costs is
-     * over.
+     * Runs each shape some times, and once more with the heap watched. The runs of one shape go
+     * side by side, each with a process and a fleet of its own, as each takes half a minute until
+     * what starting costs is over.
      */
-    public void run(List<FleetShape> shapes, int runs, GovernorRun.Times times, Path under,
-            Consumer<String> progress) throws IOException, InterruptedException {
+    public void run(
+            List<FleetShape> shapes,
+            int runs,
+            GovernorRun.Times times,
+            Path under,
+            Consumer<String> progress)
+            throws IOException, InterruptedException {
         ExecutorService beside = Executors.newFixedThreadPool(runs + 1);
         try {
             for (FleetShape shape : shapes) {
@@ -123,7 +133,8 @@
                 }
             }
         } catch (ExecutionException failure) {
-            throw new IOException("a run failed: " + failure.getCause().getMessage(), failure.getCause());
+            throw new IOException(
+                    "a run failed: " + failure.getCause().getMessage(), failure.getCause());
         } finally {
             beside.shutdownNow();
         }
@@ -131,23 +142,36 @@
 
     private void take(GovernorSample sample, Consumer<String> progress) {
         samples.add(sample);
-        progress.accept(String.format(Locale.ROOT,
-                "%s, run %d%s: %.1f%% of a core, %.1f MB, tables after %.1f s%s", sample.shape(),
-                sample.run(), sample.run() == 0 ? " (heap)" : "", 100 * sample.coreShare(),
-                sample.residentMegabytes(),
-                sample.tablesSeconds(), sample.died() ? ", the governor ended by itself"
-                        : sample.isVoid() ? ", void: the rig was late" : ""));
+        progress.accept(
+                String.format(
+                        Locale.ROOT,
+                        "%s, run %d%s: %.1f%% of a core, %.1f MB, tables after %.1f s%s",
+                        sample.shape(),
+                        sample.run(),
+                        sample.run() == 0 ? " (heap)" : "",
+                        100 * sample.coreShare(),
+                        sample.residentMegabytes(),
+                        sample.tablesSeconds(),
+                        sample.died()
+                                ? ", the governor ended by itself"
+                                : sample.isVoid() ? ", void: the rig was late" : ""));
     }
 
     public List<GovernorSample> samples() {
         return samples;
     }
 
-    /** The runs that count: heap runs for what they watch, the others for all else, and none that is void. */
+    /**
+     * The runs that count: heap runs for what they watch, the others for all else, and none that is
+     * void.
+     */
     private List<GovernorSample> counted(Figure figure) {
         return samples.stream()
-                .filter(sample -> !sample.isVoid() && (sample.run() == 0) == (figure == Figure.HEAP)
-                        && !Double.isNaN(figure.of(sample)))
+                .filter(
+                        sample ->
+                                !sample.isVoid()
+                                        && (sample.run() == 0) == (figure == Figure.HEAP)
+                                        && !Double.isNaN(figure.of(sample)))
                 .toList();
     }
 
@@ -155,23 +179,40 @@
     public Map<FleetShape, Spread> spreads(Figure figure) {
         Map<FleetShape, Spread> all = new LinkedHashMap<>();
         for (GovernorSample sample : samples) {
-            all.computeIfAbsent(sample.shape(), shape -> Spread.of(counted(figure).stream()
-                    .filter(other -> other.shape().equals(shape)).mapToDouble(figure::of).toArray()));
+            all.computeIfAbsent(
+                    sample.shape(),
+                    shape ->
+                            Spread.of(
+                                    counted(figure).stream()
+                                            .filter(other -> other.shape().equals(shape))
+                                            .mapToDouble(figure::of)
+                                            .toArray()));
         }
         return all;
     }
 
-    /** The lines through what was measured below saturation; those with too few runs are left out. */
+    /**
+     * The lines through what was measured below saturation; those with too few runs are left out.
+     */
     public Map<Figure, SlopeFit> fits(Size size) {
         Map<Figure, SlopeFit> fits = new LinkedHashMap<>();
         for (Figure figure : Figure.values()) {
             List<GovernorSample> points =
-                    counted(figure).stream().filter(sample -> sample.coreShare() < SATURATED).toList();
+                    counted(figure).stream()
+                            .filter(sample -> sample.coreShare() < SATURATED)
+                            .toList();
             if (points.size() > 2
-                    && points.stream().mapToDouble(sample -> size.of(sample.shape())).distinct().count()
+                    && points.stream()
+                                    .mapToDouble(sample -> size.of(sample.shape()))
+                                    .distinct()
+                                    .count()
                             > 1) {
-                fits.put(figure,
-                        SlopeFit.of(points.stream().mapToDouble(sample -> size.of(sample.shape())).toArray(),
+                fits.put(
+                        figure,
+                        SlopeFit.of(
+                                points.stream()
+                                        .mapToDouble(sample -> size.of(sample.shape()))
+                                        .toArray(),
                                 points.stream().mapToDouble(figure::of).toArray()));
             }
         }
--- a/src/main/java/rockshift/scale/HollowGovernor.java
+++ b/src/main/java/rockshift/scale/HollowGovernor.java
@@ -15,9 +15,8 @@
 import rockshift.distribution.Update;
 
 /**
- * A governor without a solve: the client of a real one with its own name, socket and scope. All that it is
- * told is in force at
- * once and handed to the checker.
+ * A governor without a solve: the client of a real one with its own name, socket and scope. All
+ * that it is told is in force at once and handed to the checker.
  */
 final class HollowGovernor implements DistributionListener, AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -27,18 +26,29 @@
     private final List<InetSocketAddress> upstreams;
     private final DistributionReactor reactor;
     private final ScaleChecker checker;
+
     /** Items that many hold are kept once. */
     private final UnaryOperator<Item> shared;
+
     private final SplittableRandom random;
     private DistributionClient client;
+
     /**
-     * When this life began, and who wants to know how long its first snapshot took; null once that is told.
+     * When this life began, and who wants to know how long its first snapshot took; null once that
+     * is told.
      */
     private long startedAt;
+
     private volatile Histogram startTimes;
 
-    HollowGovernor(String name, Scope scope, List<InetSocketAddress> upstreams, DistributionReactor reactor,
-            ScaleChecker checker, UnaryOperator<Item> shared, long seed) {
+    HollowGovernor(
+            String name,
+            Scope scope,
+            List<InetSocketAddress> upstreams,
+            DistributionReactor reactor,
+            ScaleChecker checker,
+            UnaryOperator<Item> shared,
+            long seed) {
         this.name = name;
         this.scope = scope;
         this.upstreams = upstreams;
@@ -57,13 +67,16 @@
         return name;
     }
 
-    /** Begins a life that holds nothing; the ms until its first snapshot is in force are recorded. */
+    /**
+     * Begins a life that holds nothing; the ms until its first snapshot is in force are recorded.
+     */
     synchronized void start(Histogram times) {
         startedAt = now();
         startTimes = times;
         checker.saw(new Observation.Started(startedAt, name, scope));
-        client = new DistributionClient(reactor, name, upstreams, scope, Limits.standard(), random.split(),
-                this);
+        client =
+                new DistributionClient(
+                        reactor, name, upstreams, scope, Limits.standard(), random.split(), this);
         client.start();
     }
 
@@ -93,7 +106,8 @@
             startTimes = null;
         }
         checker.saw(
-                new Observation.SnapshotTaken(now(), name, revision, items.stream().map(shared).toList()));
+                new Observation.SnapshotTaken(
+                        now(), name, revision, items.stream().map(shared).toList()));
         inForce.run();
     }
 
--- a/src/main/java/rockshift/scale/Observation.java
+++ b/src/main/java/rockshift/scale/Observation.java
@@ -7,7 +7,8 @@
 import rockshift.distribution.Update;
 
 /**
- * Something that a run of many governors saw, with the ms at which it happened on the one clock of the run.
+ * Something that a run of many governors saw, with the ms at which it happened on the one clock of
+ * the run.
  */
 public sealed interface Observation {
     long atMillis();
@@ -37,7 +38,10 @@
     /** A governor learned that what it holds stands unchanged at a later revision. */
     record Advanced(long atMillis, String governor, Revision to) implements OfGovernor {}
 
-    /** A governor of its own process logged what revision is in force; what it holds there is not seen. */
+    /**
+     * A governor of its own process logged what revision is in force; what it holds there is not
+     * seen.
+     */
     record Logged(long atMillis, String governor, Revision revision) implements OfGovernor {}
 
     /** A governor was asked how old what it holds may be at most. */
--- a/src/main/java/rockshift/scale/Region.java
+++ b/src/main/java/rockshift/scale/Region.java
@@ -14,8 +14,8 @@
 import rockshift.kit.ProgramCommand;
 
 /**
- * The relays of a region as processes, with links to the members that can be cut; all of the region's
- * governors use both.
+ * The relays of a region as processes, with links to the members that can be cut; all of the
+ * region's governors use both.
  */
 final class Region implements AutoCloseable {
     static final int RELAYS = 2;
@@ -45,19 +45,29 @@
     /** Starts a relay at the port that it always has; {@link #awaitRelay} waits until it serves. */
     void startRelay(int number) throws IOException {
         StringBuilder text =
-                new StringBuilder("distribution {\n  name = \"" + name + "-relay-" + number + "\"\n");
+                new StringBuilder(
+                        "distribution {\n  name = \"" + name + "-relay-" + number + "\"\n");
         for (int i = 0; i < links.size(); i++) {
             // Each relay prefers another member, so that members share them.
             int member = (i + number + Math.abs(name.hashCode())) % links.size();
             text.append(
-                    "  upstream \"n" + member + "\" { address = \"" + links.get(member).address() + "\" }\n");
+                    "  upstream \"n"
+                            + member
+                            + "\" { address = \""
+                            + links.get(member).address()
+                            + "\" }\n");
         }
-        text.append("  scope { everything = true }\n  relay { listen = \"127.0.0.1:" + ports[number]
-                + "\" }\n}\n");
+        text.append(
+                "  scope { everything = true }\n  relay { listen = \"127.0.0.1:"
+                        + ports[number]
+                        + "\" }\n}\n");
         Path file = Files.writeString(folder.resolve(name + "-relay-" + number + ".hcl"), text);
-        relays[number] = new LoggedProcess(
-                ProgramCommand.command(List.of(), List.of("relay", "--operator", file.toString())), PORT,
-                line -> {});
+        relays[number] =
+                new LoggedProcess(
+                        ProgramCommand.command(
+                                List.of(), List.of("relay", "--operator", file.toString())),
+                        PORT,
+                        line -> {});
     }
 
     void awaitRelay(int number) throws IOException, InterruptedException {
@@ -81,7 +91,9 @@
     List<InetSocketAddress> upstreams(int governor) {
         List<InetSocketAddress> all = new ArrayList<>();
         for (int i = 0; i < RELAYS; i++) {
-            all.add(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[(governor + i) % RELAYS]));
+            all.add(
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), ports[(governor + i) % RELAYS]));
         }
         return all;
     }
--- a/src/main/java/rockshift/scale/RigWatch.java
+++ b/src/main/java/rockshift/scale/RigWatch.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Notices where this program itself was held up: a thread that wakes at an interval, and how late it was at
- * most.
+ * Notices where this program itself was held up: a thread that wakes at an interval, and how late
+ * it was at most.
  */
 final class RigWatch implements AutoCloseable {
     private static final long INTERVAL_MILLIS = 50;
@@ -20,7 +20,8 @@
 
     private void watch() {
         try {
-            for (long due = HollowGovernor.now() + INTERVAL_MILLIS;;
+            for (long due = HollowGovernor.now() + INTERVAL_MILLIS;
+                    ;
                     due = HollowGovernor.now() + INTERVAL_MILLIS) {
                 TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
                 latest.accumulateAndGet(HollowGovernor.now() - due, Math::max);
--- a/src/main/java/rockshift/scale/RoleUsage.java
+++ b/src/main/java/rockshift/scale/RoleUsage.java
@@ -6,7 +6,9 @@
 import java.util.Map;
 import rockshift.kit.ProcessUsage;
 
-/** What the processes of each role have used, from when they were added until they are asked for. */
+/**
+ * What the processes of each role have used, from when they were added until they are asked for.
+ */
 final class RoleUsage {
     static final String RELAY = "relay";
     private static final double NANOS_PER_SECOND = 1e9;
@@ -21,7 +23,8 @@
     }
 
     /**
-     * The most that a process of each role used since, by figure; what relays passed is shared by governors.
+     * The most that a process of each role used since, by figure; what relays passed is shared by
+     * governors.
      */
     Map<String, Double> since(int governors) throws IOException {
         Map<String, Double> figures = new LinkedHashMap<>();
@@ -33,7 +36,8 @@
             double read = (now.bytesRead() - then.bytesRead()) / seconds;
             double written = (now.bytesWritten() - then.bytesWritten()) / seconds;
             if (role.equals(RELAY)) {
-                figures.merge("governor, bytes a second", (read + written) / governors, Double::sum);
+                figures.merge(
+                        "governor, bytes a second", (read + written) / governors, Double::sum);
             }
             figures.merge(role + ", share of a core", now.coreShareSince(then), Math::max);
             figures.merge(role + ", bytes a second read", read, Math::max);
--- a/src/main/java/rockshift/scale/ScaleChecker.java
+++ b/src/main/java/rockshift/scale/ScaleChecker.java
@@ -15,25 +15,29 @@
 import rockshift.distribution.Update;
 
 /**
- * Judges what a run of many governors saw. The truth is the changes that members agreed, in the order of
- * their revisions; all
- * that governors took is compared with it. Observations of one governor come in their order; all else may
- * come in any.
- * It does no I/O, reads no clock and takes part in nothing.
+ * Judges what a run of many governors saw. The truth is the changes that members agreed, in the
+ * order of their revisions; all that governors took is compared with it. Observations of one
+ * governor come in their order; all else may come in any. It does no I/O, reads no clock and takes
+ * part in nothing.
  */
 public final class ScaleChecker {
     /** Ms after a cut within which a governor is to be up to date again. */
     private static final long HEAL_MILLIS = ScaleVerdict.IN_FORCE_MILLIS;
+
     /** Ms that clocks and the rig's own threads may put between an event and its observation. */
     private static final long SLACK_MILLIS = 250;
+
     private static final int EXAMPLES = 20;
 
     /** The changes by revision, and when each was asked for. */
     private final TreeMap<Long, Observation.Agreed> agreed = new TreeMap<>();
+
     private final Map<String, List<Observation.OfGovernor>> byGovernor = new TreeMap<>();
     private final Map<Long, Map<String, Update>> truths = new HashMap<>();
+
     /** When each change was in force where it took longest, in ms since it was asked for. */
     private final Map<Long, Long> slowest = new TreeMap<>();
+
     private final List<String> examples = new ArrayList<>();
     private long endMillis;
     private int lost;
@@ -55,7 +59,12 @@
         byGovernor.forEach((name, seen) -> new Life(name).follow(seen));
         Histogram everywhere = new Histogram(3);
         slowest.values().forEach(everywhere::recordValue);
-        return new ScaleVerdict(byGovernor.size(), agreed.size(), everywhere, lost, disordered,
+        return new ScaleVerdict(
+                byGovernor.size(),
+                agreed.size(),
+                everywhere,
+                lost,
+                disordered,
                 stale,
                 List.copyOf(examples));
     }
@@ -79,8 +88,11 @@
 
     /** The last revision that was asked for before a time; 0 if there is none. */
     private long revisionAt(long atMillis) {
-        return agreed.values().stream().filter(change -> change.atMillis() <= atMillis)
-                .mapToLong(change -> change.update().revision()).max().orElse(0);
+        return agreed.values().stream()
+                .filter(change -> change.atMillis() <= atMillis)
+                .mapToLong(change -> change.update().revision())
+                .max()
+                .orElse(0);
     }
 
     /** One governor from its start to its end, and anew at each start. */
@@ -91,9 +103,12 @@
         private long startedAt;
         private boolean running;
         private boolean cut;
+
         /** Keys that one difference brought so far. */
         private final Set<String> brought = new HashSet<>();
+
         private long healedAt = Long.MIN_VALUE;
+
         /** The newest change before the cut ended; 0 when the governor has it, or no cut ended. */
         private long owedAfterHeal;
 
@@ -140,7 +155,8 @@
         }
 
         /**
-         * The newest change that concerns this governor and was asked for before a time; 0 if there is none.
+         * The newest change that concerns this governor and was asked for before a time; 0 if there
+         * is none.
          */
         private long newestBefore(long atMillis) {
             for (Observation.Agreed change : agreed.descendingMap().values()) {
@@ -152,21 +168,29 @@
         }
 
         private void snapshot(Observation.SnapshotTaken snapshot) {
-            if (held.sameCluster(snapshot.revision()) && snapshot.revision().number() < held.number()) {
+            if (held.sameCluster(snapshot.revision())
+                    && snapshot.revision().number() < held.number()) {
                 disorder("a snapshot at " + snapshot.revision() + " after " + held);
             }
             Map<String, Item> items = new HashMap<>();
             snapshot.items().forEach(item -> items.put(item.key(), item));
-            truth(snapshot.revision().number()).forEach((key, update) -> {
-                Item item = items.remove(key);
-                boolean owed = isOurs(update);
-                if (owed && !update.item().equals(item)) {
-                    lose(update, "the snapshot at " + snapshot.revision());
-                } else if (!owed && item != null) {
-                    disorder("the snapshot at " + snapshot.revision() + " holds " + item);
-                }
-            });
-            items.values().forEach(item -> disorder("the snapshot holds " + item + ", never agreed"));
+            truth(snapshot.revision().number())
+                    .forEach(
+                            (key, update) -> {
+                                Item item = items.remove(key);
+                                boolean owed = isOurs(update);
+                                if (owed && !update.item().equals(item)) {
+                                    lose(update, "the snapshot at " + snapshot.revision());
+                                } else if (!owed && item != null) {
+                                    disorder(
+                                            "the snapshot at "
+                                                    + snapshot.revision()
+                                                    + " holds "
+                                                    + item);
+                                }
+                            });
+            items.values()
+                    .forEach(item -> disorder("the snapshot holds " + item + ", never agreed"));
             reach(snapshot.revision(), snapshot.atMillis());
         }
 
@@ -179,9 +203,16 @@
             Map<String, Update> changed = changed(difference.to().number());
             for (Update update : difference.updates()) {
                 Update truth = changed.get(update.item().key());
-                boolean right = truth != null && (isOurs(truth) ? update.equals(truth) : update.deleted());
+                boolean right =
+                        truth != null && (isOurs(truth) ? update.equals(truth) : update.deleted());
                 if (!right || !brought.add(update.item().key())) {
-                    disorder("a difference to " + difference.to() + " after " + held + " brings " + update);
+                    disorder(
+                            "a difference to "
+                                    + difference.to()
+                                    + " after "
+                                    + held
+                                    + " brings "
+                                    + update);
                 }
                 owed.remove(update.item().key());
             }
@@ -195,24 +226,29 @@
                 disorder("advanced to " + advanced.to() + " after " + held);
                 return;
             }
-            owed(advanced.to().number()).values()
+            owed(advanced.to().number())
+                    .values()
                     .forEach(update -> lose(update, "advanced to " + advanced.to()));
             reach(advanced.to(), advanced.atMillis());
         }
 
         /** The last change of each key since what is held, up to a revision. */
         private Map<String, Update> changed(long to) {
-            return latest(agreed.subMap(held.number(), false, Math.max(held.number(), to), true).values());
+            return latest(
+                    agreed.subMap(held.number(), false, Math.max(held.number(), to), true)
+                            .values());
         }
 
         /**
-         * Those of them that matter here: an item that is to be held, or one that was and is to be held no
-         * more.
+         * Those of them that matter here: an item that is to be held, or one that was and is to be
+         * held no more.
          */
         private Map<String, Update> owed(long to) {
             Map<String, Update> owed = changed(to);
             Map<String, Update> before = owed.isEmpty() ? Map.of() : truth(held.number());
-            owed.values().removeIf(update -> !isOurs(update) && !isOurs(before.get(update.item().key())));
+            owed.values()
+                    .removeIf(
+                            update -> !isOurs(update) && !isOurs(before.get(update.item().key())));
             return owed;
         }
 
@@ -229,15 +265,25 @@
         }
 
         /**
-         * What is held now; changes asked for while this life ran outside a cut count for how long they took.
+         * What is held now; changes asked for while this life ran outside a cut count for how long
+         * they took.
          */
         private void reach(Revision revision, long atMillis) {
             boolean counts = !held.isNone();
-            for (Observation.Agreed change : agreed
-                    .subMap(held.number(), false, Math.max(held.number(), revision.number()), true)
-                    .values()) {
-                if (counts && scope.matches(change.update()) && !cut && change.atMillis() > healedAt) {
-                    slowest.merge(change.update().revision(), Math.max(0, atMillis - change.atMillis()),
+            for (Observation.Agreed change :
+                    agreed.subMap(
+                                    held.number(),
+                                    false,
+                                    Math.max(held.number(), revision.number()),
+                                    true)
+                            .values()) {
+                if (counts
+                        && scope.matches(change.update())
+                        && !cut
+                        && change.atMillis() > healedAt) {
+                    slowest.merge(
+                            change.update().revision(),
+                            Math.max(0, atMillis - change.atMillis()),
                             Math::max);
                 }
             }
@@ -251,15 +297,30 @@
             long newest = newestBefore(told.atMillis() - told.ageMillis() - SLACK_MILLIS);
             if (!held.isNone() && newest > held.number()) {
                 stale++;
-                example(name + " holds " + held + " and calls it " + told.ageMillis() + " ms old at "
-                        + told.atMillis() + ", before " + newest);
+                example(
+                        name
+                                + " holds "
+                                + held
+                                + " and calls it "
+                                + told.ageMillis()
+                                + " ms old at "
+                                + told.atMillis()
+                                + ", before "
+                                + newest);
             }
         }
 
         private void checkHealing(long atMillis) {
             if (owedAfterHeal > 0 && running && !cut && atMillis > healedAt + HEAL_MILLIS) {
                 stale++;
-                example(name + " holds " + held + " at " + atMillis + ", the cut ended at " + healedAt);
+                example(
+                        name
+                                + " holds "
+                                + held
+                                + " at "
+                                + atMillis
+                                + ", the cut ended at "
+                                + healedAt);
                 owedAfterHeal = 0;
             }
         }
@@ -275,7 +336,9 @@
                 example(name + " holds nothing at the end");
             }
             if (!held.isNone()) {
-                owed(revisionAt(due)).values().forEach(update -> lose(update, "what is held at the end"));
+                owed(revisionAt(due))
+                        .values()
+                        .forEach(update -> lose(update, "what is held at the end"));
             }
         }
 
--- a/src/main/java/rockshift/scale/ScaleCluster.java
+++ b/src/main/java/rockshift/scale/ScaleCluster.java
@@ -20,14 +20,15 @@
 import rockshift.kit.GovernorProcesses;
 
 /**
- * Five members as processes, relays as processes, some real governors, and many hollow ones in this process,
- * on
- * loopback. It owns all that it starts, and ends it also when this program is ended.
+ * Five members as processes, relays as processes, some real governors, and many hollow ones in this
+ * process, on loopback. It owns all that it starts, and ends it also when this program is ended.
  */
 final class ScaleCluster implements AutoCloseable {
     private static final String ELECTION = "1s";
+
     /** Hollow governors that share two threads. */
     private static final int GOVERNORS_PER_REACTOR = 325;
+
     private static final long START_MILLIS = 120_000;
 
     private final Scenario scenario;
@@ -40,18 +41,26 @@
     private final List<DistributionReactor> reactors = new ArrayList<>();
     private final List<HollowGovernor> governors = new ArrayList<>();
     private final List<GovernorInRegion> processes = new ArrayList<>();
+
     /** Items that many governors hold, kept once. */
     private final Map<Item, Item> items = new ConcurrentHashMap<>();
+
     private final Thread atEnd = new Thread(this::deleteFolder);
 
-    ScaleCluster(Scenario scenario, ScaleChecker checker, Consumer<String> progress) throws IOException {
+    ScaleCluster(Scenario scenario, ScaleChecker checker, Consumer<String> progress)
+            throws IOException {
         this.scenario = scenario;
         this.checker = checker;
         this.progress = progress;
         Runtime.getRuntime().addShutdownHook(atEnd);
         random = new SplittableRandom(scenario.seed());
-        members = new GovernorProcesses(folder, Scenario.MEMBERS, ELECTION, scenario.seed(),
-                (member, life, line) -> {});
+        members =
+                new GovernorProcesses(
+                        folder,
+                        Scenario.MEMBERS,
+                        ELECTION,
+                        scenario.seed(),
+                        (member, life, line) -> {});
     }
 
     GovernorProcesses members() {
@@ -86,7 +95,8 @@
             members.start(i);
         }
         progress.accept(Scenario.MEMBERS + " members serve");
-        List<Integer> ports = fronts().stream().map(front -> Integer.parseInt(front.split(":")[1])).toList();
+        List<Integer> ports =
+                fronts().stream().map(front -> Integer.parseInt(front.split(":")[1])).toList();
         for (int i = 0; i < scenario.regions(); i++) {
             regions.add(new Region("region-" + i, folder, ports, scenario.seed() + i));
         }
@@ -95,8 +105,12 @@
         }
         progress.accept(Region.RELAYS * regions.size() + " relays serve");
         for (int i = 0; i < scenario.processes(); i++) {
-            processes.add(new GovernorInRegion("process-" + i, folder,
-                    regions.get(i % regions.size()).upstreams(i), checker));
+            processes.add(
+                    new GovernorInRegion(
+                            "process-" + i,
+                            folder,
+                            regions.get(i % regions.size()).upstreams(i),
+                            checker));
         }
         for (int i = 0; i < scenario.governors(); i++) {
             governors.add(governor(i));
@@ -121,13 +135,20 @@
             reactors.add(new DistributionReactor());
         }
         int zone =
-                regionOf(number) + scenario.regions() * random.nextInt(Scenario.ZONES / scenario.regions());
-        Scope scope = Scope.of(Set.of(Scenario.service(random.nextInt(Scenario.SERVICES))),
-                Set.of(Scenario.zone(zone)));
-        return new HollowGovernor("g-" + number, scope,
+                regionOf(number)
+                        + scenario.regions() * random.nextInt(Scenario.ZONES / scenario.regions());
+        Scope scope =
+                Scope.of(
+                        Set.of(Scenario.service(random.nextInt(Scenario.SERVICES))),
+                        Set.of(Scenario.zone(zone)));
+        return new HollowGovernor(
+                "g-" + number,
+                scope,
                 regions.get(regionOf(number)).upstreams(number / scenario.regions()),
-                reactors.get(reactors.size() - 1), checker,
-                item -> items.computeIfAbsent(item, one -> one), random.nextLong());
+                reactors.get(reactors.size() - 1),
+                checker,
+                item -> items.computeIfAbsent(item, one -> one),
+                random.nextLong());
     }
 
     /** Waits until each hollow governor holds something. */
@@ -135,8 +156,11 @@
         long end = HollowGovernor.now() + START_MILLIS;
         while (!governors.stream().allMatch(HollowGovernor::holdsSomething)) {
             if (HollowGovernor.now() > end) {
-                throw new IOException(governors.stream().filter(one -> !one.holdsSomething()).count()
-                        + " governors hold nothing after " + START_MILLIS + " ms");
+                throw new IOException(
+                        governors.stream().filter(one -> !one.holdsSomething()).count()
+                                + " governors hold nothing after "
+                                + START_MILLIS
+                                + " ms");
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
--- a/src/main/java/rockshift/scale/ScaleRun.java
+++ b/src/main/java/rockshift/scale/ScaleRun.java
@@ -15,27 +15,36 @@
 import rockshift.kit.ProcessUsage;
 
 /**
- * One play of a {@link Scenario}: changes at a rate, governors killed at a rate, and each fault once, on a
- * {@link ScaleCluster}. What all governors saw goes to a {@link ScaleChecker}.
+ * One play of a {@link Scenario}: changes at a rate, governors killed at a rate, and each fault
+ * once, on a {@link ScaleCluster}. What all governors saw goes to a {@link ScaleChecker}.
  */
 public final class ScaleRun implements AutoCloseable {
     private static final long STEP_MILLIS = 100;
     private static final long SAMPLE_MILLIS = 1_000;
+
     /** How long a member or relay stays away after it was killed. */
     private static final long AWAY_MILLIS = 2_000;
-    /** Ms for which this program may be held up before a run is void: a tenth of what a change may take. */
+
+    /**
+     * Ms for which this program may be held up before a run is void: a tenth of what a change may
+     * take.
+     */
     private static final long RIG_LATE_MILLIS = ScaleVerdict.IN_FORCE_MILLIS / 10;
+
     /** Shares of the changes after which each fault comes. */
     private static final double CUT_AT = 0.2;
+
     private static final double LEADER_AT = 0.5;
     private static final double RELAY_AT = 0.65;
     private static final double ALL_AT = 0.8;
 
     /** What came of a run; figures by name, in their order. */
-    public record Outcome(ScaleVerdict verdict, Map<String, Double> figures, List<String> voidReasons) {
+    public record Outcome(
+            ScaleVerdict verdict, Map<String, Double> figures, List<String> voidReasons) {
         /** The last line of a run. */
         public String line() {
-            return verdict.line(figures.get("busiest member, share of a core"),
+            return verdict.line(
+                    figures.get("busiest member, share of a core"),
                     figures.get("governor, bytes a second"));
         }
 
@@ -51,8 +60,12 @@
     private final ScaleCluster cluster;
     private final Map<Long, ProcessUsage> lastUsage = new HashMap<>();
     private final Map<String, Double> figures = new LinkedHashMap<>();
-    /** Ms until governors hold their state: those killed and started one by one, and all at once. */
+
+    /**
+     * Ms until governors hold their state: those killed and started one by one, and all at once.
+     */
     private final Histogram startedAlone = new ConcurrentHistogram(3);
+
     private final Histogram startedTogether = new ConcurrentHistogram(3);
     private double busiestMember;
     private long lastSampleAt;
@@ -78,14 +91,18 @@
             awaitQuiet();
             figures.put("busiest member, share of a core", busiestMember);
             figures.put("rig, held up at most, ms", (double) rig.latestMillis());
-            figures.put("load average at the end",
+            figures.put(
+                    "load average at the end",
                     ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
             ScaleVerdict verdict = checker.verdict();
-            figures.put("in force everywhere, longest ms", (double) verdict.everywhere().getMaxValue());
+            figures.put(
+                    "in force everywhere, longest ms", (double) verdict.everywhere().getMaxValue());
             figures.put("governors started one by one", (double) startedAlone.getTotalCount());
-            figures.put("one governor started until in force, median ms",
+            figures.put(
+                    "one governor started until in force, median ms",
                     (double) startedAlone.getValueAtPercentile(50));
-            figures.put("one governor started until in force, longest ms",
+            figures.put(
+                    "one governor started until in force, longest ms",
                     (double) startedAlone.getMaxValue());
             return new Outcome(verdict, figures, voidReasons(rig, load));
         }
@@ -110,16 +127,26 @@
             faults.add(new Fault(CUT_AT, scenario.cutMillis(), () -> cut(true), () -> cut(false)));
         }
         int[] leader = new int[1];
-        faults.add(new Fault(LEADER_AT, AWAY_MILLIS, () -> {
-            leader[0] = cluster.leader();
-            progress.accept("leader n" + leader[0] + " is killed");
-            cluster.members().kill(leader[0]);
-        }, () -> cluster.members().start(leader[0])));
+        faults.add(
+                new Fault(
+                        LEADER_AT,
+                        AWAY_MILLIS,
+                        () -> {
+                            leader[0] = cluster.leader();
+                            progress.accept("leader n" + leader[0] + " is killed");
+                            cluster.members().kill(leader[0]);
+                        },
+                        () -> cluster.members().start(leader[0])));
         Region last = cluster.regions().get(scenario.regions() - 1);
-        faults.add(new Fault(RELAY_AT, AWAY_MILLIS, () -> {
-            progress.accept("a relay is killed");
-            last.killRelay(0);
-        }, () -> last.startRelay(0)));
+        faults.add(
+                new Fault(
+                        RELAY_AT,
+                        AWAY_MILLIS,
+                        () -> {
+                            progress.accept("a relay is killed");
+                            last.killRelay(0);
+                        },
+                        () -> last.startRelay(0)));
         faults.add(new Fault(ALL_AT, 0, this::restartAll, () -> {}));
         return faults;
     }
@@ -143,7 +170,7 @@
             step(faults, done);
         }
         for (long end = HollowGovernor.now() + scenario.cutMillis() + AWAY_MILLIS;
-                HollowGovernor.now() < end;) {
+                HollowGovernor.now() < end; ) {
             step(faults, 1);
         }
     }
@@ -174,7 +201,8 @@
         }
         long now = HollowGovernor.now();
         for (String name : cluster.namesIn(scenario.cutRegion())) {
-            checker.saw(cut ? new Observation.CutOff(now, name) : new Observation.Healed(now, name));
+            checker.saw(
+                    cut ? new Observation.CutOff(now, name) : new Observation.Healed(now, name));
         }
         if (cut) {
             cluster.regions().get(scenario.cutRegion()).cut(true);
--- a/src/main/java/rockshift/scale/Scenario.java
+++ b/src/main/java/rockshift/scale/Scenario.java
@@ -12,19 +12,30 @@
  * @param cutMillis how long a region is cut; 0 for not at all
  * @param cutRegion which one
  */
-public record Scenario(int governors, int processes, int changes, long seed, double changeRate,
+public record Scenario(
+        int governors,
+        int processes,
+        int changes,
+        long seed,
+        double changeRate,
         double killRate,
-        long cutMillis, int cutRegion) {
+        long cutMillis,
+        int cutRegion) {
     static final int MEMBERS = 5;
     static final int SERVICES = 180;
     static final int ZONES = 66;
+
     /** Governors of a region, whose relays each serve half of them. */
     private static final int GOVERNORS_PER_REGION = 200;
+
     private static final double CHANGES_PER_DAY = 1_300;
+
     /** Restarts and failed machines a day, of the target's governors. */
     private static final double KILLS_PER_DAY = 410 + 32;
+
     private static final double TARGET_GOVERNORS = 1_300;
     private static final double DAY_MILLIS = 86_400_000;
+
     /** Processes that a run may have. */
     private static final int MOST_PROCESSES = 200;
 
@@ -40,7 +51,8 @@
 
     /** Whether it keeps within the processes that a run may have. */
     public boolean fits() {
-        return MEMBERS + Region.RELAYS * regions() + processes <= MOST_PROCESSES && cutRegion < regions();
+        return MEMBERS + Region.RELAYS * regions() + processes <= MOST_PROCESSES
+                && cutRegion < regions();
     }
 
     double millisBetweenChanges() {
--- a/src/test/java/rockshift/ChannelTest.java
+++ b/src/test/java/rockshift/ChannelTest.java
@@ -10,8 +10,8 @@
     private static final long NOW = 1_000;
 
     /**
-     * What too many parts for one message come to was counted as one: its further heads, and against the
-     * limit of messages.
+     * What too many parts for one message come to was counted as one: its further heads, and
+     * against the limit of messages.
      */
     @Test
     void eachMessageOfATurnHasItsHeadAndCountsAgainstTheLimit() {
