--- a/src/test/java/rockshift/scale/SlopeFitTest.java
+++ b/src/test/java/rockshift/scale/SlopeFitTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Lines through measurements: exact ones are found, noisy ones lie in their interval, far ones are marked.
+ * Lines through measurements: exact ones are found, noisy ones lie in their interval, far ones are
+ * marked.
  */
 class SlopeFitTest {
     @Test
