--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -1,9 +1,9 @@
 package rockshift;
 
 import java.io.IOException;
-import rockshift.drill.Drill;
-import rockshift.net.ProcessSignals;
-import rockshift.net.Serve;
+import rockshift.server.ControllerServer;
+import rockshift.server.ProcessSignals;
+import rockshift.simulation.SimulatorAdapter;
 
 /** Looks at its first word: a governor and the drill start without anything that commands need. */
 public final class Main {
@@ -13,11 +13,11 @@
         String command = arguments.length == 1 ? arguments[0] : "";
         if (command.equals("serve")) {
             ProcessSignals signals = ProcessSignals.install();
-            int status = Serve.run(System.getenv(), signals, null);
+            int status = ControllerServer.run(System.getenv(), signals, null);
             signals.release();
             System.exit(status);
         } else if (command.equals("drill")) {
-            System.exit(Drill.run(System.in, System.out));
+            System.exit(SimulatorAdapter.run(System.in, System.out));
         }
         System.exit(rockshift.cli.Commands.run(arguments));
     }
--- a/src/main/java/rockshift/scale/Capacity.java
+++ b/src/main/java/rockshift/capacity/Capacity.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -86,7 +86,7 @@
         }
     }
 
-    private final List<GovernorSample> samples = new ArrayList<>();
+    private final List<ControllerSample> samples = new ArrayList<>();
     private final List<RunFigure> figures = new ArrayList<>();
 
     /** One figure of one run of many governors. */
@@ -95,7 +95,7 @@
     /** Reads a folder of tables; one that is missing counts as empty. */
     public Capacity(Path folder) throws IOException {
         for (String row : rows(folder.resolve("governor.csv"))) {
-            GovernorSample sample = GovernorSample.parse(row);
+            ControllerSample sample = ControllerSample.parse(row);
             if (!sample.isVoid()) {
                 samples.add(sample);
             }
@@ -125,43 +125,43 @@
         List<Worked> all = new ArrayList<>();
         Predicate<FleetShape> usual = shape -> shape.proxies() == 16;
         Predicate<FleetShape> two = usual.and(shape -> shape.classes() == 2);
-        Set<GovernorSweep.Figure> budgeted =
+        Set<ControllerSweep.Figure> budgeted =
                 EnumSet.of(
-                        GovernorSweep.Figure.CORE_SHARE,
-                        GovernorSweep.Figure.PEAK,
-                        GovernorSweep.Figure.BYTES_OUT);
+                        ControllerSweep.Figure.CORE_SHARE,
+                        ControllerSweep.Figure.PEAK,
+                        ControllerSweep.Figure.BYTES_OUT);
         governor(
                 all,
                 "average governor",
-                GovernorSweep.Size.REPLICAS,
+                ControllerSweep.Size.REPLICAS,
                 AVERAGE_SCOPE,
                 two.and(shape -> shape.replicas() <= SMALL_SCOPES),
-                EnumSet.allOf(GovernorSweep.Figure.class));
+                EnumSet.allOf(ControllerSweep.Figure.class));
         governor(
                 all,
                 "average, 12 classes",
-                GovernorSweep.Size.CLASSES,
+                ControllerSweep.Size.CLASSES,
                 MANY_CLASSES,
                 usual.and(shape -> shape.replicas() == AVERAGE_SCOPE),
                 budgeted);
         governor(
                 all,
                 "largest governor",
-                GovernorSweep.Size.REPLICAS,
+                ControllerSweep.Size.REPLICAS,
                 LARGEST_SCOPE,
                 two.and(shape -> shape.replicas() >= SMALL_SCOPES),
-                EnumSet.allOf(GovernorSweep.Figure.class));
+                EnumSet.allOf(ControllerSweep.Figure.class));
         governor(
                 all,
                 "largest, 12 classes",
-                GovernorSweep.Size.REPLICAS_TIMES_CLASSES,
+                ControllerSweep.Size.REPLICAS_TIMES_CLASSES,
                 LARGEST_SCOPE * MANY_CLASSES,
                 usual.and(shape -> shape.replicas() >= SMALL_SCOPES),
                 budgeted);
         governor(
                 all,
                 "60 replicas, 800 proxies",
-                GovernorSweep.Size.PROXIES,
+                ControllerSweep.Size.PROXIES,
                 MANY_PROXIES,
                 shape -> shape.replicas() == 60 && shape.classes() == 2,
                 budgeted);
@@ -190,11 +190,11 @@
     private void governor(
             List<Worked> all,
             String role,
-            GovernorSweep.Size size,
+            ControllerSweep.Size size,
             double at,
             Predicate<FleetShape> shapes,
-            Set<GovernorSweep.Figure> wanted) {
-        GovernorSweep sweep = new GovernorSweep();
+            Set<ControllerSweep.Figure> wanted) {
+        ControllerSweep sweep = new ControllerSweep();
         samples.stream()
                 .filter(sample -> shapes.test(sample.shape()))
                 .forEach(sweep.samples()::add);
@@ -212,7 +212,7 @@
                         });
     }
 
-    private static double budget(GovernorSweep.Figure figure) {
+    private static double budget(ControllerSweep.Figure figure) {
         return switch (figure) {
             case CORE_SHARE -> CORE_BUDGET;
             case PEAK -> MEMORY_BUDGET_MB;
--- a/src/main/java/rockshift/scale/ChangeLoad.java
+++ b/src/main/java/rockshift/capacity/ChangeLoad.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -58,10 +58,10 @@
 
     @Override
     public void run() {
-        long began = HollowGovernor.now();
+        long began = HollowController.now();
         try (Client client = new Client(members, random.split(), (int) PATIENCE_MILLIS)) {
             for (int i = 0; i < count; i++) {
-                long rest = began + (long) (i * millisBetween) - HollowGovernor.now();
+                long rest = began + (long) (i * millisBetween) - HollowController.now();
                 TimeUnit.MILLISECONDS.sleep(Math.max(0, rest));
                 ask(client, next());
                 asked.incrementAndGet();
@@ -93,7 +93,7 @@
     }
 
     private void ask(Client client, Change change) throws IOException, InterruptedException {
-        long at = HollowGovernor.now();
+        long at = HollowController.now();
         JsonNode answer;
         try {
             answer = client.change(change, true, at + DEADLINE_MILLIS);
--- a/src/main/java/rockshift/scale/GovernorInRegion.java
+++ b/src/main/java/rockshift/capacity/ControllerInRegion.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,15 +9,15 @@
 import java.util.regex.Pattern;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Scope;
-import rockshift.kit.DiscoveryStandIn;
-import rockshift.kit.LoggedProcess;
-import rockshift.kit.ProgramCommand;
+import rockshift.testkit.DiscoveryStandIn;
+import rockshift.testkit.LoggedProcess;
+import rockshift.testkit.ProgramCommand;
 
 /**
  * A real governor as a process of its own that subscribes at a region's relays for everything; its
  * log tells what is in force.
  */
-final class GovernorInRegion implements AutoCloseable {
+final class ControllerInRegion implements AutoCloseable {
     private static final FleetShape SHAPE = new FleetShape(36, 2, 16, 3);
     private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
     private static final Pattern IN_FORCE = Pattern.compile("agreed revision ([0-9a-f]+)/(\\d+):");
@@ -28,7 +28,7 @@
             new DiscoveryStandIn(SHAPE.replicas(), SHAPE.zoneNames());
     private final LoggedProcess process;
 
-    GovernorInRegion(
+    ControllerInRegion(
             String name, Path folder, List<InetSocketAddress> upstreams, ScaleChecker checker)
             throws IOException, InterruptedException {
         this.name = name;
@@ -50,7 +50,7 @@
                 Files.writeString(
                         folder.resolve(name + ".json"),
                         SHAPE.configuration(discovery.port(), discovery.list()));
-        checker.saw(new Observation.Started(HollowGovernor.now(), name, Scope.all()));
+        checker.saw(new Observation.Started(HollowController.now(), name, Scope.all()));
         process =
                 new LoggedProcess(
                         ProgramCommand.serve(
@@ -67,7 +67,7 @@
         if (inForce.find()) {
             checker.saw(
                     new Observation.Logged(
-                            HollowGovernor.now(),
+                            HollowController.now(),
                             name,
                             new Revision(
                                     Long.parseUnsignedLong(inForce.group(1), 16),
--- a/src/main/java/rockshift/scale/GovernorRun.java
+++ b/src/main/java/rockshift/capacity/ControllerRun.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -8,17 +8,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import rockshift.kit.DiscoveryStandIn;
-import rockshift.kit.LoggedProcess;
-import rockshift.kit.ProcessUsage;
-import rockshift.kit.ProgramCommand;
+import rockshift.testkit.DiscoveryStandIn;
+import rockshift.testkit.LoggedProcess;
+import rockshift.testkit.ProcessUsage;
+import rockshift.testkit.ProgramCommand;
 
 /**
  * One real governor as a process of its own, with a fleet of some shape before it, watched for a
  * while once all proxies have tables or the wait for them is over. It owns the process and
  * everything it talks to, and ends them also when it is ended.
  */
-public final class GovernorRun implements AutoCloseable {
+public final class ControllerRun implements AutoCloseable {
     private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
 
     /**
@@ -44,7 +44,7 @@
     private final LoggedProcess governor;
     private final Thread atEnd;
 
-    private GovernorRun(FleetShape shape, Path folder, boolean watchHeap) throws IOException {
+    private ControllerRun(FleetShape shape, Path folder, boolean watchHeap) throws IOException {
         this.shape = shape;
         this.folder = folder;
         this.watchHeap = watchHeap;
@@ -66,11 +66,11 @@
      * watches the heap has the collector's log on, and its other figures are not for slopes. The
      * run's number is the seed of its reports.
      */
-    public static GovernorSample measure(
+    public static ControllerSample measure(
             FleetShape shape, int run, boolean watchHeap, Times times, Path under)
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory(under, FOLDER_PREFIX);
-        try (GovernorRun governor = new GovernorRun(shape, folder, watchHeap)) {
+        try (ControllerRun governor = new ControllerRun(shape, folder, watchHeap)) {
             return governor.measure(run, times);
         }
     }
@@ -87,7 +87,8 @@
     private record Counts(
             ProcessUsage usage, FleetStandIn.Traffic traffic, DiscoveryStandIn.Traffic asked) {}
 
-    private GovernorSample measure(int run, Times times) throws IOException, InterruptedException {
+    private ControllerSample measure(int run, Times times)
+            throws IOException, InterruptedException {
         try (FleetStandIn fleet = new FleetStandIn(shape, governor.awaitPort(), run)) {
             double tables = awaitTables(fleet, times.tables());
             try {
@@ -102,7 +103,7 @@
                 if (governor.isAlive()) {
                     throw unread;
                 }
-                return GovernorSample.died(
+                return ControllerSample.died(
                         shape,
                         run,
                         tables,
@@ -121,7 +122,7 @@
         return ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
     }
 
-    private GovernorSample sample(
+    private ControllerSample sample(
             int run, FleetStandIn fleet, double tables, Counts before, Counts after, boolean late)
             throws IOException {
         double seconds = (after.usage().takenNanos() - before.usage().takenNanos()) / 1e9;
@@ -130,7 +131,7 @@
         FleetStandIn.Traffic from = before.traffic();
         FleetStandIn.Traffic to = after.traffic();
         Heap heap = watchHeap ? heap() : new Heap(Double.NaN, Double.NaN);
-        return new GovernorSample(
+        return new ControllerSample(
                 shape,
                 run,
                 share,
--- a/src/main/java/rockshift/scale/GovernorSample.java
+++ b/src/main/java/rockshift/capacity/ControllerSample.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.util.Arrays;
 import java.util.Locale;
@@ -8,7 +8,7 @@
  * memory is in MB, and NaN where the run did not watch it. A run is void where the rig itself was
  * the limit.
  */
-public record GovernorSample(
+public record ControllerSample(
         FleetShape shape,
         int run,
         double coreShare,
@@ -39,7 +39,7 @@
                 + "connections_lost,reports_dropped,rig_late_ms,load_average,void,died";
 
     /** A run in which the governor's process ended by itself. */
-    static GovernorSample died(
+    static ControllerSample died(
             FleetShape shape,
             int run,
             double tablesSeconds,
@@ -47,7 +47,7 @@
             int connectionsLost,
             double loadAverage) {
         double none = Double.NaN;
-        return new GovernorSample(
+        return new ControllerSample(
                 shape,
                 run,
                 none,
@@ -73,7 +73,7 @@
     }
 
     /** Reads back a line of a table. */
-    static GovernorSample parse(String row) {
+    static ControllerSample parse(String row) {
         String[] fields = row.split(",");
         double[] values =
                 Arrays.stream(fields, 0, fields.length - 2)
@@ -81,7 +81,7 @@
                         .toArray();
         FleetShape shape =
                 new FleetShape((int) values[0], (int) values[1], (int) values[2], (int) values[3]);
-        return new GovernorSample(
+        return new ControllerSample(
                 shape,
                 (int) values[4],
                 values[5],
--- a/src/main/java/rockshift/scale/GovernorSweep.java
+++ b/src/main/java/rockshift/capacity/ControllerSweep.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -17,29 +17,30 @@
 import java.util.function.ToDoubleFunction;
 
 /** Runs of one real governor over sizes, and the lines through what they used. */
-public final class GovernorSweep {
+public final class ControllerSweep {
     /** Core shares from which a governor is busy throughout: what it uses then tells no slope. */
     private static final double SATURATED = 0.95;
 
     /** What is measured of each run and fitted against the size. */
     public enum Figure {
-        CORE_SHARE("core", GovernorSample::coreShare),
-        DECISION_SHARE("share of a core that decides", GovernorSample::decisionShare),
+        CORE_SHARE("core", ControllerSample::coreShare),
+        DECISION_SHARE("share of a core that decides", ControllerSample::decisionShare),
         SOCKET_SHARE(
-                "share of a core for sockets and the virtual machine", GovernorSample::socketShare),
-        BYTES_IN("bytes a second in", GovernorSample::bytesIn),
-        BYTES_OUT("B/s out", GovernorSample::bytesOut),
-        MESSAGES_IN("messages a second in", GovernorSample::messagesIn),
-        MESSAGES_OUT("messages a second out", GovernorSample::messagesOut),
-        RESIDENT("MB resident", GovernorSample::residentMegabytes),
-        PEAK("MB at the peak", GovernorSample::peakMegabytes),
-        HEAP("MB of heap after a collection", GovernorSample::heapMegabytes),
-        TABLES("s until all proxies have tables", GovernorSample::tablesSeconds);
+                "share of a core for sockets and the virtual machine",
+                ControllerSample::socketShare),
+        BYTES_IN("bytes a second in", ControllerSample::bytesIn),
+        BYTES_OUT("B/s out", ControllerSample::bytesOut),
+        MESSAGES_IN("messages a second in", ControllerSample::messagesIn),
+        MESSAGES_OUT("messages a second out", ControllerSample::messagesOut),
+        RESIDENT("MB resident", ControllerSample::residentMegabytes),
+        PEAK("MB at the peak", ControllerSample::peakMegabytes),
+        HEAP("MB of heap after a collection", ControllerSample::heapMegabytes),
+        TABLES("s until all proxies have tables", ControllerSample::tablesSeconds);
 
         private final String unit;
-        private final ToDoubleFunction<GovernorSample> of;
+        private final ToDoubleFunction<ControllerSample> of;
 
-        Figure(String unit, ToDoubleFunction<GovernorSample> of) {
+        Figure(String unit, ToDoubleFunction<ControllerSample> of) {
             this.unit = unit;
             this.of = of;
         }
@@ -48,7 +49,7 @@
             return unit;
         }
 
-        public double of(GovernorSample sample) {
+        public double of(ControllerSample sample) {
             return of.applyAsDouble(sample);
         }
     }
@@ -106,7 +107,7 @@
         }
     }
 
-    private final List<GovernorSample> samples = new ArrayList<>();
+    private final List<ControllerSample> samples = new ArrayList<>();
 
     /**
      * Runs each shape some times, and once more with the heap watched. The runs of one shape go
@@ -116,19 +117,19 @@
     public void run(
             List<FleetShape> shapes,
             int runs,
-            GovernorRun.Times times,
+            ControllerRun.Times times,
             Path under,
             Consumer<String> progress)
             throws IOException, InterruptedException {
         ExecutorService beside = Executors.newFixedThreadPool(runs + 1);
         try {
             for (FleetShape shape : shapes) {
-                List<Callable<GovernorSample>> all = new ArrayList<>();
+                List<Callable<ControllerSample>> all = new ArrayList<>();
                 for (int run = 0; run <= runs; run++) {
                     int number = run;
-                    all.add(() -> GovernorRun.measure(shape, number, number == 0, times, under));
+                    all.add(() -> ControllerRun.measure(shape, number, number == 0, times, under));
                 }
-                for (Future<GovernorSample> run : beside.invokeAll(all)) {
+                for (Future<ControllerSample> run : beside.invokeAll(all)) {
                     take(run.get(), progress);
                 }
             }
@@ -140,7 +141,7 @@
         }
     }
 
-    private void take(GovernorSample sample, Consumer<String> progress) {
+    private void take(ControllerSample sample, Consumer<String> progress) {
         samples.add(sample);
         progress.accept(
                 String.format(
@@ -157,7 +158,7 @@
                                 : sample.isVoid() ? ", void: the rig was late" : ""));
     }
 
-    public List<GovernorSample> samples() {
+    public List<ControllerSample> samples() {
         return samples;
     }
 
@@ -165,7 +166,7 @@
      * The runs that count: heap runs for what they watch, the others for all else, and none that is
      * void.
      */
-    private List<GovernorSample> counted(Figure figure) {
+    private List<ControllerSample> counted(Figure figure) {
         return samples.stream()
                 .filter(
                         sample ->
@@ -178,7 +179,7 @@
     /** Each figure by shape. */
     public Map<FleetShape, Spread> spreads(Figure figure) {
         Map<FleetShape, Spread> all = new LinkedHashMap<>();
-        for (GovernorSample sample : samples) {
+        for (ControllerSample sample : samples) {
             all.computeIfAbsent(
                     sample.shape(),
                     shape ->
@@ -197,7 +198,7 @@
     public Map<Figure, SlopeFit> fits(Size size) {
         Map<Figure, SlopeFit> fits = new LinkedHashMap<>();
         for (Figure figure : Figure.values()) {
-            List<GovernorSample> points =
+            List<ControllerSample> points =
                     counted(figure).stream()
                             .filter(sample -> sample.coreShare() < SATURATED)
                             .toList();
--- a/src/main/java/rockshift/scale/FleetStandIn.java
+++ b/src/main/java/rockshift/capacity/FleetStandIn.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import rockshift.kit.DiscoveryStandIn;
-import rockshift.net.RespCodec;
+import rockshift.server.RespCodec;
+import rockshift.testkit.DiscoveryStandIn;
 
 /**
  * The proxies and collectors of one governor, on one thread: each proxy joins, answers marks and
--- a/src/main/java/rockshift/scale/HollowGovernor.java
+++ b/src/main/java/rockshift/capacity/HollowController.java
@@ -1,24 +1,24 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
 import org.HdrHistogram.Histogram;
-import rockshift.cluster.DistributionClient;
-import rockshift.cluster.DistributionListener;
-import rockshift.cluster.DistributionReactor;
 import rockshift.distribution.Item;
 import rockshift.distribution.Limits;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Scope;
 import rockshift.distribution.Update;
+import rockshift.distribution.wire.DistributionClient;
+import rockshift.distribution.wire.DistributionListener;
+import rockshift.distribution.wire.DistributionReactor;
 
 /**
  * A governor without a solve: the client of a real one with its own name, socket and scope. All
  * that it is told is in force at once and handed to the checker.
  */
-final class HollowGovernor implements DistributionListener, AutoCloseable {
+final class HollowController implements DistributionListener, AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final String name;
@@ -41,7 +41,7 @@
 
     private volatile Histogram startTimes;
 
-    HollowGovernor(
+    HollowController(
             String name,
             Scope scope,
             List<InetSocketAddress> upstreams,
--- a/src/main/java/rockshift/scale/Observation.java
+++ b/src/main/java/rockshift/capacity/Observation.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.util.List;
 import rockshift.distribution.Item;
--- a/src/main/java/rockshift/scale/Region.java
+++ b/src/main/java/rockshift/capacity/Region.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,9 +9,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import rockshift.kit.FaultyLink;
-import rockshift.kit.LoggedProcess;
-import rockshift.kit.ProgramCommand;
+import rockshift.testkit.FaultyLink;
+import rockshift.testkit.LoggedProcess;
+import rockshift.testkit.ProgramCommand;
 
 /**
  * The relays of a region as processes, with links to the members that can be cut; all of the
--- a/src/main/java/rockshift/scale/RigWatch.java
+++ b/src/main/java/rockshift/capacity/RigWatch.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
@@ -20,11 +20,11 @@
 
     private void watch() {
         try {
-            for (long due = HollowGovernor.now() + INTERVAL_MILLIS;
+            for (long due = HollowController.now() + INTERVAL_MILLIS;
                     ;
-                    due = HollowGovernor.now() + INTERVAL_MILLIS) {
+                    due = HollowController.now() + INTERVAL_MILLIS) {
                 TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
-                latest.accumulateAndGet(HollowGovernor.now() - due, Math::max);
+                latest.accumulateAndGet(HollowController.now() - due, Math::max);
             }
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
--- a/src/main/java/rockshift/scale/RoleUsage.java
+++ b/src/main/java/rockshift/capacity/RoleUsage.java
@@ -1,10 +1,10 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import rockshift.kit.ProcessUsage;
+import rockshift.testkit.ProcessUsage;
 
 /**
  * What the processes of each role have used, from when they were added until they are asked for.
--- a/src/main/java/rockshift/scale/ScaleCluster.java
+++ b/src/main/java/rockshift/capacity/ScaleCluster.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -14,10 +14,10 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import rockshift.cluster.Client;
-import rockshift.cluster.DistributionReactor;
 import rockshift.distribution.Item;
 import rockshift.distribution.Scope;
-import rockshift.kit.GovernorProcesses;
+import rockshift.distribution.wire.DistributionReactor;
+import rockshift.testkit.ControllerProcesses;
 
 /**
  * Five members as processes, relays as processes, some real governors, and many hollow ones in this
@@ -36,11 +36,11 @@
     private final Consumer<String> progress;
     private final Path folder = Files.createTempDirectory("rockshift-scale-run");
     private final SplittableRandom random;
-    private final GovernorProcesses members;
+    private final ControllerProcesses members;
     private final List<Region> regions = new ArrayList<>();
     private final List<DistributionReactor> reactors = new ArrayList<>();
-    private final List<HollowGovernor> governors = new ArrayList<>();
-    private final List<GovernorInRegion> processes = new ArrayList<>();
+    private final List<HollowController> governors = new ArrayList<>();
+    private final List<ControllerInRegion> processes = new ArrayList<>();
 
     /** Items that many governors hold, kept once. */
     private final Map<Item, Item> items = new ConcurrentHashMap<>();
@@ -55,7 +55,7 @@
         Runtime.getRuntime().addShutdownHook(atEnd);
         random = new SplittableRandom(scenario.seed());
         members =
-                new GovernorProcesses(
+                new ControllerProcesses(
                         folder,
                         Scenario.MEMBERS,
                         ELECTION,
@@ -63,7 +63,7 @@
                         (member, life, line) -> {});
     }
 
-    GovernorProcesses members() {
+    ControllerProcesses members() {
         return members;
     }
 
@@ -71,7 +71,7 @@
         return regions;
     }
 
-    List<HollowGovernor> governors() {
+    List<HollowController> governors() {
         return governors;
     }
 
@@ -106,7 +106,7 @@
         progress.accept(Region.RELAYS * regions.size() + " relays serve");
         for (int i = 0; i < scenario.processes(); i++) {
             processes.add(
-                    new GovernorInRegion(
+                    new ControllerInRegion(
                             "process-" + i,
                             folder,
                             regions.get(i % regions.size()).upstreams(i),
@@ -130,7 +130,7 @@
         return governor % scenario.regions();
     }
 
-    private HollowGovernor governor(int number) {
+    private HollowController governor(int number) {
         if (number % GOVERNORS_PER_REACTOR == 0) {
             reactors.add(new DistributionReactor());
         }
@@ -141,7 +141,7 @@
                 Scope.of(
                         Set.of(Scenario.service(random.nextInt(Scenario.SERVICES))),
                         Set.of(Scenario.zone(zone)));
-        return new HollowGovernor(
+        return new HollowController(
                 "g-" + number,
                 scope,
                 regions.get(regionOf(number)).upstreams(number / scenario.regions()),
@@ -153,9 +153,9 @@
 
     /** Waits until each hollow governor holds something. */
     void awaitGovernors() throws IOException, InterruptedException {
-        long end = HollowGovernor.now() + START_MILLIS;
-        while (!governors.stream().allMatch(HollowGovernor::holdsSomething)) {
-            if (HollowGovernor.now() > end) {
+        long end = HollowController.now() + START_MILLIS;
+        while (!governors.stream().allMatch(HollowController::holdsSomething)) {
+            if (HollowController.now() > end) {
                 throw new IOException(
                         governors.stream().filter(one -> !one.holdsSomething()).count()
                                 + " governors hold nothing after "
@@ -201,7 +201,7 @@
         for (int i = 0; i < Scenario.MEMBERS; i++) {
             usage.add(i == leader ? "leader" : "follower", members.pid(i));
         }
-        for (GovernorInRegion process : processes) {
+        for (ControllerInRegion process : processes) {
             usage.add("real governor", process.pid());
         }
         return usage;
@@ -217,11 +217,11 @@
 
     @Override
     public void close() throws IOException, InterruptedException {
-        governors.forEach(HollowGovernor::close);
+        governors.forEach(HollowController::close);
         for (DistributionReactor reactor : reactors) {
             reactor.close();
         }
-        for (GovernorInRegion process : processes) {
+        for (ControllerInRegion process : processes) {
             process.close();
         }
         for (Region region : regions) {
--- a/src/main/java/rockshift/scale/ScaleRun.java
+++ b/src/main/java/rockshift/capacity/ScaleRun.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import rockshift.kit.ProcessUsage;
+import rockshift.testkit.ProcessUsage;
 
 /**
  * One play of a {@link Scenario}: changes at a rate, governors killed at a rate, and each fault
@@ -157,7 +157,7 @@
         List<Fault> faults = faults();
         int leader = cluster.leader();
         RoleUsage before = cluster.usage(leader);
-        long began = HollowGovernor.now();
+        long began = HollowController.now();
         asking.start();
         nextKillAt = began + (long) Math.min(Integer.MAX_VALUE, scenario.millisBetweenKills());
         boolean steady = true;
@@ -169,27 +169,27 @@
             }
             step(faults, done);
         }
-        for (long end = HollowGovernor.now() + scenario.cutMillis() + AWAY_MILLIS;
-                HollowGovernor.now() < end; ) {
+        for (long end = HollowController.now() + scenario.cutMillis() + AWAY_MILLIS;
+                HollowController.now() < end; ) {
             step(faults, 1);
         }
     }
 
     private void step(List<Fault> faults, double done) throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
-        long now = HollowGovernor.now();
+        long now = HollowController.now();
         for (Fault fault : faults) {
             fault.step(done, now);
         }
         if (now > nextKillAt) {
             nextKillAt += (long) scenario.millisBetweenKills();
-            HollowGovernor one = cluster.governors().get(random.nextInt(scenario.governors()));
+            HollowController one = cluster.governors().get(random.nextInt(scenario.governors()));
             one.kill();
             one.start(startedAlone);
         }
         if (now > lastSampleAt + SAMPLE_MILLIS) {
             lastSampleAt = now;
-            cluster.governors().forEach(HollowGovernor::tellAge);
+            cluster.governors().forEach(HollowController::tellAge);
             sampleMembers();
         }
     }
@@ -199,7 +199,7 @@
         if (!cut) {
             cluster.regions().get(scenario.cutRegion()).cut(false);
         }
-        long now = HollowGovernor.now();
+        long now = HollowController.now();
         for (String name : cluster.namesIn(scenario.cutRegion())) {
             checker.saw(
                     cut ? new Observation.CutOff(now, name) : new Observation.Healed(now, name));
@@ -210,24 +210,24 @@
     }
 
     private void startGovernors(String figure) throws IOException, InterruptedException {
-        long began = HollowGovernor.now();
+        long began = HollowController.now();
         cluster.governors().forEach(governor -> governor.start(startedTogether));
         cluster.awaitGovernors();
-        figures.put(figure, (double) (HollowGovernor.now() - began));
+        figures.put(figure, (double) (HollowController.now() - began));
     }
 
     private void restartAll() throws IOException, InterruptedException {
         progress.accept("all governors start again");
-        cluster.governors().forEach(HollowGovernor::kill);
+        cluster.governors().forEach(HollowController::kill);
         startGovernors("all governors again at once until in force, ms");
     }
 
     /** Waits as long as a change may take, so that what is then missing is lost. */
     private void awaitQuiet() throws InterruptedException {
-        long end = HollowGovernor.now() + 2 * ScaleVerdict.IN_FORCE_MILLIS;
-        while (HollowGovernor.now() < end) {
+        long end = HollowController.now() + 2 * ScaleVerdict.IN_FORCE_MILLIS;
+        while (HollowController.now() < end) {
             TimeUnit.MILLISECONDS.sleep(SAMPLE_MILLIS);
-            cluster.governors().forEach(HollowGovernor::tellAge);
+            cluster.governors().forEach(HollowController::tellAge);
         }
     }
 
--- a/src/main/java/rockshift/scale/ScaleVerdict.java
+++ b/src/main/java/rockshift/capacity/ScaleVerdict.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/rockshift/scale/Scenario.java
+++ b/src/main/java/rockshift/capacity/Scenario.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 /**
  * What a run of many governors does.
--- a/src/main/java/rockshift/scale/SlopeFit.java
+++ b/src/main/java/rockshift/capacity/SlopeFit.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import java.util.Arrays;
 import org.apache.commons.math3.distribution.TDistribution;
--- a/src/main/java/rockshift/scale/package-info.java
+++ b/src/main/java/rockshift/capacity/package-info.java
@@ -3,4 +3,4 @@
  * governor, lines fitted through what was measured, and a checker of what a run of many governors
  * observed.
  */
-package rockshift.scale;
+package rockshift.capacity;
--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import rockshift.cluster.Change;
-import rockshift.net.AgreedChangesReceiver;
+import rockshift.server.AgreedChangesReceiver;
 
 /** Hands what is agreed to the module of a governor, in the module's units. */
 final class AgreedInput {
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -2,19 +2,19 @@
 
 import java.io.IOException;
 import java.util.Map;
-import rockshift.Listed;
 import rockshift.cluster.Change;
 import rockshift.cluster.ClusterMember;
 import rockshift.cluster.ClusterSettings;
-import rockshift.cluster.LocalGovernor;
-import rockshift.net.AgreedChangesReceiver;
-import rockshift.net.AgreedChangesSource;
+import rockshift.cluster.LocalController;
+import rockshift.model.Endpoint;
+import rockshift.server.AgreedChangesReceiver;
+import rockshift.server.AgreedChangesSource;
 
 /**
  * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is
  * listed comes out.
  */
-final class ClusterChangesSource implements AgreedChangesSource, LocalGovernor {
+final class ClusterChangesSource implements AgreedChangesSource, LocalController {
     private static final long TENTHS_PER_MILLI = 10;
 
     private final ClusterSettings settings;
@@ -45,8 +45,8 @@
     }
 
     @Override
-    public void reach(LocalGovernor.Reach reach) {
-        receiver.reach(rockshift.Reach.valueOf(reach.name()));
+    public void reach(LocalController.Reach reach) {
+        receiver.reach(rockshift.model.ControlScope.valueOf(reach.name()));
     }
 
     @Override
@@ -54,7 +54,7 @@
         if (change.kind() != Change.Kind.DRAIN && change.kind() != Change.Kind.HOLD) {
             return null;
         }
-        Map<String, Listed> listed = receiver.listed();
+        Map<String, Endpoint> listed = receiver.listed();
         if (!listed.containsKey(change.subject())) {
             return "unknown-replica: "
                     + change.subject()
@@ -67,19 +67,19 @@
                                         !entry.getKey().equals(change.subject())
                                                 && !out.containsKey(entry.getKey())
                                                 && entry.getValue().health()
-                                                        == Listed.Health.READY);
+                                                        == Endpoint.Health.READY);
         return left ? null : "last-replica: nobody else is listed as ready and not kept out";
     }
 
     @Override
     public long started(String replica) {
-        Listed entry = receiver.listed().get(replica);
+        Endpoint entry = receiver.listed().get(replica);
         return entry == null ? 0 : entry.started() / TENTHS_PER_MILLI;
     }
 
     @Override
     public String zone(String replica) {
-        Listed entry = receiver.listed().get(replica);
+        Endpoint entry = receiver.listed().get(replica);
         return entry == null ? "" : entry.zone();
     }
 }
--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -20,9 +20,9 @@
 import rockshift.cluster.Change;
 import rockshift.cluster.Client;
 import rockshift.cluster.ClusterSettings;
-import rockshift.operator.InvalidFileException;
-import rockshift.operator.OperatorFile;
-import rockshift.operator.Section;
+import rockshift.config.InvalidFileException;
+import rockshift.config.OperatorFile;
+import rockshift.config.Section;
 
 /** What staff ask of the agreement. */
 @Command(
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import rockshift.drill.Drill;
-import rockshift.net.AgreedChangesSource;
-import rockshift.net.ProcessSignals;
-import rockshift.operator.InvalidFileException;
+import rockshift.config.InvalidFileException;
+import rockshift.server.AgreedChangesSource;
+import rockshift.server.ProcessSignals;
+import rockshift.simulation.SimulatorAdapter;
 
 /**
  * All commands. Exit statuses: 0 all held, 1 something that was checked did not hold, 2 the call or
@@ -71,7 +71,7 @@
         public Integer call() throws Exception {
             ProcessSignals signals = ProcessSignals.install();
             try {
-                return rockshift.net.Serve.run(
+                return rockshift.server.ControllerServer.run(
                         System.getenv(), signals, operator == null ? null : source());
             } finally {
                 signals.release();
@@ -93,7 +93,7 @@
     static final class Play implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            return Drill.run(System.in, System.out);
+            return SimulatorAdapter.run(System.in, System.out);
         }
     }
 
--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 import rockshift.cluster.AgreedItems;
 import rockshift.cluster.Change;
-import rockshift.cluster.DistributionClient;
-import rockshift.cluster.DistributionListener;
-import rockshift.cluster.DistributionReactor;
-import rockshift.cluster.DistributionSettings;
 import rockshift.distribution.Item;
 import rockshift.distribution.RejectionReason;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Update;
-import rockshift.net.AgreedChangesReceiver;
-import rockshift.net.AgreedChangesSource;
+import rockshift.distribution.wire.DistributionClient;
+import rockshift.distribution.wire.DistributionListener;
+import rockshift.distribution.wire.DistributionReactor;
+import rockshift.distribution.wire.DistributionSettings;
+import rockshift.server.AgreedChangesReceiver;
+import rockshift.server.AgreedChangesSource;
 
 /**
  * Joins a subscription to the governor of its process: what is agreed and concerns it goes to its
--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -6,9 +6,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import rockshift.kit.Explorer;
-import rockshift.kit.FaultInjection;
-import rockshift.kit.SimulatedCluster;
+import rockshift.testkit.Explorer;
+import rockshift.testkit.FaultInjection;
+import rockshift.testkit.SimulatedCluster;
 
 /** Plays the agreement in simulated worlds. */
 @Command(
--- a/src/main/java/rockshift/cli/MeasureCommands.java
+++ b/src/main/java/rockshift/cli/MeasureCommands.java
@@ -12,9 +12,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import rockshift.kit.Charts;
-import rockshift.kit.ClusterBench;
-import rockshift.kit.Trial;
+import rockshift.testkit.Charts;
+import rockshift.testkit.ClusterBench;
+import rockshift.testkit.FaultTrial;
 
 /** Commands that start members of their own to try or measure them, on loopback. */
 final class MeasureCommands {
@@ -53,8 +53,13 @@
         @Override
         public Integer call() throws Exception {
             Path folder = Files.createTempDirectory("rockshift-trial");
-            Trial.Outcome outcome =
-                    new Trial(folder, members, (long) (minutes * 60), seed, System.err::println)
+            FaultTrial.Outcome outcome =
+                    new FaultTrial(
+                                    folder,
+                                    members,
+                                    (long) (minutes * 60),
+                                    seed,
+                                    System.err::println)
                             .run();
             PrintWriter out = spec.commandLine().getOut();
             outcome.troubles().stream().limit(50).forEach(out::println);
--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -1,10 +1,10 @@
 package rockshift.cli;
 
 import rockshift.cluster.ClusterSettings;
-import rockshift.cluster.DistributionSettings;
-import rockshift.operator.InvalidFileException;
-import rockshift.operator.OperatorFile;
-import rockshift.operator.Section;
+import rockshift.config.InvalidFileException;
+import rockshift.config.OperatorFile;
+import rockshift.config.Section;
+import rockshift.distribution.wire.DistributionSettings;
 
 /**
  * All that an operator's file switches on.
@@ -31,7 +31,7 @@
     }
 
     /** Where a governor that serves by this file has its agreed changes from. */
-    static rockshift.net.AgreedChangesSource source(String name) throws InvalidFileException {
+    static rockshift.server.AgreedChangesSource source(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         OperatorSettings settings = read(file);
         if (settings.cluster != null) {
--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -7,10 +7,10 @@
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rockshift.cluster.DistributionReactor;
-import rockshift.cluster.DistributionSettings;
-import rockshift.cluster.RelayProcess;
-import rockshift.net.ProcessSignals;
+import rockshift.distribution.wire.DistributionReactor;
+import rockshift.distribution.wire.DistributionSettings;
+import rockshift.distribution.wire.RelayProcess;
+import rockshift.server.ProcessSignals;
 
 /** Runs a relay until it is told to end. */
 @Command(
--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -19,15 +19,15 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import rockshift.kit.Charts;
-import rockshift.scale.Capacity;
-import rockshift.scale.FleetShape;
-import rockshift.scale.GovernorRun;
-import rockshift.scale.GovernorSample;
-import rockshift.scale.GovernorSweep;
-import rockshift.scale.ScaleRun;
-import rockshift.scale.Scenario;
-import rockshift.scale.SlopeFit;
+import rockshift.capacity.Capacity;
+import rockshift.capacity.ControllerRun;
+import rockshift.capacity.ControllerSample;
+import rockshift.capacity.ControllerSweep;
+import rockshift.capacity.FleetShape;
+import rockshift.capacity.ScaleRun;
+import rockshift.capacity.Scenario;
+import rockshift.capacity.SlopeFit;
+import rockshift.testkit.Charts;
 
 /** How costs grow with size, on loopback. */
 @Command(
@@ -126,18 +126,18 @@
                     }
                 }
             }
-            GovernorSweep sweep = new GovernorSweep();
+            ControllerSweep sweep = new ControllerSweep();
             sweep.run(
                     shapes,
                     runs,
-                    new GovernorRun.Times(
+                    new ControllerRun.Times(
                             TimeUnit.SECONDS.toMillis(tables),
                             TimeUnit.SECONDS.toMillis(settle),
                             TimeUnit.SECONDS.toMillis(watch)),
                     Path.of(System.getProperty("java.io.tmpdir")),
                     System.err::println);
-            GovernorSweep.Size size = GovernorSweep.Size.of(shapes);
-            Map<GovernorSweep.Figure, SlopeFit> fits = sweep.fits(size);
+            ControllerSweep.Size size = ControllerSweep.Size.of(shapes);
+            Map<ControllerSweep.Figure, SlopeFit> fits = sweep.fits(size);
             if (json) {
                 spec.commandLine()
                         .getOut()
@@ -151,17 +151,17 @@
             if (kept != null) {
                 keep(sweep, size, fits);
             }
-            return sweep.samples().stream().anyMatch(GovernorSample::isVoid)
+            return sweep.samples().stream().anyMatch(ControllerSample::isVoid)
                     ? Commands.FAILURE
                     : Commands.SUCCESS;
         }
 
         private void tell(
-                GovernorSweep sweep,
-                GovernorSweep.Size size,
-                Map<GovernorSweep.Figure, SlopeFit> fits) {
+                ControllerSweep sweep,
+                ControllerSweep.Size size,
+                Map<ControllerSweep.Figure, SlopeFit> fits) {
             PrintWriter out = spec.commandLine().getOut();
-            for (GovernorSweep.Figure figure : GovernorSweep.Figure.values()) {
+            for (ControllerSweep.Figure figure : ControllerSweep.Figure.values()) {
                 out.println(figure.unit());
                 sweep.spreads(figure)
                         .forEach(
@@ -195,14 +195,14 @@
         }
 
         private void keep(
-                GovernorSweep sweep,
-                GovernorSweep.Size size,
-                Map<GovernorSweep.Figure, SlopeFit> fits)
+                ControllerSweep sweep,
+                ControllerSweep.Size size,
+                Map<ControllerSweep.Figure, SlopeFit> fits)
                 throws IOException {
             Files.createDirectories(kept);
             append(
                     kept.resolve("governor.csv"),
-                    GovernorSample.HEADER + "\n",
+                    ControllerSample.HEADER + "\n",
                     sweep.samples().stream()
                             .map(sample -> sample.row() + "\n")
                             .collect(Collectors.joining()));
@@ -213,7 +213,7 @@
                             .map(fit -> row(size, fit.getKey(), fit.getValue()))
                             .collect(Collectors.joining()));
             Map<String, Double> bars = new LinkedHashMap<>();
-            sweep.spreads(GovernorSweep.Figure.CORE_SHARE)
+            sweep.spreads(ControllerSweep.Figure.CORE_SHARE)
                     .forEach(
                             (shape, spread) ->
                                     bars.put(
@@ -232,7 +232,7 @@
         }
 
         private static String row(
-                GovernorSweep.Size size, GovernorSweep.Figure figure, SlopeFit fit) {
+                ControllerSweep.Size size, ControllerSweep.Figure figure, SlopeFit fit) {
             return String.format(
                     Locale.ROOT,
                     "%s,%s,%d,%.0f,%.0f,%.6g,%.6g,%.6g,%.6g,%.6g,%.4f,%.6g,%.6g%n",
--- a/src/main/java/rockshift/cluster/Client.java
+++ b/src/main/java/rockshift/cluster/Client.java
@@ -13,7 +13,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
-import rockshift.operator.Section;
+import rockshift.config.Section;
+import rockshift.wire.Frames;
 
 /**
  * Speaks to members as staff's commands do: asks one, goes where it points, and asks again under
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -23,15 +23,19 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rockshift.raft.Ballot;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Membership;
 import rockshift.raft.Message;
-import rockshift.raft.Raft;
-import rockshift.raft.Rules;
+import rockshift.raft.RaftNode;
+import rockshift.raft.SafetyRules;
 import rockshift.raft.Sessions;
 import rockshift.raft.Snapshot;
+import rockshift.raft.TermAndVote;
+import rockshift.storage.DurableLog;
+import rockshift.storage.FileDisk;
+import rockshift.wire.Frames;
+import rockshift.wire.RaftCodec;
 
 /**
  * One member of the agreement, running: the engine on a thread of its own, the disk on another, its
@@ -63,7 +67,7 @@
     private record Asked(Links.Link link, long number) {}
 
     private final ClusterSettings settings;
-    private final LocalGovernor governor;
+    private final LocalController governor;
     private final AgreedState agreed = new AgreedState();
     private final FileDisk disk;
     private final DurableLog log;
@@ -78,7 +82,7 @@
     private final Map<Long, Asked> asked = new HashMap<>();
     private final ArrayDeque<String> recent = new ArrayDeque<>();
     private long recentFrom = 1;
-    private final TreeMap<String, Codec.Hello> met = new TreeMap<>();
+    private final TreeMap<String, RaftCodec.Hello> met = new TreeMap<>();
     private volatile long cluster;
 
     /** The greeting, for other threads, and the members that it names. */
@@ -93,11 +97,11 @@
     private volatile boolean closed;
     private volatile boolean leading;
     private long requests;
-    private LocalGovernor.Reach reach;
+    private LocalController.Reach reach;
     private String diskTrouble = "";
     private int port;
 
-    public ClusterMember(ClusterSettings settings, LocalGovernor governor) throws IOException {
+    public ClusterMember(ClusterSettings settings, LocalController governor) throws IOException {
         this.settings = settings;
         this.governor = governor;
         disk = new FileDisk(settings.folder());
@@ -117,7 +121,7 @@
                     new Engine(
                             found,
                             settings.timing(),
-                            new Rules(),
+                            new SafetyRules(),
                             new SplittableRandom(source.nextLong()),
                             now(),
                             agreed,
@@ -212,11 +216,11 @@
         }
     }
 
-    private LocalGovernor.Reach cutOff() {
+    private LocalController.Reach cutOff() {
         return switch (settings.minority()) {
-            case SERVE -> LocalGovernor.Reach.FULL;
-            case WITHDRAW -> LocalGovernor.Reach.WITHDRAW;
-            case HOLD -> LocalGovernor.Reach.HOLD;
+            case SERVE -> LocalController.Reach.FULL;
+            case WITHDRAW -> LocalController.Reach.WITHDRAW;
+            case HOLD -> LocalController.Reach.HOLD;
         };
     }
 
@@ -227,7 +231,7 @@
             show();
             links.greet();
         }
-        LocalGovernor.Reach now = engine.raft().inTouch() ? LocalGovernor.Reach.FULL : cutOff();
+        LocalController.Reach now = engine.raft().inTouch() ? LocalController.Reach.FULL : cutOff();
         if (now != reach) {
             boolean before = reach != null;
             reach = now;
@@ -299,8 +303,8 @@
             shownMembers = engine.raft().members();
             others = null;
             shown =
-                    Codec.hello(
-                            new Codec.Hello(
+                    RaftCodec.hello(
+                            new RaftCodec.Hello(
                                     Frames.VERSION, cluster, id, settings.name(), shownMembers));
         } catch (IOException impossible) {
             throw new UncheckedIOException(impossible);
@@ -313,7 +317,7 @@
     }
 
     @Override
-    public void met(Codec.Hello hello) {
+    public void met(RaftCodec.Hello hello) {
         offer(
                 () -> {
                     met.put(hello.name(), hello);
@@ -339,7 +343,7 @@
      *
      * @param hello what another said, or null as this member begins
      */
-    private void found(Codec.Hello hello) {
+    private void found(RaftCodec.Hello hello) {
         try {
             if (hello == null || hello.cluster() == 0) {
                 foundTogether();
@@ -372,7 +376,7 @@
         long sum = 1;
         TreeMap<String, String> sorted = new TreeMap<>(settings.founders());
         for (Map.Entry<String, String> each : sorted.entrySet()) {
-            Codec.Hello other = met.get(each.getKey());
+            RaftCodec.Hello other = met.get(each.getKey());
             boolean self = each.getKey().equals(settings.name());
             if (!self && (other == null || other.cluster() != 0)) {
                 return;
@@ -392,7 +396,7 @@
     @Override
     public void message(byte[] payload, long from) throws IOException {
         if (cluster != 0 && from == cluster) {
-            Message message = Codec.message(payload);
+            Message message = RaftCodec.message(payload);
             offer(
                     () -> {
                         engine.receive(message);
@@ -406,7 +410,7 @@
         Member to = addressed().get(message.to());
         if (to != null) {
             try {
-                links.send(route(to.name(), to.address()), Codec.message(message));
+                links.send(route(to.name(), to.address()), RaftCodec.message(message));
             } catch (IOException impossible) {
                 throw new UncheckedIOException(impossible);
             }
@@ -474,7 +478,7 @@
 
     @Override
     public void save(
-            long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+            long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot) {
         queue(() -> log.save(ballot, from, entries, snapshot), () -> engine.saved(ticket));
     }
 
@@ -713,7 +717,7 @@
     }
 
     private void status(JsonGenerator json) throws IOException {
-        Raft.Standing standing = engine.raft().standing();
+        RaftNode.Standing standing = engine.raft().standing();
         json.writeStringField("name", settings.name());
         json.writeStringField("id", Long.toHexString(id));
         json.writeNumberField("number", id);
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -4,8 +4,9 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import rockshift.operator.InvalidFileException;
-import rockshift.operator.Section;
+import rockshift.config.InvalidFileException;
+import rockshift.config.Section;
+import rockshift.distribution.wire.DistributionSettings;
 import rockshift.raft.Timing;
 
 /**
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -22,8 +22,10 @@
 import rockshift.distribution.Scope;
 import rockshift.distribution.Summary;
 import rockshift.distribution.Update;
+import rockshift.distribution.wire.DistributionSettings;
+import rockshift.distribution.wire.SubscriberPort;
 import rockshift.raft.Message;
-import rockshift.raft.Raft;
+import rockshift.raft.RaftNode;
 
 /**
  * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a
@@ -109,7 +111,7 @@
     // ---- the member's thread --------------------------------------------------------------------
 
     /** A message came to the member. */
-    void heard(Message message, Raft raft) {
+    void heard(Message message, RaftNode raft) {
         freshness.heard(message, raft, now());
     }
 
@@ -117,7 +119,7 @@
      * To be called again and again: hands over what is agreed where it could not be told change by
      * change.
      */
-    void tend(long cluster, AgreedState agreed, Raft raft) {
+    void tend(long cluster, AgreedState agreed, RaftNode raft) {
         if (cluster != handedOverAt.cluster() || behind && changesWaiting.get() == 0) {
             restored(cluster, agreed);
         }
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -5,18 +5,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import rockshift.raft.Ballot;
-import rockshift.raft.Effects;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Membership;
 import rockshift.raft.Message;
-import rockshift.raft.Raft;
-import rockshift.raft.Refusal;
-import rockshift.raft.Rules;
+import rockshift.raft.ProposalRejection;
+import rockshift.raft.RaftNode;
+import rockshift.raft.RaftOutput;
+import rockshift.raft.SafetyRules;
 import rockshift.raft.Sessions;
 import rockshift.raft.Snapshot;
+import rockshift.raft.TermAndVote;
 import rockshift.raft.Timing;
+import rockshift.storage.DurableLog;
+import rockshift.wire.RaftCodec;
 
 /**
  * One member put together: the protocol, the sessions, and who waits for what. It does no I/O,
@@ -24,7 +26,7 @@
  * then what came, and then has it {@link #run}. The rehearsed world and the real one use this same
  * class.
  */
-public final class Engine implements Effects {
+public final class Engine implements RaftOutput {
     /** Requests that may wait for an answer: more are told to come again. */
     private static final int MOST_WAITING = 20_000;
 
@@ -33,7 +35,8 @@
         void send(Message message);
 
         /** Has a save made durable elsewhere, which ends in {@link Engine#saved}. */
-        void save(long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot);
+        void save(
+                long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot);
 
         /** Has a snapshot kept elsewhere, which ends in {@link Engine#kept}. */
         void keep(Snapshot snapshot);
@@ -65,7 +68,7 @@
 
     private record Waiting(long request, long term) {}
 
-    private final Raft raft;
+    private final RaftNode raft;
     private final Sessions sessions;
     private final Compaction compaction;
     private final Environment environment;
@@ -76,7 +79,7 @@
     public Engine(
             DurableLog.Recovered disk,
             Timing timing,
-            Rules rules,
+            SafetyRules rules,
             RandomGenerator chance,
             long now,
             Sessions.Machine machine,
@@ -87,7 +90,7 @@
         this.environment = environment;
         sessions = new Sessions(rules, machine);
         raft =
-                new Raft(
+                new RaftNode(
                         disk.id(),
                         timing,
                         rules,
@@ -98,11 +101,11 @@
                         disk.entries());
         keptAt = disk.snapshot().index();
         if (disk.snapshot().data().length > 0) {
-            Codec.restore(disk.snapshot().data(), sessions);
+            RaftCodec.restore(disk.snapshot().data(), sessions);
         }
     }
 
-    public Raft raft() {
+    public RaftNode raft() {
         return raft;
     }
 
@@ -153,10 +156,10 @@
 
     private void propose(long request, Entry.Kind kind, long session, long serial, byte[] body) {
         if (proposals.size() >= MOST_WAITING) {
-            refuse(request, Refusal.BUSY);
+            refuse(request, ProposalRejection.BUSY);
             return;
         }
-        Refusal[] why = new Refusal[1];
+        ProposalRejection[] why = new ProposalRejection[1];
         long index = raft.propose(kind, session, serial, body, why);
         if (why[0] != null) {
             refuse(request, why[0]);
@@ -171,7 +174,7 @@
     }
 
     public void member(long request, Member member, boolean remove) {
-        Refusal refusal = raft.change(member, remove);
+        ProposalRejection refusal = raft.change(member, remove);
         if (refusal != null) {
             refuse(request, refusal);
         } else {
@@ -180,7 +183,7 @@
     }
 
     public void transfer(long request, long to) {
-        Refusal refusal = raft.transfer(to);
+        ProposalRejection refusal = raft.transfer(to);
         if (refusal != null) {
             refuse(request, refusal);
         } else {
@@ -188,9 +191,9 @@
         }
     }
 
-    private void refuse(long request, Refusal refusal) {
+    private void refuse(long request, ProposalRejection refusal) {
         Member leader = raft.members().get(raft.leader());
-        boolean elsewhere = refusal == Refusal.NOT_LEADER && leader != null;
+        boolean elsewhere = refusal == ProposalRejection.NOT_LEADER && leader != null;
         environment.answer(
                 request,
                 new Answer(refusal.code(), new byte[0], 0, elsewhere ? leader.address() : null));
@@ -237,7 +240,7 @@
         }
         try {
             long index = raft.applied();
-            byte[] image = Codec.image(sessions.sessions(), sessions.machine().image());
+            byte[] image = RaftCodec.image(sessions.sessions(), sessions.machine().image());
             keeping = true;
             keptAt = index;
             environment.keep(
@@ -250,7 +253,7 @@
 
     @Override
     public void save(
-            long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+            long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot) {
         environment.save(ticket, ballot, from, entries, snapshot);
     }
 
@@ -278,7 +281,7 @@
     @Override
     public void restore(Snapshot snapshot) {
         try {
-            Codec.restore(snapshot.data(), sessions);
+            RaftCodec.restore(snapshot.data(), sessions);
         } catch (IOException damaged) {
             throw new IllegalStateException(
                     "snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
@@ -295,7 +298,7 @@
 
     @Override
     public void unreadable(long token) {
-        refuse(token, Refusal.NOT_LEADER);
+        refuse(token, ProposalRejection.NOT_LEADER);
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -1,7 +1,7 @@
 package rockshift.cluster;
 
 import rockshift.raft.Message;
-import rockshift.raft.Raft;
+import rockshift.raft.RaftNode;
 
 /**
  * Tells up to when what a member has applied was the newest that was agreed. A leader that most
@@ -25,12 +25,12 @@
     /**
      * @param election tenths of a ms
      */
-    Freshness(long election) {
+    public Freshness(long election) {
         electionMs = election / TENTHS_PER_MILLI;
     }
 
     /** A message came to a member. */
-    void heard(Message message, Raft raft, long nowMs) {
+    public void heard(Message message, RaftNode raft, long nowMs) {
         if (message instanceof Message.Append append
                 && append.from() == raft.leader()
                 && announced == 0) {
@@ -43,7 +43,7 @@
      * Ms of the time up to which all that was agreed is known to be applied here; the lowest long
      * if it never was.
      */
-    long freshAt(Raft raft, long nowMs) {
+    public long freshAt(RaftNode raft, long nowMs) {
         if (raft.leads()) {
             announced = 0;
             if (raft.inTouch()
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -19,7 +19,11 @@
 import org.apache.hc.core5.util.Timeout;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rockshift.operator.Section;
+import rockshift.config.Section;
+import rockshift.distribution.wire.SubscriberPort;
+import rockshift.wire.FramedConnection;
+import rockshift.wire.Frames;
+import rockshift.wire.RaftCodec;
 
 /**
  * A member's connections: a listener of its own, and one outgoing connection to each other member.
@@ -63,7 +67,7 @@
     interface Handler {
         byte[] hello();
 
-        void met(Codec.Hello hello);
+        void met(RaftCodec.Hello hello);
 
         /** A message; one that can't be read ends its connection. */
         void message(byte[] payload, long cluster) throws IOException;
@@ -231,7 +235,7 @@
     /** One connection. */
     final class Link extends FramedConnection {
         private final Dialled dialledAs;
-        private Codec.Hello other;
+        private RaftCodec.Hello other;
         private Role role;
 
         Link(IOSession session, Dialled dialledAs) {
@@ -269,7 +273,7 @@
         }
 
         @Override
-        void take(Frames.Frame frame) throws IOException {
+        protected void take(Frames.Frame frame) throws IOException {
             if (role == Role.STRANGER) {
                 session().setSocketTimeout(Timeout.ofMilliseconds(IDLE));
                 if (!enter(
@@ -286,7 +290,7 @@
             }
             switch (frame.kind()) {
                 case Frames.HELLO -> {
-                    other = Codec.hello(frame.payload());
+                    other = RaftCodec.hello(frame.payload());
                     if (dialledAs == null) {
                         send(Frames.HELLO, handler.hello());
                     }
@@ -306,17 +310,17 @@
         }
 
         @Override
-        void quiet() {
+        protected void quiet() {
             end(other == null ? "not-joined" : "idle", "");
         }
 
         @Override
-        void failed(Exception failure) {
+        protected void failed(Exception failure) {
             LOG.error("failure on a member's connection", failure);
         }
 
         @Override
-        void ended() {
+        protected void ended() {
             if (role != null) {
                 taken[role.ordinal()]--;
             }
--- a/src/main/java/rockshift/cluster/LocalGovernor.java
+++ b/src/main/java/rockshift/cluster/LocalController.java
@@ -6,7 +6,7 @@
  * The governor that a member belongs to, as far as the agreement concerns it. Calls come on the
  * member's thread.
  */
-public interface LocalGovernor {
+public interface LocalController {
     /**
      * Whether a governor is in touch with a leader that most hear, or what it still may order if
      * not.
--- a/src/main/java/rockshift/operator/InvalidFileException.java
+++ b/src/main/java/rockshift/config/InvalidFileException.java
@@ -1,4 +1,4 @@
-package rockshift.operator;
+package rockshift.config;
 
 /** A file that can't be used; the message names it, the line and the field. */
 public final class InvalidFileException extends Exception {
--- a/src/main/java/rockshift/operator/LineIndex.java
+++ b/src/main/java/rockshift/config/LineIndex.java
@@ -1,4 +1,4 @@
-package rockshift.operator;
+package rockshift.config;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
--- a/src/main/java/rockshift/operator/OperatorFile.java
+++ b/src/main/java/rockshift/config/OperatorFile.java
@@ -1,4 +1,4 @@
-package rockshift.operator;
+package rockshift.config;
 
 import com.bertramlabs.plugins.hcl4j.HCLParser;
 import com.bertramlabs.plugins.hcl4j.HCLParserException;
--- a/src/main/java/rockshift/operator/Section.java
+++ b/src/main/java/rockshift/config/Section.java
@@ -1,4 +1,4 @@
-package rockshift.operator;
+package rockshift.config;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/rockshift/operator/package-info.java
+++ b/src/main/java/rockshift/config/package-info.java
@@ -3,4 +3,4 @@
  * owns reading it, checking it and naming what is wrong by file, line and field. It must never act
  * on what it reads, and nothing half-read comes into force.
  */
-package rockshift.operator;
+package rockshift.config;
--- a/src/main/java/rockshift/cluster/CutOffWatch.java
+++ b/src/main/java/rockshift/distribution/wire/CutOffWatch.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.util.function.LongConsumer;
 
--- a/src/main/java/rockshift/cluster/DistributionClient.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionClient.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.net.InetSocketAddress;
 import java.util.Collection;
--- a/src/main/java/rockshift/cluster/DistributionCodec.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionCodec.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -13,13 +13,15 @@
 import rockshift.distribution.Scope;
 import rockshift.distribution.Summary;
 import rockshift.distribution.Update;
+import rockshift.wire.CborReader;
+import rockshift.wire.CborWriter;
 
 /**
  * Messages of the distribution as bytes: one CBOR array each, its kind first, told in docs/raft.md.
  * A reader takes exactly what a writer gave. What is missing, follows, has the wrong type or goes
  * beyond a bound is an error that names the field.
  */
-final class DistributionCodec {
+public final class DistributionCodec {
     private static final Limits.Sizes SIZES = Limits.standard().sizes();
 
     /** Characters of the longest key, and of what a refusal says. */
@@ -40,7 +42,7 @@
 
     private DistributionCodec() {}
 
-    static byte[] write(DistributionMessage message) throws IOException {
+    public static byte[] write(DistributionMessage message) throws IOException {
         CborWriter out = new CborWriter();
         out.startArray();
         if (message instanceof DistributionMessage.Subscribe subscribe) {
@@ -147,7 +149,7 @@
         out.text(item.key()).text(item.service()).text(item.zone()).binary(item.value());
     }
 
-    static DistributionMessage read(byte[] bytes) throws IOException {
+    public static DistributionMessage read(byte[] bytes) throws IOException {
         CborReader in = new CborReader(bytes, 0, bytes.length);
         in.at("message").startArray();
         Kind kind = in.at("kind").oneOf(Kind.values());
--- a/src/main/java/rockshift/cluster/DistributionListener.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionListener.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.util.List;
 import rockshift.distribution.Item;
--- a/src/main/java/rockshift/cluster/DistributionReactor.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionReactor.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,6 +21,8 @@
 import org.apache.hc.core5.util.Timeout;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rockshift.wire.ConnectionLog;
+import rockshift.wire.FramedConnection;
 
 /**
  * The threads of distribution in a process: one for all connections and one for all timers, however
@@ -147,7 +149,7 @@
     }
 
     /** The log of connections that were dialled. */
-    ConnectionLog upstreamLog() {
+    public ConnectionLog upstreamLog() {
         return upstreamLog;
     }
 
--- a/src/main/java/rockshift/cluster/DistributionSettings.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionSettings.java
@@ -1,13 +1,13 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
+import rockshift.config.InvalidFileException;
+import rockshift.config.Section;
 import rockshift.distribution.Limits;
 import rockshift.distribution.Scope;
-import rockshift.operator.InvalidFileException;
-import rockshift.operator.Section;
 
 /**
  * What a governor or relay is told in the block {@code distribution} of the operator's file. It is
@@ -26,9 +26,9 @@
         RelaySettings relay,
         Limits limits) {
     /** Subscribers that a publisher serves if nothing is told, and at most. */
-    static final int USUAL_SUBSCRIBERS = 1_024;
+    public static final int USUAL_SUBSCRIBERS = 1_024;
 
-    static final int MOST_SUBSCRIBERS = 65_536;
+    public static final int MOST_SUBSCRIBERS = 65_536;
     private static final int LONGEST_NAME = Limits.standard().sizes().nameLength();
 
     /**
@@ -96,7 +96,7 @@
     }
 
     /** The usual bounds of a publisher, for so many connections. */
-    static Limits limits(int subscribers) {
+    public static Limits limits(int subscribers) {
         Limits usual = Limits.standard();
         Limits.Admission admission = usual.admission();
         return new Limits(
--- a/src/main/java/rockshift/cluster/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -15,6 +15,8 @@
 import rockshift.distribution.Relay;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Summary;
+import rockshift.wire.FramedConnection;
+import rockshift.wire.Frames;
 
 /**
  * A relay on sockets: it subscribes upstream and serves subscribers of its own. Each decision is
@@ -149,7 +151,7 @@
         }
 
         @Override
-        void take(Frames.Frame frame) throws IOException {
+        protected void take(Frames.Frame frame) throws IOException {
             if (frame.kind() != Frames.WATCH) {
                 throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
             }
@@ -157,17 +159,17 @@
         }
 
         @Override
-        void quiet() {
+        protected void quiet() {
             end(RejectionReason.SILENT.code(), "");
         }
 
         @Override
-        void failed(Exception failure) {
+        protected void failed(Exception failure) {
             LOG.error("failure on a subscriber's connection", failure);
         }
 
         @Override
-        void ended() {
+        protected void ended() {
             downstream.ended(this);
         }
     }
--- a/src/main/java/rockshift/cluster/SubscriberPort.java
+++ b/src/main/java/rockshift/distribution/wire/SubscriberPort.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.io.IOException;
 import java.util.Map;
@@ -10,13 +10,16 @@
 import rockshift.distribution.DistributionMessage;
 import rockshift.distribution.Publisher;
 import rockshift.distribution.RejectionReason;
+import rockshift.wire.ConnectionLog;
+import rockshift.wire.FramedConnection;
+import rockshift.wire.Frames;
 
 /**
  * The connections of a publisher's subscribers: it numbers them, turns frames into messages and
  * back, and bounds what waits on the way in and out. Whom to take and what to send decides the
  * publisher.
  */
-final class SubscriberPort implements Publisher.Effects {
+public final class SubscriberPort implements Publisher.Effects {
     private static final Logger LOG = LoggerFactory.getLogger(SubscriberPort.class);
 
     /** Connections beyond those that the publisher serves: they are told that it is busy. */
@@ -31,13 +34,13 @@
      * The publisher's owner, which hands events on in the order in which they came, on whatever
      * thread it likes.
      */
-    interface Owner {
+    public interface Owner {
         /** Runs a step of the publisher, now or later. */
         void execute(Runnable step);
 
         void connected(long connection);
 
-        void received(long connection, DistributionMessage message);
+        public void received(long connection, DistributionMessage message);
 
         void refused(long connection, RejectionReason reason, String place);
 
@@ -58,18 +61,18 @@
     /**
      * @param served connections that the publisher serves at most
      */
-    SubscriberPort(int served, Owner owner) {
+    public SubscriberPort(int served, Owner owner) {
         this.served = served;
         this.owner = owner;
     }
 
     /** Connections that may be open at a time, those that are told to come again included. */
-    int most() {
+    public int most() {
         return served + TO_BE_REFUSED;
     }
 
     /** A connection of a subscriber came up; ends it where there are too many. */
-    void opened(FramedConnection connection) {
+    public void opened(FramedConnection connection) {
         if (byConnection.size() >= most()) {
             connection.end("crowded", "");
             return;
@@ -81,7 +84,7 @@
     }
 
     /** A frame's payload came. */
-    void received(FramedConnection connection, byte[] payload) {
+    public void received(FramedConnection connection, byte[] payload) {
         Peer peer = byConnection.get(connection);
         if (peer == null) {
             return;
@@ -116,7 +119,7 @@
     }
 
     /** A connection has ended, whether it had become a subscriber's or not. */
-    void ended(FramedConnection connection) {
+    public void ended(FramedConnection connection) {
         String code = connection.reason() == null ? "stopping" : connection.reason();
         log.ended(connection.from(), code, connection.about());
         Peer peer = byConnection.remove(connection);
@@ -152,7 +155,7 @@
     }
 
     /** Connections ended since the start, by reason. */
-    Map<String, Long> endings() {
+    public Map<String, Long> endings() {
         return log.totals();
     }
 }
--- a/src/main/java/rockshift/cluster/UpstreamPort.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamPort.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,6 +10,8 @@
 import org.slf4j.LoggerFactory;
 import rockshift.distribution.DistributionMessage;
 import rockshift.distribution.RejectionReason;
+import rockshift.wire.FramedConnection;
+import rockshift.wire.Frames;
 
 /**
  * A subscriber's connection to one upstream at a time: it dials, turns messages into frames and
@@ -70,7 +72,7 @@
                     });
         }
 
-        void failed(String why) {
+        protected void failed(String why) {
             // Never from within a step: a dial may fail as it is begun.
             reactor.execute(
                     () ->
@@ -124,7 +126,7 @@
         }
 
         @Override
-        void take(Frames.Frame frame) throws IOException {
+        protected void take(Frames.Frame frame) throws IOException {
             if (frame.kind() != Frames.WATCH) {
                 throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
             }
@@ -138,17 +140,17 @@
         }
 
         @Override
-        void quiet() {
+        protected void quiet() {
             end(RejectionReason.SILENT.code(), "");
         }
 
         @Override
-        void failed(Exception failure) {
+        protected void failed(Exception failure) {
             LOG.error("failure on an upstream connection", failure);
         }
 
         @Override
-        void ended() {
+        protected void ended() {
             reactor.upstreamLog()
                     .ended(attempt.address, reason() == null ? "stopping" : reason(), about());
             attempt.step(
--- a/src/main/java/rockshift/ClassSet.java
+++ b/src/main/java/rockshift/model/ClassSet.java
@@ -1,4 +1,4 @@
-package rockshift;
+package rockshift.model;
 
 import java.util.BitSet;
 import java.util.stream.Collectors;
--- a/src/main/java/rockshift/Listed.java
+++ b/src/main/java/rockshift/model/Endpoint.java
@@ -1,11 +1,11 @@
-package rockshift;
+package rockshift.model;
 
 /**
  * A replica as the list shows it.
  *
  * @param started when it last started, in tenths of a millisecond; 0 for long past
  */
-public record Listed(long replica, String zone, String kind, Health health, long started) {
+public record Endpoint(long replica, String zone, String kind, Health health, long started) {
     /** What the list says of a replica: fit for new work, finishing what it has, or removed. */
     public enum Health {
         READY,
--- a/src/main/java/rockshift/Channel.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -1,4 +1,4 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,7 +8,7 @@
  * The way to the proxies: what was written in this turn, what waits, and what nobody has answered
  * yet.
  */
-final class Channel {
+final class ChannelPacer {
     private static final int LAST_SERIAL = 65_535;
 
     private final double head;
@@ -22,7 +22,7 @@
     private long at;
     private int serial;
 
-    Channel(double head, double pace, long now) {
+    ChannelPacer(double head, double pace, long now) {
         this.head = head;
         this.pace = pace;
         at = now;
@@ -52,7 +52,7 @@
     }
 
     /** Closes the turn's messages under one number; false where there is none. */
-    boolean mark(Orders orders, long now) {
+    boolean mark(ProxyCommands orders, long now) {
         if (written.isEmpty()) {
             return false;
         }
--- a/src/main/java/rockshift/Logic.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -1,4 +1,4 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,14 +15,17 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
+import rockshift.model.ClassSet;
+import rockshift.model.ControlScope;
+import rockshift.model.Endpoint;
 
 /**
  * All decisions of one governor. The host calls an input method for each thing it learns, then
- * {@link #decide} until that answers false; what is decided comes out through {@link Orders}.
- * Inputs only update what is known. Times are tenths of a millisecond on the host's clock. The
- * mechanism and every exception to it are explained in docs/design.md.
+ * {@link #decide} until that answers false; what is decided comes out through {@link
+ * ProxyCommands}. Inputs only update what is known. Times are tenths of a millisecond on the host's
+ * clock. The mechanism and every exception to it are explained in docs/design.md.
  */
-public final class Logic extends Known {
+public final class Planner extends PlannerState {
     // ---- constants: unit, and the reason for the size -------------------------------------------
     /** Tenths of a ms: the timer. A tenth of the gathering time, so that nothing due waits long. */
     private static final long TURN = 1_000;
@@ -257,13 +260,13 @@
     private final double cap;
     private final double coldShare;
     private final double warmAfter;
-    private final Channel channel;
-    private final List<Place> places = new ArrayList<>();
+    private final ChannelPacer channel;
+    private final List<ProxyGroup> places = new ArrayList<>();
 
     /**
      * Requests that have proxies now, and the links that they use; lines that a table should have.
      */
-    private List<Request> requests = List.of();
+    private List<RoutingTable> requests = List.of();
 
     private List<Replica> links = List.of();
     private double lines;
@@ -300,7 +303,7 @@
     /** Work that falls due: the next batch, or the end of a shunned replica's rest in one view. */
     private record Due(long at, boolean batch, long replica, boolean far) {}
 
-    public Logic(long now, long seed, Map<String, String> terms) {
+    public Planner(long now, long seed, Map<String, String> terms) {
         super(now, terms);
         chance = new SplittableRandom(seed);
         homebound = new boolean[classes];
@@ -312,7 +315,7 @@
         pace = number("channel.pace", Double.MAX_VALUE) / 10_000;
         cap = turns(number("messages.limit", 0));
         grace = number("drain.grace", Double.POSITIVE_INFINITY);
-        channel = new Channel(head, pace, now);
+        channel = new ChannelPacer(head, pace, now);
         coldShare = number("cold.share", 0.1);
         warmAfter = number("warm.after", 300_000);
         all = terms.getOrDefault("admission", "").equals("rate") ? ALL : 1;
@@ -325,7 +328,7 @@
     // ---- decisions ------------------------------------------------------------------------------
 
     /** Takes one decision, if there is one to take now. */
-    public boolean decide(Orders orders) {
+    public boolean decide(ProxyCommands orders) {
         Due due = dues.first();
         if (unsettled) {
             waiting.values().forEach(this::settle);
@@ -361,7 +364,7 @@
     }
 
     private void giveBack(Replica replica, boolean far) {
-        View view = replica == null ? null : far ? replica.far : replica.near;
+        ReplicaObservations view = replica == null ? null : far ? replica.far : replica.near;
         if (view != null && view.shunned) {
             view.returned = now;
             replica.near.forget();
@@ -374,9 +377,9 @@
      * Lays the tables of its place under the proxy that waits longest and has some; none without a
      * line.
      */
-    private boolean join(Orders orders) {
+    private boolean join(ProxyCommands orders) {
         for (Proxy proxy : waiting.values()) {
-            Place place = proxy.place;
+            ProxyGroup place = proxy.place;
             // Guards the drains where many come at once, as all tables would reach the last too
             // late: one is
             // for all classes first, the strictest; others repeat as if nothing were ordered, if it
@@ -402,7 +405,7 @@
             lay(orders, proxy, brief, cost);
             return true;
         }
-        boolean calm = waiting.isEmpty() && reach == Reach.FULL && queue() <= putOff() / 2;
+        boolean calm = waiting.isEmpty() && reach == ControlScope.FULL && queue() <= putOff() / 2;
         Optional<Proxy> next =
                 proxies.values().stream()
                         .filter(
@@ -421,10 +424,10 @@
         return cap > 0 && proxy.messages.size() >= cap * part;
     }
 
-    private void lay(Orders orders, Proxy proxy, boolean brief, double cost) {
+    private void lay(ProxyCommands orders, Proxy proxy, boolean brief, double cost) {
         double told =
                 brief ? orders.bind(proxy.place.shared.number, proxy.number, ClassSet.all()) : 0;
-        for (Request request : brief ? List.<Request>of() : proxy.place.requests) {
+        for (RoutingTable request : brief ? List.<RoutingTable>of() : proxy.place.requests) {
             told += orders.bind(request.number, proxy.number, request.classes);
         }
         proxy.bound = true;
@@ -435,8 +438,9 @@
     /**
      * Lines beside head and mark that laying a place's tables, or one, comes to; too many for none.
      */
-    private double laying(Place place, boolean brief) {
-        boolean none = place == null || !place.laid || place.filled == 0 || reach == Reach.HOLD;
+    private double laying(ProxyGroup place, boolean brief) {
+        boolean none =
+                place == null || !place.laid || place.filled == 0 || reach == ControlScope.HOLD;
         return none
                 ? Double.MAX_VALUE
                 : brief ? place.shared.filled + 2 : place.filled + 2 * classes;
@@ -448,10 +452,10 @@
      * They are let in again when none waits, so that no cold one meets old weights; that loses some
      * of their work.
      */
-    private boolean withdraw(Orders orders) {
+    private boolean withdraw(ProxyCommands orders) {
         if (waiting.isEmpty()) {
             Replica back =
-                    reach != Reach.FULL
+                    reach != ControlScope.FULL
                             ? null
                             : replicas.values().stream()
                                     .filter(replica -> replica.usable() && replica.withdrawn)
@@ -464,7 +468,7 @@
             return back != null;
         }
         // Once a turn: what has changed since is told in the next one.
-        if (warnedAt == now || reach == Reach.HOLD) {
+        if (warnedAt == now || reach == ControlScope.HOLD) {
             return false;
         }
         warnedAt = now;
@@ -491,7 +495,7 @@
         return told;
     }
 
-    private void tell(Orders orders, Proxy proxy, List<Replica> about, boolean out) {
+    private void tell(ProxyCommands orders, Proxy proxy, List<Replica> about, boolean out) {
         int cost = 0;
         for (Replica replica : about) {
             replica.withdrawn = out;
@@ -503,7 +507,7 @@
     }
 
     /** Judges, solves and sends the differences, those of drains first. */
-    private void batch(Orders orders) {
+    private void batch(ProxyCommands orders) {
         // Pressing ones do not put the ordinary one off: a list that keeps changing would for ever.
         boolean ordinary = dues.removeIf(due -> due.batch && due.at <= now);
         urgent = held = false;
@@ -515,7 +519,7 @@
         estimate();
         setLevels();
         if (ordinary) {
-            double penalty = Request.penalty(requests, ALPHA);
+            double penalty = RoutingTable.penalty(requests, ALPHA);
             for (int i = 0; i < ITERATIONS; i++) {
                 iterate(penalty);
             }
@@ -561,7 +565,7 @@
         replicas.values().stream()
                 .filter(other -> !other.usable() && other.heldNear + other.heldFar > 0)
                 .forEach(gone -> places.forEach(place -> place.remove(gone)));
-        for (Place place : places) {
+        for (ProxyGroup place : places) {
             double has = place.members.size();
             double demand = place.requests.stream().mapToDouble(request -> request.weight).sum();
             double reach = waiting.isEmpty() ? place.requests.get(0).utopic : 0;
@@ -576,18 +580,18 @@
             spread(replica, true, Math.max(1, Math.floor(each * NEAR_LINES)) - replica.heldNear);
             spread(replica, false, Math.floor(each * (1 - NEAR_LINES)) - replica.heldFar);
         }
-        for (Place place : places) {
-            for (Request request : place.requests) {
+        for (ProxyGroup place : places) {
+            for (RoutingTable request : place.requests) {
                 place.members.forEach(
                         (id, member) ->
                                 request.paths.computeIfAbsent(
-                                        id, key -> new Path(request, member)));
+                                        id, key -> new Route(request, member)));
             }
         }
     }
 
     /** Adds so many of those that the fewest places hold, of its zone or of the others. */
-    private void fill(Place place, List<Replica> usable, boolean near, double more) {
+    private void fill(ProxyGroup place, List<Replica> usable, boolean near, double more) {
         usable.stream()
                 .filter(replica -> place.lacks(replica, near) && !replica.near.shunned)
                 .sorted(
@@ -604,7 +608,7 @@
             places.stream()
                     .filter(place -> place.lacks(replica, near))
                     .sorted(
-                            Comparator.comparingInt((Place place) -> place.members.size())
+                            Comparator.comparingInt((ProxyGroup place) -> place.members.size())
                                     .thenComparingLong(place -> order(place, replica)))
                     .limit((long) more)
                     .forEach(place -> place.add(replica));
@@ -614,7 +618,7 @@
     /**
      * The same at every governor and after a restart: a proxy that moves finds its replicas again.
      */
-    private static long order(Place place, Replica replica) {
+    private static long order(ProxyGroup place, Replica replica) {
         return new SplittableRandom(replica.id * Short.MAX_VALUE + place.number).nextLong();
     }
 
@@ -632,7 +636,11 @@
         int strictest = IntStream.range(0, classes).filter(k -> homebound[k]).findFirst().orElse(0);
         for (String zone : zones) {
             IntStream.range(0, (int) each)
-                    .forEach(i -> places.add(new Place(places.size(), zone, classes, strictest)));
+                    .forEach(
+                            i ->
+                                    places.add(
+                                            new ProxyGroup(
+                                                    places.size(), zone, classes, strictest)));
         }
         proxies.values().forEach(this::settle);
     }
@@ -692,7 +700,7 @@
                         .filter(Replica::usable)
                         .map(Replica::seen)
                         .filter(view -> view.tries >= FEW_TRIES)
-                        .mapToDouble(View::failureShare)
+                        .mapToDouble(ReplicaObservations::failureShare)
                         .sorted()
                         .toArray();
         medianFailures = shares.length == 0 ? 0 : shares[(shares.length - 1) / 2];
@@ -719,13 +727,13 @@
      * Too much work makes a replica fail as well, and shunning it would push the next one over: a
      * busy one is left to the capacity estimate. A hung one tells no load, and counts as idle.
      */
-    private boolean failing(View view) {
+    private boolean failing(ReplicaObservations view) {
         return view.tries >= FEW_TRIES
                 && view.busy <= OVERWORKED * view.tries
                 && view.failureShare() > 2 * medianFailures + EXCESS_FAILURES;
     }
 
-    private void shun(Replica replica, View view) {
+    private void shun(Replica replica, ReplicaObservations view) {
         if (!view.shunned) {
             boolean far = view == replica.far;
             view.shunned = true;
@@ -748,7 +756,7 @@
 
     /** Request weights: shares of demand, by place and class. */
     private void weighDemand() {
-        places.forEach(Place::reckon);
+        places.forEach(ProxyGroup::reckon);
         expected = 0;
         for (Proxy proxy : proxies.values()) {
             for (int k = 0; k < classes && proxy.place != null; k++) {
@@ -832,9 +840,9 @@
             replica.capacity *= warmth(replica) < 1 && strain > bearable ? bearable / strain : 1;
             replica.capacity = sum > 0 ? replica.capacity / sum : 0;
         }
-        for (Request request : requests) {
+        for (RoutingTable request : requests) {
             request.utopic = request.reach(this::open);
-            for (Path path : request.paths.values()) {
+            for (Route path : request.paths.values()) {
                 boolean known =
                         path.open
                                 && request.oldWeight > 0
@@ -848,7 +856,7 @@
     }
 
     /** Whether a request may use a path at all; some classes must stay in their zone. */
-    private boolean allowed(Path path) {
+    private boolean allowed(Route path) {
         return path.link.usable()
                 && (path.near || !homebound[path.request.type])
                 && path.request.place.members.containsKey(path.link.id);
@@ -872,7 +880,7 @@
     }
 
     /** Shunned near means for all, shunned far for those of other zones. */
-    private boolean open(Path path) {
+    private boolean open(Route path) {
         return allowed(path) && !path.link.near.shunned && (path.near || !path.link.far.shunned);
     }
 
@@ -960,7 +968,7 @@
         // The switching cost and the cost of crossing, in mean lines moved an iteration.
         double line = 1.0 / Math.max(1, links.stream().mapToInt(link -> link.used.size()).sum());
         double cross = NEAR * number("price.crossing", 0);
-        for (Request request : requests) {
+        for (RoutingTable request : requests) {
             root(request, penalty, THETA * line, cross, line);
         }
     }
@@ -968,13 +976,14 @@
     /**
      * The root search for the class total, and the request's copies: the switching cost holds them.
      */
-    private void root(Request request, double penalty, double theta, double cross, double line) {
-        List<Path> open = request.paths.values().stream().filter(path -> path.open).toList();
+    private void root(
+            RoutingTable request, double penalty, double theta, double cross, double line) {
+        List<Route> open = request.paths.values().stream().filter(path -> path.open).toList();
         double rate = request.total / request.scale;
         double[] current = open.stream().mapToDouble(path -> path.published * rate).toArray();
         double[] move = new double[current.length];
         for (int i = 0; i < move.length; i++) {
-            Path path = open.get(i);
+            Route path = open.get(i);
             double late =
                     path.link.far.tries > 0 ? LATE * path.link.far.late / path.link.far.tries : 0;
             move[i] =
@@ -1015,7 +1024,7 @@
     private void project(Replica link, double penalty) {
         link.used.forEach(path -> path.z = path.open ? path.mean + penalty * path.dual : 0);
         double cut =
-                Simplex.cut(
+                SimplexProjection.cut(
                         link.used.stream().mapToDouble(path -> path.z).toArray(), link.capacity);
         link.used.forEach(path -> path.z = Math.max(0, path.z - cut));
     }
@@ -1023,9 +1032,9 @@
     /**
      * A line of a request's table, or its level where no path is named, and how much it matters.
      */
-    private record Change(Request request, Path path, double to, double size) {}
+    private record Change(RoutingTable request, Route path, double to, double size) {}
 
-    private void publish(Orders orders, boolean gathered) {
+    private void publish(ProxyCommands orders, boolean gathered) {
         double most = Math.floor(cap * MESSAGE_PART);
         double span = number("messages.span", 0);
         double room = limit * PRESSING_PART - queue();
@@ -1048,7 +1057,7 @@
                                 || now - proxy.messages.getLast() < span / (cap - most);
             }
         }
-        Set<Request> bare =
+        Set<RoutingTable> bare =
                 requests.stream()
                         .filter(
                                 request ->
@@ -1063,7 +1072,7 @@
             // fill the
             // channel by handfuls, each with its heads. Who doubles as the largest line left, rides
             // too.
-            Place place = change.request.place;
+            ProxyGroup place = change.request.place;
             boolean owed = change.path != null && (change.to == 0 || bare.contains(change.request));
             double old = change.path == null ? 0 : change.path.published;
             boolean cold = change.to < old && warmth(change.path.link) < 1;
@@ -1075,7 +1084,9 @@
                             || cold && 2 * change.to < old
                             || place.bound == 0
                             || place.sent > 0 && old == 0 && change.path != null;
-            if (reach == Reach.HOLD || reach == Reach.WITHDRAW && !owed || !gathered && !atOnce) {
+            if (reach == ControlScope.HOLD
+                    || reach == ControlScope.WITHDRAW && !owed
+                    || !gathered && !atOnce) {
                 continue;
             }
             double cost = place.bound * (place.sent == 0 ? 2 + head : 1);
@@ -1106,7 +1117,7 @@
                 channel.post(proxy, sent, now);
             }
         }
-        for (Place place : places) {
+        for (ProxyGroup place : places) {
             place.published(orders);
             place.requests.forEach(
                     request ->
@@ -1119,7 +1130,7 @@
                                                             && path.link.paths.remove(path)));
         }
         for (Replica old : List.copyOf(replicas.values())) {
-            if (old.health == Listed.Health.GONE
+            if (old.health == Endpoint.Health.GONE
                     && !old.inTables()
                     && now > old.changed + REMEMBERED) {
                 replicas.remove(old.id);
@@ -1134,14 +1145,14 @@
      */
     private List<Change> changes() {
         List<Change> changes = new ArrayList<>();
-        for (Request request : requests) {
+        for (RoutingTable request : requests) {
             double share = Math.round(level[request.type] * 100) / 100.0;
             if (Math.abs(share - request.sentLevel) > LEVEL_STEP
                     || share == 1 && request.sentLevel < 1) {
                 changes.add(new Change(request, null, share, 1));
             }
             target(request);
-            for (Path path : request.paths.values()) {
+            for (Route path : request.paths.values()) {
                 double old = path.published;
                 double to = path.allowed ? (float) (path.target * request.scale) : 0;
                 double size = Math.abs(to - old) / request.scale;
@@ -1161,8 +1172,8 @@
      * remains of a table after removals keeps its scale, so that no line need be sent anew for
      * another's going.
      */
-    private void target(Request request) {
-        List<Path> allowed = request.paths.values().stream().filter(path -> path.allowed).toList();
+    private void target(RoutingTable request) {
+        List<Route> allowed = request.paths.values().stream().filter(path -> path.allowed).toList();
         double sum = allowed.stream().mapToDouble(path -> path.z).sum();
         double top =
                 allowed.stream()
@@ -1186,7 +1197,7 @@
         for (int i = 0; i < ITERATIONS; i++) {
             double left = all;
             all = 0;
-            for (Path path : allowed) {
+            for (Route path : allowed) {
                 double part =
                         sum > 0
                                 ? Math.max(least, path.z / sum)
--- a/src/main/java/rockshift/Known.java
+++ b/src/main/java/rockshift/planner/PlannerState.java
@@ -1,4 +1,4 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -8,12 +8,15 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
+import rockshift.model.ControlScope;
+import rockshift.model.Endpoint;
+import rockshift.settings.ClassNames;
 
 /**
- * What one governor knows: inputs write down what they tell, and {@link Logic} decides what
+ * What one governor knows: inputs write down what they tell, and {@link Planner} decides what
  * follows.
  */
-abstract class Known {
+abstract class PlannerState {
     final Map<String, String> terms;
 
     /**
@@ -24,7 +27,7 @@
 
     final TreeMap<Long, Long> asked = new TreeMap<>();
     long agreedVersion;
-    Reach reach = Reach.FULL;
+    ControlScope reach = ControlScope.FULL;
     final List<String> zones;
     final int classes;
     private final ClassNames classNames;
@@ -75,7 +78,7 @@
     /** The shortest promised time: answers that take longer are late. */
     final double promised;
 
-    Known(long now, Map<String, String> terms) {
+    PlannerState(long now, Map<String, String> terms) {
         this.now = now;
         this.terms = terms;
         fadedAt = now;
@@ -101,7 +104,7 @@
      * several.
      */
     final double turns(double messages) {
-        int further = Math.max(0, classes - 1) / Orders.MOST_PARTS;
+        int further = Math.max(0, classes - 1) / ProxyCommands.MOST_PARTS;
         return messages > 0 ? Math.max(1, messages - further) : 0;
     }
 
@@ -126,10 +129,10 @@
     }
 
     /** The list: changes only, or the whole of it. */
-    public void listed(long now, List<Listed> entries, boolean changes) {
+    public void listed(long now, List<Endpoint> entries, boolean changes) {
         this.now = now;
         TreeSet<Long> missing = new TreeSet<>(changes ? List.of() : replicas.keySet());
-        for (Listed entry : entries) {
+        for (Endpoint entry : entries) {
             missing.remove(entry.replica());
             Replica replica = replicas.computeIfAbsent(entry.replica(), Replica::new);
             boolean restarted = entry.started() > replica.started;
@@ -141,14 +144,14 @@
             replica.kind = entry.kind();
             change(replica, entry.health(), restarted ? " started" : "");
         }
-        missing.forEach(id -> change(replicas.get(id), Listed.Health.GONE, ""));
+        missing.forEach(id -> change(replicas.get(id), Endpoint.Health.GONE, ""));
     }
 
-    private void change(Replica replica, Listed.Health health, String also) {
+    private void change(Replica replica, Endpoint.Health health, String also) {
         if (health != replica.health || !also.isEmpty()) {
             urgent |= replica.inTables();
             replica.changed = now;
-            lostAt = health == Listed.Health.READY ? lostAt : now;
+            lostAt = health == Endpoint.Health.READY ? lostAt : now;
             replica.health = health;
             notes.add("replica " + replica.id + " " + health + also);
         }
@@ -174,7 +177,7 @@
      * Whether this governor may order all, or being cut off from the others only what rules owe, or
      * nothing.
      */
-    public void reach(long now, Reach to) {
+    public void reach(long now, ControlScope to) {
         this.now = now;
         urgent |= to != reach;
         reach = to;
@@ -249,7 +252,7 @@
     public void caughtUp(long now, int number, int serial) {
         this.now = now;
         if (proxies.containsKey(number)) {
-            Channel.answered(proxies.get(number), serial);
+            ChannelPacer.answered(proxies.get(number), serial);
         }
     }
 
--- a/src/main/java/rockshift/Proxy.java
+++ b/src/main/java/rockshift/planner/Proxy.java
@@ -1,4 +1,4 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -35,7 +35,7 @@
     /** Lines of the message that it gets in this turn. */
     double lines;
 
-    Place place;
+    ProxyGroup place;
 
     /** Whether it has its tables, and whether one of them does for all classes as yet. */
     boolean bound;
--- a/src/main/java/rockshift/Orders.java
+++ b/src/main/java/rockshift/planner/ProxyCommands.java
@@ -1,7 +1,9 @@
-package rockshift;
+package rockshift.planner;
 
-/** What a host carries out for one instance of {@link Logic}, in the order of the calls. */
-public interface Orders {
+import rockshift.model.ClassSet;
+
+/** What a host carries out for one instance of {@link Planner}, in the order of the calls. */
+public interface ProxyCommands {
     /**
      * Parts that one message may have, by the host that allows the fewest: each tells of one table,
      * or of a level.
--- a/src/main/java/rockshift/Place.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -1,18 +1,18 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 
 /** Proxies of a zone that share tables, and the replicas dealt to them. */
-final class Place {
+final class ProxyGroup {
     final int number;
     final String zone;
     final TreeMap<Long, Replica> members = new TreeMap<>();
-    final List<Request> requests = new ArrayList<>();
+    final List<RoutingTable> requests = new ArrayList<>();
 
     /** The one whose table does for all classes where it must. */
-    final Request shared;
+    final RoutingTable shared;
 
     /** Transactions a second of a class that its hottest proxy brings. */
     double hottest;
@@ -32,11 +32,11 @@
     boolean full;
     boolean barred;
 
-    Place(int number, String zone, int classes, int strictest) {
+    ProxyGroup(int number, String zone, int classes, int strictest) {
         this.number = number;
         this.zone = zone;
         for (int k = 0; k < classes; k++) {
-            requests.add(new Request(this, k, number * classes + k));
+            requests.add(new RoutingTable(this, k, number * classes + k));
         }
         shared = requests.get(strictest);
     }
@@ -65,10 +65,10 @@
      * Ends the batch: the tables of a place that has proxies are up to it. Others keep no lines, as
      * no batch would take out who leaves; they are laid anew for who joins.
      */
-    void published(Orders orders) {
+    void published(ProxyCommands orders) {
         laid = joined > 0;
         filled = 0;
-        for (Request request : requests) {
+        for (RoutingTable request : requests) {
             request.filled =
                     !laid
                             ? 0
@@ -96,7 +96,7 @@
     /** Begins a new reckoning of demand. */
     void reckon() {
         hottest = 0;
-        for (Request request : requests) {
+        for (RoutingTable request : requests) {
             request.oldWeight = request.weight;
             request.weight = 0;
         }
--- a/src/main/java/rockshift/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -1,14 +1,15 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.ArrayList;
 import java.util.List;
+import rockshift.model.Endpoint;
 
 /** What is known of a replica: the one link of all paths that lead to it. */
 final class Replica {
     final long id;
     String zone = "";
     String kind;
-    Listed.Health health = Listed.Health.READY;
+    Endpoint.Health health = Endpoint.Health.READY;
     long started;
     long changed;
 
@@ -22,8 +23,8 @@
     double answered;
     double busySum;
     double busyTries;
-    final View near = new View();
-    final View far = new View();
+    final ReplicaObservations near = new ReplicaObservations();
+    final ReplicaObservations far = new ReplicaObservations();
     double capacity;
     double oldCapacity;
 
@@ -31,9 +32,9 @@
      * All paths here, and those of requests in use; how many places of its zone and of others hold
      * it.
      */
-    final List<Path> paths = new ArrayList<>();
+    final List<Route> paths = new ArrayList<>();
 
-    final List<Path> used = new ArrayList<>();
+    final List<Route> used = new ArrayList<>();
     int heldNear;
     int heldFar;
 
@@ -43,14 +44,14 @@
 
     /** Listed as fit for new work, and not kept out by staff. */
     boolean usable() {
-        return health == Listed.Health.READY && !keptOut;
+        return health == Endpoint.Health.READY && !keptOut;
     }
 
     boolean inTables() {
         return paths.stream().anyMatch(path -> path.published > 0);
     }
 
-    View view(String from) {
+    ReplicaObservations view(String from) {
         return from.equals(zone) ? near : far;
     }
 
@@ -58,8 +59,8 @@
         return near.lost + far.lost;
     }
 
-    View seen() {
-        View all = new View();
+    ReplicaObservations seen() {
+        ReplicaObservations all = new ReplicaObservations();
         all.add(near.tries + far.tries, lost(), far.late, near.busy + far.busy);
         return all;
     }
--- a/src/main/java/rockshift/View.java
+++ b/src/main/java/rockshift/planner/ReplicaObservations.java
@@ -1,7 +1,7 @@
-package rockshift;
+package rockshift.planner;
 
 /** What proxies of its own zone, or those of others, lately saw of a replica. */
-final class View {
+final class ReplicaObservations {
     double tries;
     double lost;
 
--- a/src/main/java/rockshift/Path.java
+++ b/src/main/java/rockshift/planner/Route.java
@@ -1,11 +1,11 @@
-package rockshift;
+package rockshift.planner;
 
 /**
  * A request's way to a replica: its own copy, the link's copy, their mean, the dual, and what was
  * sent.
  */
-final class Path {
-    final Request request;
+final class Route {
+    final RoutingTable request;
     final Replica link;
     final boolean near;
     double x;
@@ -20,7 +20,7 @@
 
     boolean open;
 
-    Path(Request request, Replica link) {
+    Route(RoutingTable request, Replica link) {
         this.request = request;
         this.link = link;
         near = request.place.near(link);
--- a/src/main/java/rockshift/Request.java
+++ b/src/main/java/rockshift/planner/RoutingTable.java
@@ -1,19 +1,20 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.List;
 import java.util.TreeMap;
 import java.util.function.Predicate;
+import rockshift.model.ClassSet;
 
 /** A class at a place: a table, numbered as the request, over the paths dealt to the place. */
-final class Request {
-    final Place place;
+final class RoutingTable {
+    final ProxyGroup place;
     final int type;
     final int number;
 
     /** The class alone, as the host is told of it. */
     final ClassSet classes;
 
-    final TreeMap<Long, Path> paths = new TreeMap<>();
+    final TreeMap<Long, Route> paths = new TreeMap<>();
     double weight;
     double oldWeight;
     double utopic;
@@ -31,7 +32,7 @@
     /** What the standing weights sum to, where the targets sum to 1. */
     double scale = 1;
 
-    Request(Place place, int type, int number) {
+    RoutingTable(ProxyGroup place, int type, int number) {
         this.place = place;
         this.type = type;
         this.number = number;
@@ -39,14 +40,14 @@
     }
 
     /** The capacity of the links at the end of such paths. */
-    double reach(Predicate<Path> such) {
+    double reach(Predicate<Route> such) {
         return paths.values().stream().filter(such).mapToDouble(path -> path.link.capacity).sum();
     }
 
     /**
      * The paper's start of the penalty, from utopic totals and lower bounds; the weights sum to 1.
      */
-    static double penalty(List<Request> requests, double alpha) {
+    static double penalty(List<RoutingTable> requests, double alpha) {
         double lowest =
                 requests.stream()
                         .filter(request -> request.utopic > 0)
@@ -55,7 +56,7 @@
                         .orElse(1);
         double least = Double.MAX_VALUE;
         double most = 0;
-        for (Request request : requests) {
+        for (RoutingTable request : requests) {
             double midpoint = request.weight * request.utopic;
             double bound = Math.pow(lowest, 1 - 1 / alpha) * Math.pow(midpoint, 1 / alpha);
             if (midpoint > 0) {
--- a/src/main/java/rockshift/Simplex.java
+++ b/src/main/java/rockshift/planner/SimplexProjection.java
@@ -1,4 +1,4 @@
-package rockshift;
+package rockshift.planner;
 
 import java.util.Arrays;
 
@@ -6,8 +6,8 @@
  * The nearest point whose sum stays within a limit: one and the same amount less of each, and
  * nothing below zero.
  */
-final class Simplex {
-    private Simplex() {}
+final class SimplexProjection {
+    private SimplexProjection() {}
 
     /** That amount; 0 where the sum fits already. Sorts the values that it is given. */
     static double cut(double[] values, double limit) {
--- a/src/main/java/rockshift/raft/ClockWatch.java
+++ b/src/main/java/rockshift/raft/ClockDriftMonitor.java
@@ -5,7 +5,7 @@
  * Each answer tells that its clock stood there at some time between our sending and our hearing;
  * two such, far apart, bound its rate.
  */
-final class ClockWatch {
+final class ClockDriftMonitor {
     /**
      * Tenths of a ms between two compared answers: long, so that the way there and back counts for
      * little.
--- a/src/main/java/rockshift/raft/Progress.java
+++ b/src/main/java/rockshift/raft/Progress.java
@@ -36,7 +36,7 @@
     int checksum;
     int offset;
     long pieceAt;
-    final ClockWatch clock = new ClockWatch();
+    final ClockDriftMonitor clock = new ClockDriftMonitor();
 
     Progress(long id, long next, long now) {
         this.id = id;
--- a/src/main/java/rockshift/raft/Refusal.java
+++ b/src/main/java/rockshift/raft/ProposalRejection.java
@@ -1,7 +1,7 @@
 package rockshift.raft;
 
 /** Why something was not taken. */
-public enum Refusal {
+public enum ProposalRejection {
     NOT_LEADER("not-leader"),
     BUSY("busy"),
     TOO_LARGE("too-large"),
@@ -15,7 +15,7 @@
 
     private final String code;
 
-    Refusal(String code) {
+    ProposalRejection(String code) {
         this.code = code;
     }
 
--- a/src/main/java/rockshift/raft/Raft.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -15,12 +15,13 @@
 
 /**
  * One member's part in the protocol. The host calls an input method for each thing that happens,
- * then {@link #decide} until that answers false; what is decided comes out through {@link Effects}.
- * Inputs only update what is known. Times are tenths of a millisecond on the host's even clock; the
- * host hands in the time before anything else, so that a member that stood still notices first. The
- * conditions on which safety rests stand in {@link Rules}; docs/raft.md tells the rest.
+ * then {@link #decide} until that answers false; what is decided comes out through {@link
+ * RaftOutput}. Inputs only update what is known. Times are tenths of a millisecond on the host's
+ * even clock; the host hands in the time before anything else, so that a member that stood still
+ * notices first. The conditions on which safety rests stand in {@link SafetyRules}; docs/raft.md
+ * tells the rest.
  */
-public final class Raft {
+public final class RaftNode {
     // ---- constants: unit, and the reason for the size -------------------------------------------
     /**
      * Messages in flight to one follower: a few round trips of a slow link, and a bound on what a
@@ -85,12 +86,12 @@
     // ---- state ----------------------------------------------------------------------------------
     private final long id;
     private final Timing timing;
-    private final Rules rules;
+    private final SafetyRules rules;
     private final RandomGenerator chance;
     private final Log log;
     private final ArrayDeque<String> notes = new ArrayDeque<>();
     private long now;
-    private Ballot ballot;
+    private TermAndVote ballot;
     private Snapshot snapshot;
 
     /** Memberships by the index from which they hold; the last is in force. */
@@ -108,8 +109,8 @@
     private long saving;
     private long savingUpTo;
     private boolean dirty;
-    private Ballot savedBallot;
-    private Ballot savingBallot;
+    private TermAndVote savedBallot;
+    private TermAndVote savingBallot;
     private long unsavedFrom = Long.MAX_VALUE;
     private Snapshot unsavedSnapshot;
     private Snapshot unrestored;
@@ -138,13 +139,13 @@
      * A member as its disk has it: its ballot, its newest snapshot and the entries above the
      * snapshot.
      */
-    public Raft(
+    public RaftNode(
             long id,
             Timing timing,
-            Rules rules,
+            SafetyRules rules,
             RandomGenerator chance,
             long now,
-            Ballot ballot,
+            TermAndVote ballot,
             Snapshot snapshot,
             List<Entry> entries) {
         this.id = id;
@@ -250,7 +251,7 @@
 
     /** A blank member learns with whom it founds the cluster; its host has saved that. */
     public void found(Membership members) {
-        if (log.last() == 0 && ballot.equals(Ballot.NONE)) {
+        if (log.last() == 0 && ballot.equals(TermAndVote.NONE)) {
             snapshot = new Snapshot(0, 0, members, new byte[0]);
             configs.put(0L, members);
         }
@@ -323,19 +324,20 @@
     }
 
     /** Asks for a change to be agreed; answers its index, or leaves why not in the second place. */
-    public long propose(Entry.Kind kind, long session, long serial, byte[] body, Refusal[] why) {
-        Refusal refusal =
+    public long propose(
+            Entry.Kind kind, long session, long serial, byte[] body, ProposalRejection[] why) {
+        ProposalRejection refusal =
                 role != Role.LEADER
-                        ? Refusal.NOT_LEADER
+                        ? ProposalRejection.NOT_LEADER
                         : handTo != 0
-                                ? Refusal.HANDING_OVER
+                                ? ProposalRejection.HANDING_OVER
                                 : !diskWorks
-                                        ? Refusal.DISK
+                                        ? ProposalRejection.DISK
                                         : body.length > LARGEST_CHANGE
-                                                ? Refusal.TOO_LARGE
+                                                ? ProposalRejection.TOO_LARGE
                                                 : log.last() - commit >= MOST_OPEN
                                                                 || openBytes() > MOST_OPEN_BYTES
-                                                        ? Refusal.BUSY
+                                                        ? ProposalRejection.BUSY
                                                         : null;
         if (refusal != null) {
             why[0] = refusal;
@@ -350,39 +352,39 @@
     }
 
     /** Adds a member, changes what it does, or removes it. */
-    public Refusal change(Member member, boolean remove) {
+    public ProposalRejection change(Member member, boolean remove) {
         Membership before = members();
         Membership after = remove ? before.without(member.id()) : before.with(member);
         Progress progress = followers.get(member.id());
         Member known = before.get(member.id());
         if (role != Role.LEADER) {
-            return Refusal.NOT_LEADER;
+            return ProposalRejection.NOT_LEADER;
         } else if (handTo != 0) {
-            return Refusal.HANDING_OVER;
+            return ProposalRejection.HANDING_OVER;
         } else if (!rules.settled(configs.lastKey(), commit, log.term(commit), ballot.term())) {
-            return Refusal.UNSETTLED;
+            return ProposalRejection.UNSETTLED;
         } else if (remove && known == null) {
-            return Refusal.UNKNOWN_MEMBER;
+            return ProposalRejection.UNKNOWN_MEMBER;
         } else if (after.voters() == 0) {
-            return Refusal.LAST_VOTER;
+            return ProposalRejection.LAST_VOTER;
         } else if (after.all().size() > Membership.MOST) {
-            return Refusal.TOO_MANY;
+            return ProposalRejection.TOO_MANY;
         } else if (!remove
                 && member.role() == Member.Role.VOTER
                 && !before.votes(member.id())
                 && (progress == null || progress.match + CLOSE < commit)) {
-            return Refusal.NOT_CAUGHT_UP;
+            return ProposalRejection.NOT_CAUGHT_UP;
         }
         add(Entry.members(log.last() + 1, ballot.term(), after));
         return null;
     }
 
     /** Hands over to another voter: it is brought up to date and then told to campaign. */
-    public Refusal transfer(long to) {
+    public ProposalRejection transfer(long to) {
         if (role != Role.LEADER) {
-            return Refusal.NOT_LEADER;
+            return ProposalRejection.NOT_LEADER;
         } else if (!members().votes(to)) {
-            return Refusal.UNKNOWN_MEMBER;
+            return ProposalRejection.UNKNOWN_MEMBER;
         } else if (to != id) {
             handTo = to;
             handUntil = now + timing.election();
@@ -503,14 +505,14 @@
                         && (role == Role.FOLLOWER || role == Role.TRIAL)
                         && rules.free(ballot, ask.from());
         if (yes) {
-            vote(new Ballot(ballot.term(), ask.from()));
+            vote(new TermAndVote(ballot.term(), ask.from()));
             role = Role.FOLLOWER;
             rest();
         }
         post(new Message.Vote(id, ask.from(), ballot.term(), false, yes), needs());
     }
 
-    private void vote(Ballot other) {
+    private void vote(TermAndVote other) {
         dirty |= !ballot.equals(other);
         ballot = other;
     }
@@ -526,7 +528,7 @@
                         + timing.election() / (trial ? 5 : 2)
                         + chance.nextLong(timing.election() / (trial ? 5 : 2));
         if (!trial) {
-            vote(new Ballot(ballot.term() + 1, id));
+            vote(new TermAndVote(ballot.term() + 1, id));
         }
         long term = trial ? ballot.term() + 1 : ballot.term();
         for (Member member : members().all()) {
@@ -594,7 +596,7 @@
 
     private void follow(long term, long from) {
         if (term > ballot.term()) {
-            vote(new Ballot(term, 0));
+            vote(new TermAndVote(term, 0));
         }
         role = Role.FOLLOWER;
         leader = from;
@@ -1076,7 +1078,7 @@
     }
 
     /** Takes one decision, if there is one to take now. */
-    public boolean decide(Effects effects) {
+    public boolean decide(RaftOutput effects) {
         if (savedTicket >= tickets) {
             savedBallot = savingBallot;
         }
@@ -1122,7 +1124,7 @@
         return any;
     }
 
-    private boolean release(Effects effects) {
+    private boolean release(RaftOutput effects) {
         int count = held.size();
         boolean any = false;
         for (int i = 0; i < count; i++) {
@@ -1141,7 +1143,7 @@
         return any;
     }
 
-    private void save(Effects effects) {
+    private void save(RaftOutput effects) {
         saving = ++tickets;
         savingUpTo = log.last();
         savingBallot = ballot;
--- a/src/main/java/rockshift/raft/Effects.java
+++ b/src/main/java/rockshift/raft/RaftOutput.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** What a host carries out for one {@link Raft}, in the order of the calls. */
-public interface Effects {
+/** What a host carries out for one {@link RaftNode}, in the order of the calls. */
+public interface RaftOutput {
     /**
-     * Makes durable what changed, and tells {@link Raft#saved} the ticket once it is. One is under
-     * way at a time.
+     * Makes durable what changed, and tells {@link RaftNode#saved} the ticket once it is. One is
+     * under way at a time.
      *
      * @param from the first index that the entries stand at: whatever stood from there on is void;
      *     0 if none changed
      * @param snapshot replaces all entries, before the others are written; null if there is none
      */
-    void save(long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot);
+    void save(long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot);
 
     void send(Message message);
 
--- a/src/main/java/rockshift/raft/Rules.java
+++ b/src/main/java/rockshift/raft/SafetyRules.java
@@ -6,9 +6,9 @@
  * The conditions on which safety rests, each by itself, so that each can be read, and broken on
  * purpose to see that the checks find it. They hold no state.
  */
-public class Rules {
+public class SafetyRules {
     /** A member gives one vote a term. */
-    protected boolean free(Ballot ballot, long candidate) {
+    protected boolean free(TermAndVote ballot, long candidate) {
         return ballot.vote() == 0 || ballot.vote() == candidate;
     }
 
--- a/src/main/java/rockshift/raft/Sessions.java
+++ b/src/main/java/rockshift/raft/Sessions.java
@@ -52,13 +52,13 @@
 
     private static final byte[] NOTHING = {};
 
-    private final Rules rules;
+    private final SafetyRules rules;
     private final Machine machine;
 
     /** By use, oldest first. */
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
 
-    public Sessions(Rules rules, Machine machine) {
+    public Sessions(SafetyRules rules, Machine machine) {
         this.rules = rules;
         this.machine = machine;
     }
--- a/src/main/java/rockshift/net/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/server/AgreedChangesReceiver.java
@@ -1,9 +1,9 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.util.HashMap;
 import java.util.Map;
-import rockshift.Listed;
-import rockshift.Reach;
+import rockshift.model.ControlScope;
+import rockshift.model.Endpoint;
 
 /**
  * How what governors agree among themselves comes into one of them: by the same queue as all else
@@ -12,7 +12,7 @@
  */
 public final class AgreedChangesReceiver {
     private final EventLoop loop;
-    private final Map<String, Listed> listed = new HashMap<>();
+    private final Map<String, Endpoint> listed = new HashMap<>();
 
     AgreedChangesReceiver(EventLoop loop) {
         this.loop = loop;
@@ -23,9 +23,9 @@
         if (listing.whole()) {
             listed.clear();
         }
-        for (Listed entry : listing.entries()) {
+        for (Endpoint entry : listing.entries()) {
             String name = listing.names().get(entry.replica());
-            if (entry.health() == Listed.Health.GONE) {
+            if (entry.health() == Endpoint.Health.GONE) {
                 listed.remove(name);
             } else {
                 listed.put(name, entry);
@@ -34,7 +34,7 @@
     }
 
     /** A copy of the list by the replicas' names, without those that are gone. */
-    public synchronized Map<String, Listed> listed() {
+    public synchronized Map<String, Endpoint> listed() {
         return new HashMap<>(listed);
     }
 
@@ -54,7 +54,7 @@
         loop.agreed(version, numbered, terms, inForce);
     }
 
-    public void reach(Reach reach) {
+    public void reach(ControlScope reach) {
         loop.reach(reach);
     }
 }
--- a/src/main/java/rockshift/net/Configuration.java
+++ b/src/main/java/rockshift/server/ControllerConfiguration.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonLocation;
@@ -15,15 +15,15 @@
 import java.util.StringJoiner;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import rockshift.ClassNames;
-import rockshift.Terms;
+import rockshift.settings.ClassNames;
+import rockshift.settings.SettingNames;
 
 /**
  * What a governor is told in its file: where it is, where discovery is, what it may use, the list
  * that it last had, and its terms. It is what one reading found and never changes, and what is
  * missing is named.
  */
-record Configuration(
+record ControllerConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -46,7 +46,7 @@
         }
     }
 
-    static Configuration read(String file) throws InvalidFileException {
+    static ControllerConfiguration read(String file) throws InvalidFileException {
         if (file == null || file.isEmpty()) {
             throw new InvalidFileException("RELAY_CONFIG names no file");
         }
@@ -56,7 +56,7 @@
         Long seed = null;
         int descriptors = USUAL_DESCRIPTORS;
         DiscoveryClient.Listing known = null;
-        Terms terms = new Terms();
+        SettingNames terms = new SettingNames();
         Map<String, JsonLocation> places = new HashMap<>();
         String field = "";
         try (JsonParser json = new JsonFactory().createParser(new File(file))) {
@@ -90,7 +90,8 @@
         require(file, "seed", seed);
         require(file, "known", known);
         checkSettings(file, terms.map(), places);
-        return new Configuration(name, listen, discovery, seed, descriptors, known, terms.map());
+        return new ControllerConfiguration(
+                name, listen, discovery, seed, descriptors, known, terms.map());
     }
 
     /** Names the first of the terms that is missing or can't be used. */
@@ -167,7 +168,7 @@
     /**
      * The fields in which another file differs though they stand for as long as the process serves.
      */
-    String fixed(Configuration other) {
+    String fixed(ControllerConfiguration other) {
         return Stream.of(
                         name.equals(other.name) ? "" : "name",
                         listen.equals(other.listen) ? "" : "listen",
@@ -212,7 +213,7 @@
      * Where a plain value stands is noted under its path.
      */
     private static void flatten(
-            String path, JsonParser json, Terms terms, Map<String, JsonLocation> places)
+            String path, JsonParser json, SettingNames terms, Map<String, JsonLocation> places)
             throws IOException {
         if (json.currentToken() == JsonToken.START_OBJECT) {
             while (json.nextToken() != JsonToken.END_OBJECT) {
--- a/src/main/java/rockshift/net/Serve.java
+++ b/src/main/java/rockshift/server/ControllerServer.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -14,8 +14,8 @@
  * are asked for, and what a reload changes. It must never take part in what the parts do, and no
  * file may end what serves.
  */
-public final class Serve implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
+public final class ControllerServer implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
     /** Exit statuses: a file that can't be used, and all else that keeps it from serving. */
     private static final int INVALID_USAGE = 2;
@@ -28,11 +28,11 @@
      */
     private static final long LOOK = 1_000;
 
-    private final Configuration configuration;
+    private final ControllerConfiguration configuration;
     private final EventLoop loop;
     private final Thread thread;
     private final DiscoveryClient discovery;
-    private final Streams streams;
+    private final ProxyConnections streams;
     private final AgreedChangesSource source;
     private final AgreedChangesReceiver receiver;
     private final Object reloading = new Object();
@@ -41,11 +41,11 @@
     /** Whether it ends or has ended: nothing is begun any more. */
     private boolean closed;
 
-    Serve(Configuration configuration) {
+    ControllerServer(ControllerConfiguration configuration) {
         this(configuration, null);
     }
 
-    Serve(Configuration configuration, AgreedChangesSource source) {
+    ControllerServer(ControllerConfiguration configuration, AgreedChangesSource source) {
         this.configuration = configuration;
         this.source = source;
         loop = new EventLoop(configuration.seed(), configuration.terms());
@@ -53,7 +53,7 @@
         DiscoveryClient.take(configuration.known(), loop);
         thread = new Thread(loop, "event-loop");
         discovery = new DiscoveryClient(configuration.discovery(), loop);
-        streams = new Streams(loop, configuration.terms(), configuration.descriptors());
+        streams = new ProxyConnections(loop, configuration.terms(), configuration.descriptors());
     }
 
     void start() throws IOException, InterruptedException {
@@ -104,7 +104,7 @@
         // holds up nobody else.
         synchronized (reloading) {
             try {
-                Configuration anew = Configuration.read(file);
+                ControllerConfiguration anew = ControllerConfiguration.read(file);
                 synchronized (this) {
                     if (closed) {
                         return;
@@ -118,7 +118,7 @@
                             fixed.isEmpty() ? "" : "; takes a restart: " + fixed);
                     discovery.follow(anew.discovery());
                 }
-            } catch (Configuration.InvalidFileException wrong) {
+            } catch (ControllerConfiguration.InvalidFileException wrong) {
                 LOG.warn("{}; the file before stays in force", wrong.getMessage());
             }
         }
@@ -148,7 +148,7 @@
         return new ProcessSignals.Listener() {
             @Override
             public void reload() {
-                Serve.this.reload(file);
+                ControllerServer.this.reload(file);
             }
 
             @Override
@@ -168,11 +168,11 @@
             throws InterruptedException {
         String file = environment.get("RELAY_CONFIG");
         String seen = stamp(file);
-        Serve serve;
+        ControllerServer serve;
         try {
-            serve = new Serve(Configuration.read(file), source);
+            serve = new ControllerServer(ControllerConfiguration.read(file), source);
             serve.start();
-        } catch (Configuration.InvalidFileException wrong) {
+        } catch (ControllerConfiguration.InvalidFileException wrong) {
             System.err.println(wrong.getMessage());
             return INVALID_USAGE;
         } catch (NumberFormatException wrong) {
--- a/src/main/java/rockshift/net/DiscoveryClient.java
+++ b/src/main/java/rockshift/server/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParseException;
@@ -40,8 +40,8 @@
 import org.apache.hc.core5.util.Timeout;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rockshift.Listed;
-import rockshift.Terms;
+import rockshift.model.Endpoint;
+import rockshift.settings.SettingNames;
 
 /**
  * The client of discovery: it keeps the list of replicas by watching where the file in force says
@@ -87,7 +87,7 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     /** A list as it came, whole or what changed, with the names that its replicas have outside. */
-    record Listing(long version, boolean whole, List<Listed> entries, Map<Long, String> names) {}
+    record Listing(long version, boolean whole, List<Endpoint> entries, Map<Long, String> names) {}
 
     private final Thread thread = new Thread(this, "discovery-client");
     private final EventLoop loop;
@@ -334,7 +334,7 @@
     static Listing read(JsonParser json) throws IOException {
         Long version = null;
         Boolean whole = null;
-        List<Listed> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         Map<Long, String> names = new HashMap<>();
         boolean listed = false;
         expect(json, JsonToken.START_OBJECT);
@@ -360,11 +360,11 @@
         return new Listing(version, whole, entries, names);
     }
 
-    private static Listed entry(JsonParser json, Map<Long, String> names) throws IOException {
+    private static Endpoint entry(JsonParser json, Map<Long, String> names) throws IOException {
         String id = null;
         String zone = null;
         String kind = "";
-        Listed.Health health = null;
+        Endpoint.Health health = null;
         long started = 0;
         expect(json, JsonToken.START_OBJECT);
         while (json.nextToken() != JsonToken.END_OBJECT) {
@@ -374,7 +374,7 @@
                 case "instanceId" -> id = text(json);
                 case "zone" -> zone = text(json);
                 case "machineType" -> kind = text(json);
-                case "lifecycle" -> health = Terms.health(text(json));
+                case "lifecycle" -> health = SettingNames.health(text(json));
                 case "startedAtMs" ->
                         started = Math.round(json.getDoubleValue() * EventLoop.TENTHS_PER_MILLI);
                 default -> json.skipChildren();
@@ -386,7 +386,7 @@
         }
         long number = number(id);
         name(names, number, id);
-        return new Listed(number, zone, kind, health, started);
+        return new Endpoint(number, zone, kind, health, started);
     }
 
     private static String text(JsonParser json) throws IOException {
--- a/src/main/java/rockshift/net/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,10 +10,10 @@
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rockshift.ClassNames;
-import rockshift.Listed;
-import rockshift.Logic;
-import rockshift.Reach;
+import rockshift.model.ControlScope;
+import rockshift.model.Endpoint;
+import rockshift.planner.Planner;
+import rockshift.settings.ClassNames;
 
 /**
  * The one thread that owns the module, and the one queue through which all else reaches it. A turn
@@ -43,8 +43,8 @@
     private final LinkedBlockingQueue<LongConsumer> queue = new LinkedBlockingQueue<>();
     private final long startedAt = System.currentTimeMillis() * TENTHS_PER_MILLI;
     private final long startedNanos = System.nanoTime();
-    private final Logic logic;
-    private final Tables tables;
+    private final Planner logic;
+    private final PublishedTables tables;
 
     /** Tenths of a ms between two turns: what is told at start. */
     private final long spacing;
@@ -57,8 +57,8 @@
     private volatile boolean closed;
 
     EventLoop(long seed, Map<String, String> terms) {
-        logic = new Logic(now(), seed, terms);
-        tables = new Tables(ClassNames.of(terms), delay -> wakeAt = now() + delay);
+        logic = new Planner(now(), seed, terms);
+        tables = new PublishedTables(ClassNames.of(terms), delay -> wakeAt = now() + delay);
         spacing = Long.parseLong(terms.getOrDefault("turn.spacing", "0"));
     }
 
@@ -83,7 +83,11 @@
     }
 
     boolean joined(
-            AtomicInteger queued, int proxy, String zone, double usualRate, Tables.Stream stream) {
+            AtomicInteger queued,
+            int proxy,
+            String zone,
+            double usualRate,
+            PublishedTables.Stream stream) {
         return offer(
                 queued,
                 now -> {
@@ -93,7 +97,7 @@
     }
 
     /** An end is never refused; a stream that was replaced takes nobody with it. */
-    void left(int proxy, Tables.Stream stream) {
+    void left(int proxy, PublishedTables.Stream stream) {
         queue.add(
                 now -> {
                     if (tables.current(proxy, stream)) {
@@ -103,7 +107,7 @@
                 });
     }
 
-    boolean applied(AtomicInteger queued, int proxy, int serial, Tables.Stream stream) {
+    boolean applied(AtomicInteger queued, int proxy, int serial, PublishedTables.Stream stream) {
         return offer(
                 queued,
                 now -> {
@@ -140,12 +144,12 @@
                 });
     }
 
-    void reach(Reach reach) {
+    void reach(ControlScope reach) {
         queue.add(now -> logic.reach(now, reach));
     }
 
     /** A list is never refused: it comes one at a time. */
-    void listed(List<Listed> entries, boolean changes, Map<Long, String> names) {
+    void listed(List<Endpoint> entries, boolean changes, Map<Long, String> names) {
         listing.accept(new DiscoveryClient.Listing(0, !changes, entries, names));
         queue.add(
                 now -> {
--- a/src/main/java/rockshift/net/ProcessSignals.java
+++ b/src/main/java/rockshift/server/ProcessSignals.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
--- a/src/main/java/rockshift/net/Streams.java
+++ b/src/main/java/rockshift/server/ProxyConnections.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -30,7 +30,7 @@
 import org.apache.hc.core5.util.Timeout;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rockshift.ClassNames;
+import rockshift.settings.ClassNames;
 
 /**
  * The listener and the connections of proxies, collectors and strangers: bytes in, bytes out, and
@@ -39,8 +39,8 @@
  * never wait for the module, for writing or for another party, and what one party does may cost
  * that party its connection and no more.
  */
-final class Streams {
-    private static final Logger LOG = LoggerFactory.getLogger(Streams.class);
+final class ProxyConnections {
+    private static final Logger LOG = LoggerFactory.getLogger(ProxyConnections.class);
 
     /** Bytes read from one connection before the others have their turn. */
     private static final int PIECE = 1 << 16;
@@ -138,7 +138,7 @@
     private int counted;
     private final Map<String, Integer> unlogged = new TreeMap<>();
 
-    Streams(EventLoop loop, Map<String, String> terms, int descriptors) {
+    ProxyConnections(EventLoop loop, Map<String, String> terms, int descriptors) {
         this.loop = loop;
         zones = Set.of(terms.get("zones").split(","));
         classes = ClassNames.of(terms);
@@ -237,7 +237,7 @@
     }
 
     /** One connection and who is at its other end. */
-    private final class Connection implements IOEventHandler, Tables.Stream {
+    private final class Connection implements IOEventHandler, PublishedTables.Stream {
         private final IOSession session;
         private final SocketAddress from;
         private final long since = System.nanoTime();
--- a/src/main/java/rockshift/net/Tables.java
+++ b/src/main/java/rockshift/server/PublishedTables.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,10 +16,10 @@
 import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rockshift.ClassNames;
-import rockshift.ClassSet;
-import rockshift.Listed;
-import rockshift.Orders;
+import rockshift.model.ClassSet;
+import rockshift.model.Endpoint;
+import rockshift.planner.ProxyCommands;
+import rockshift.settings.ClassNames;
 
 /**
  * What each table, level, binding and withdrawal stands at, and so what each joined proxy is sent:
@@ -27,8 +27,8 @@
  * EventLoop} alone. It must never decide what stands in a table, hold a message back, or add a line
  * that the module is not told of.
  */
-final class Tables implements Orders {
-    private static final Logger LOG = LoggerFactory.getLogger(Tables.class);
+final class PublishedTables implements ProxyCommands {
+    private static final Logger LOG = LoggerFactory.getLogger(PublishedTables.class);
     private static final Pattern NUMBERED = Pattern.compile("replica (\\d+)");
 
     /**
@@ -139,7 +139,7 @@
 
     private int serial;
 
-    Tables(ClassNames classNames, LongConsumer waker) {
+    PublishedTables(ClassNames classNames, LongConsumer waker) {
         this.classNames = classNames;
         this.waker = waker;
     }
@@ -150,10 +150,10 @@
      * was first seen, is held against by no proxy: a third of what a join comes to would tell of
      * such ones.
      */
-    void listed(List<Listed> entries, boolean changes, Map<Long, String> called) {
-        for (Listed entry : entries) {
+    void listed(List<Endpoint> entries, boolean changes, Map<Long, String> called) {
+        for (Endpoint entry : entries) {
             boolean before = !changes || names.containsKey(entry.replica());
-            if (entry.health() != Listed.Health.READY || entry.started() > 0 && before) {
+            if (entry.health() != Endpoint.Health.READY || entry.started() > 0 && before) {
                 suspect.add(entry.replica());
             }
         }
--- a/src/main/java/rockshift/net/RespCodec.java
+++ b/src/main/java/rockshift/server/RespCodec.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/rockshift/net/UpdateMessage.java
+++ b/src/main/java/rockshift/server/UpdateMessage.java
@@ -1,9 +1,9 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
-import rockshift.Orders;
+import rockshift.planner.ProxyCommands;
 
 /**
  * What one proxy is sent in one turn: parts, and at the end what concerns all its tables. Where the
@@ -17,7 +17,7 @@
 
     /** How many messages so many parts take. */
     static int messages(int parts) {
-        return (parts + Orders.MOST_PARTS - 1) / Orders.MOST_PARTS;
+        return (parts + ProxyCommands.MOST_PARTS - 1) / ProxyCommands.MOST_PARTS;
     }
 
     boolean isEmpty() {
@@ -46,7 +46,7 @@
     byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int i = 1; i < parts.size(); i++) {
-            parts.get(i - 1).write(i % Orders.MOST_PARTS == 0 ? List.of() : MORE, bytes);
+            parts.get(i - 1).write(i % ProxyCommands.MOST_PARTS == 0 ? List.of() : MORE, bytes);
         }
         parts.get(parts.size() - 1).write(end, bytes);
         return bytes.toByteArray();
--- a/src/main/java/rockshift/net/UpdatePart.java
+++ b/src/main/java/rockshift/server/UpdatePart.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import java.io.ByteArrayOutputStream;
 import java.math.BigDecimal;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.StringJoiner;
-import rockshift.ClassNames;
-import rockshift.ClassSet;
+import rockshift.model.ClassSet;
+import rockshift.settings.ClassNames;
 
 /**
  * One part of an update, in the words of the protocol. It is encoded once but for the number of its
--- a/src/main/java/rockshift/ClassNames.java
+++ b/src/main/java/rockshift/settings/ClassNames.java
@@ -1,10 +1,11 @@
-package rockshift;
+package rockshift.settings;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
+import rockshift.model.ClassSet;
 
 /** The names of the request classes, by number: each has one, and no two the same. */
 public final class ClassNames {
--- a/src/main/java/rockshift/Terms.java
+++ b/src/main/java/rockshift/settings/SettingNames.java
@@ -1,15 +1,16 @@
-package rockshift;
+package rockshift.settings;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
+import rockshift.model.Endpoint;
 
 /**
  * What an instance is told at its start, under our names and in our units. Both hosts read it
  * through here; the names on the outside are known to this class alone. It chooses nothing and
  * fills nothing in: what is not told stays absent, and what is not known is passed over.
  */
-public final class Terms {
+public final class SettingNames {
     private static final int MICROS_PER_TENTH = 100;
 
     /** Names outside to ours. Names that end in _us hold microseconds and become tenths of a ms. */
@@ -118,14 +119,14 @@
                     "share",
                     "per_second",
                     "rate");
-    private static final Map<String, Listed.Health> HEALTHS =
+    private static final Map<String, Endpoint.Health> HEALTHS =
             Map.of(
                     "Ready",
-                    Listed.Health.READY,
+                    Endpoint.Health.READY,
                     "Terminating",
-                    Listed.Health.DRAINING,
+                    Endpoint.Health.DRAINING,
                     "Gone",
-                    Listed.Health.GONE);
+                    Endpoint.Health.GONE);
 
     private final Map<String, String> ours = new TreeMap<>();
 
@@ -179,7 +180,7 @@
     }
 
     /** A replica's health in the list's words, or null where it is none of them. */
-    public static Listed.Health health(String word) {
+    public static Endpoint.Health health(String word) {
         return HEALTHS.get(word);
     }
 }
--- a/src/main/java/rockshift/drill/Codec.java
+++ b/src/main/java/rockshift/simulation/SimulatorCodec.java
@@ -1,17 +1,17 @@
-package rockshift.drill;
+package rockshift.simulation;
 
 import java.math.BigInteger;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rockshift.ClassNames;
-import rockshift.ClassSet;
-import rockshift.Listed;
-import rockshift.Terms;
+import rockshift.model.ClassSet;
+import rockshift.model.Endpoint;
+import rockshift.settings.ClassNames;
+import rockshift.settings.SettingNames;
 
 /** The simulator's lines: their parts, its units and its names turned into ours. */
-final class Codec {
+final class SimulatorCodec {
     /** A line that is not what the wire promises; the message names it and what was expected. */
     static final class Malformed extends RuntimeException {
         private static final long serialVersionUID = 1L;
@@ -30,7 +30,7 @@
     private final String[] parts;
     private int next = 1;
 
-    Codec(String line) {
+    SimulatorCodec(String line) {
         this.line = line;
         this.parts = line.split(" ");
     }
@@ -101,23 +101,23 @@
         return load;
     }
 
-    Listed row() {
+    Endpoint row() {
         long replica = whole("a replica");
         String zone = text("a zone");
         String kind = text("a kind");
         text("a cell");
-        Listed.Health health = Terms.health(text("a health"));
+        Endpoint.Health health = SettingNames.health(text("a health"));
         if (health == null) {
             throw new Malformed(line, "Ready, Terminating or Gone");
         }
         number("a size");
         long started = next < parts.length ? tenths("the last start") : 0;
-        return new Listed(replica, zone, kind, health, started);
+        return new Endpoint(replica, zone, kind, health, started);
     }
 
     /** What an instance is told at its start fills the rest of the line. */
     Map<String, String> terms() {
-        Terms terms = new Terms();
+        SettingNames terms = new SettingNames();
         while (next < parts.length) {
             String pair = parts[next++];
             int cut = pair.indexOf('=');
@@ -166,10 +166,10 @@
         return tenths * MICROS_PER_TENTH;
     }
 
-    static List<Listed> rows(int count, LineSource lines) throws java.io.IOException {
-        List<Listed> rows = new ArrayList<>(count);
+    static List<Endpoint> rows(int count, LineSource lines) throws java.io.IOException {
+        List<Endpoint> rows = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            Codec row = new Codec(lines.next("a ROW"));
+            SimulatorCodec row = new SimulatorCodec(lines.next("a ROW"));
             if (!row.name().equals("ROW")) {
                 throw new Malformed(row.line, "a ROW");
             }
--- a/src/main/java/rockshift/cluster/DurableLog.java
+++ b/src/main/java/rockshift/storage/DurableLog.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.storage;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -8,12 +8,13 @@
 import java.util.Locale;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import rockshift.raft.Ballot;
 import rockshift.raft.Checksum;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Membership;
 import rockshift.raft.Snapshot;
+import rockshift.raft.TermAndVote;
+import rockshift.wire.RaftCodec;
 
 /**
  * What a member must not forget, on its disk: who it is, its ballot, its entries in segments, and
@@ -46,13 +47,13 @@
 
     /** What a folder holds. */
     public record Recovered(
-            long id, long cluster, Ballot ballot, Snapshot snapshot, List<Entry> entries) {}
+            long id, long cluster, TermAndVote ballot, Snapshot snapshot, List<Entry> entries) {}
 
     private final Disk disk;
     private final Consumer<String> log;
     private long id;
     private long cluster;
-    private Ballot ballot = Ballot.NONE;
+    private TermAndVote ballot = TermAndVote.NONE;
 
     /** By number: the highest index that a segment holds; the last one is written to. */
     private final TreeMap<Long, Long> segments = new TreeMap<>();
@@ -100,7 +101,7 @@
         if (!valid(bytes, 0, IDENTITY) || bytes.length != end(bytes, 0)) {
             throw new UnrecoverableStorageException(IDENTITY_FILE, 0, "damaged");
         }
-        long[] told = Codec.numbers(3, bytes, FRAME, bytes.length - FRAME);
+        long[] told = RaftCodec.numbers(3, bytes, FRAME, bytes.length - FRAME);
         if (told[0] != FORMAT) {
             throw new UnrecoverableStorageException(
                     IDENTITY_FILE, 0, "format " + told[0] + ", this is " + FORMAT);
@@ -205,17 +206,17 @@
             int length = end(bytes, at) - from;
             switch (bytes[at + 8]) {
                 case BALLOT -> {
-                    long[] told = Codec.numbers(2, bytes, from, length);
-                    ballot = new Ballot(told[0], told[1]);
+                    long[] told = RaftCodec.numbers(2, bytes, from, length);
+                    ballot = new TermAndVote(told[0], told[1]);
                 }
                 case ENTRY -> {
-                    Entry entry = Codec.entry(bytes, from, length);
+                    Entry entry = RaftCodec.entry(bytes, from, length);
                     take(name, at, entries, entry);
                     segments.merge(number, entry.index(), Math::max);
                 }
                 case VOID -> {
                     entries.clear();
-                    voided = Codec.numbers(2, bytes, from, length)[0];
+                    voided = RaftCodec.numbers(2, bytes, from, length)[0];
                     segments.merge(number, voided, Math::max);
                 }
                 case BATCH -> {}
@@ -250,8 +251,8 @@
         for (int later = at + 1; later + FRAME < bytes.length; later++) {
             if (bytes[later + 8] == BATCH && valid(bytes, later, BATCH)) {
                 long durable =
-                        Codec.numbers(1, bytes, later + FRAME, end(bytes, later) - later - FRAME)[
-                                0];
+                        RaftCodec.numbers(
+                                1, bytes, later + FRAME, end(bytes, later) - later - FRAME)[0];
                 if (durable > at) {
                     throw new UnrecoverableStorageException(
                             name,
@@ -294,7 +295,7 @@
                 if (!valid(bytes, 0, SNAPSHOT) || end(bytes, 0) != bytes.length) {
                     throw new IOException("damaged");
                 }
-                Snapshot snapshot = Codec.snapshot(bytes, FRAME, bytes.length - FRAME);
+                Snapshot snapshot = RaftCodec.snapshot(bytes, FRAME, bytes.length - FRAME);
                 found = found == null ? snapshot : found;
                 snapshots.add(0, snapshot.index());
             } catch (IOException wrong) {
@@ -335,7 +336,7 @@
     }
 
     private void writeIdentity() throws IOException {
-        replace(IDENTITY_FILE, IDENTITY, Codec.numbers(FORMAT, id, cluster));
+        replace(IDENTITY_FILE, IDENTITY, RaftCodec.numbers(FORMAT, id, cluster));
     }
 
     /**
@@ -363,7 +364,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(head.array());
         // Segments before it may go one day, and must not take the ballot with them.
-        record(bytes, BALLOT, Codec.ballot(ballot));
+        record(bytes, BALLOT, RaftCodec.ballot(ballot));
         replace(segment(number), bytes.toByteArray());
         segments.put(number, 0L);
         size = bytes.size();
@@ -373,7 +374,7 @@
      * Makes one save durable, or fails and leaves what was durable as it was: the same save can be
      * tried again.
      */
-    public void save(Ballot newBallot, long from, List<Entry> entries, Snapshot snapshot)
+    public void save(TermAndVote newBallot, long from, List<Entry> entries, Snapshot snapshot)
             throws IOException {
         long number = segments.lastKey();
         String name = segment(number);
@@ -389,17 +390,17 @@
             keep(snapshot);
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        record(bytes, BATCH, Codec.numbers(size));
+        record(bytes, BATCH, RaftCodec.numbers(size));
         if (!newBallot.equals(ballot)) {
-            record(bytes, BALLOT, Codec.ballot(newBallot));
+            record(bytes, BALLOT, RaftCodec.ballot(newBallot));
         }
         long highest = 0;
         if (snapshot != null) {
-            record(bytes, VOID, Codec.numbers(snapshot.index(), snapshot.term()));
+            record(bytes, VOID, RaftCodec.numbers(snapshot.index(), snapshot.term()));
             highest = snapshot.index();
         }
         for (Entry entry : entries) {
-            record(bytes, ENTRY, Codec.entry(entry));
+            record(bytes, ENTRY, RaftCodec.entry(entry));
             highest = Math.max(highest, entry.index());
         }
         torn = true;
@@ -418,7 +419,7 @@
         if (!snapshots.isEmpty() && snapshot.index() < snapshots.get(snapshots.size() - 1)) {
             return;
         }
-        replace(snapshotFile(snapshot.index()), SNAPSHOT, Codec.snapshot(snapshot));
+        replace(snapshotFile(snapshot.index()), SNAPSHOT, RaftCodec.snapshot(snapshot));
         snapshots.remove(snapshot.index());
         snapshots.add(snapshot.index());
         while (snapshots.size() > 2) {
--- a/src/main/java/rockshift/cluster/FileDisk.java
+++ b/src/main/java/rockshift/storage/FileDisk.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.storage;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/rockshift/kit/ClusterBench.java
+++ b/src/main/java/rockshift/testkit/ClusterBench.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -20,13 +20,13 @@
 import rockshift.cluster.Client;
 import rockshift.cluster.ClusterMember;
 import rockshift.cluster.ClusterSettings;
-import rockshift.cluster.DurableLog;
 import rockshift.cluster.Engine;
-import rockshift.cluster.FileDisk;
-import rockshift.cluster.LocalGovernor;
-import rockshift.raft.Ballot;
+import rockshift.cluster.LocalController;
 import rockshift.raft.Entry;
+import rockshift.raft.TermAndVote;
 import rockshift.raft.Timing;
+import rockshift.storage.DurableLog;
+import rockshift.storage.FileDisk;
 
 /**
  * What agreement costs on this machine, each figure beside what bounds it in the same run: a change
@@ -53,7 +53,7 @@
     }
 
     /** No governor: nothing is done with what is agreed. */
-    private static final class NoGovernor implements LocalGovernor {
+    private static final class NoGovernor implements LocalController {
         @Override
         public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {}
 
@@ -185,7 +185,7 @@
             log.open(1);
             long began = System.nanoTime();
             for (int batch = 0; batch < 400; batch++) {
-                log.save(Ballot.NONE, 1 + batch * 64L, entries(1 + batch * 64L, 64), null);
+                log.save(TermAndVote.NONE, 1 + batch * 64L, entries(1 + batch * 64L, 64), null);
             }
             figures.put(
                     "plain log, entries a second", 400 * 64 / ((System.nanoTime() - began) / 1e9));
@@ -197,7 +197,11 @@
             DurableLog log = new DurableLog(disk, line -> {});
             log.open(1);
             for (int batch = 0; batch < 100; batch++) {
-                log.save(Ballot.NONE, 1 + batch * 1_000L, entries(1 + batch * 1_000L, 1_000), null);
+                log.save(
+                        TermAndVote.NONE,
+                        1 + batch * 1_000L,
+                        entries(1 + batch * 1_000L, 1_000),
+                        null);
             }
             long began = System.nanoTime();
             int found = new DurableLog(disk, line -> {}).open(1).entries().size();
@@ -295,8 +299,9 @@
         Map<Long, Double> held = new LinkedHashMap<>();
         AtomicLong done = new AtomicLong();
         Path own = Files.createDirectories(folder.resolve("memory"));
-        try (GovernorProcesses governors =
-                new GovernorProcesses(own, 3, ELECTION_MS + "ms", 1, (member, life, line) -> {})) {
+        try (ControllerProcesses governors =
+                new ControllerProcesses(
+                        own, 3, ELECTION_MS + "ms", 1, (member, life, line) -> {})) {
             List<String> addresses = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 governors.start(i);
@@ -324,7 +329,7 @@
             threads.forEach(Thread::start);
             for (long next = 0; next <= changes; next += changes / 10) {
                 long reached = next;
-                GovernorProcesses.await(() -> done.get() >= reached, 600_000);
+                ControllerProcesses.await(() -> done.get() >= reached, 600_000);
                 double most = 0;
                 for (int i = 0; i < 3; i++) {
                     most = Math.max(most, ProcessUsage.of(governors.pid(i)).residentMegabytes());
--- a/src/main/java/rockshift/kit/GovernorProcesses.java
+++ b/src/main/java/rockshift/testkit/ControllerProcesses.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -14,7 +14,7 @@
  * one before each for commands, and a stand-in for discovery. It owns the processes that it starts
  * and ends them all, also when it is ended itself.
  */
-public final class GovernorProcesses implements AutoCloseable {
+public final class ControllerProcesses implements AutoCloseable {
     private static final int REPLICAS = 6;
 
     /** Hears each line that a governor logs. */
@@ -35,7 +35,7 @@
     private final DiscoveryStandIn discovery = new DiscoveryStandIn(REPLICAS, List.of("hall-a"));
     private final Thread atEnd = new Thread(this::killAll);
 
-    public GovernorProcesses(
+    public ControllerProcesses(
             Path folder, int members, String election, long seed, LogListener listener)
             throws IOException {
         this.folder = folder;
--- a/src/main/java/rockshift/kit/FaultInjection.java
+++ b/src/main/java/rockshift/testkit/FaultInjection.java
@@ -1,18 +1,18 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import rockshift.raft.Ballot;
-import rockshift.raft.Rules;
+import rockshift.raft.SafetyRules;
 import rockshift.raft.Sessions;
+import rockshift.raft.TermAndVote;
 
 /**
  * The points at which a simulated world can be made to do wrong. As it stands nothing is wrong; a
  * test of the checks overrides one method, and the explorer must find it.
  */
 public class FaultInjection {
-    public Rules rules() {
-        return new Rules();
+    public SafetyRules rules() {
+        return new SafetyRules();
     }
 
     /** Whether disks say that they have synced without doing so. */
@@ -21,7 +21,7 @@
     }
 
     /** The ballot as it reaches the disk. */
-    public Ballot saved(Ballot ballot) {
+    public TermAndVote saved(TermAndVote ballot) {
         return ballot;
     }
 
--- a/src/main/java/rockshift/kit/FaultyLink.java
+++ b/src/main/java/rockshift/testkit/FaultyLink.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
--- a/src/main/java/rockshift/kit/FaultyNetwork.java
+++ b/src/main/java/rockshift/testkit/FaultyNetwork.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.util.Arrays;
 import java.util.Locale;
--- a/src/main/java/rockshift/kit/HistoryChecker.java
+++ b/src/main/java/rockshift/testkit/HistoryChecker.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import java.util.Set;
 import rockshift.raft.Entry;
 import rockshift.raft.Log;
-import rockshift.raft.Raft;
+import rockshift.raft.RaftNode;
 
 /**
  * What has happened in a world, held against what the protocol promises. It sees every member from
@@ -56,7 +56,7 @@
     }
 
     /** A member leads: one a term, and it holds all that was agreed before. */
-    void leads(Raft member) {
+    void leads(RaftNode member) {
         Long known = leaders.putIfAbsent(member.term(), member.id());
         check(
                 known == null || known == member.id(),
@@ -99,7 +99,7 @@
     }
 
     /** A member holds entries up to an index for agreed. */
-    void agreed(Raft member, long from, long to) {
+    void agreed(RaftNode member, long from, long to) {
         Log log = member.log();
         for (long index = Math.max(from, log.base()) + 1; index <= to; index++) {
             long term = log.term(index);
--- a/src/main/java/rockshift/kit/ProgramCommand.java
+++ b/src/main/java/rockshift/testkit/ProgramCommand.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/rockshift/kit/SimulatedClient.java
+++ b/src/main/java/rockshift/testkit/SimulatedClient.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.nio.ByteBuffer;
 import java.util.random.RandomGenerator;
--- a/src/main/java/rockshift/kit/SimulatedCluster.java
+++ b/src/main/java/rockshift/testkit/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 import rockshift.raft.Member;
-import rockshift.raft.Raft;
+import rockshift.raft.RaftNode;
 import rockshift.raft.Timing;
 
 /**
@@ -369,7 +369,7 @@
                 .findAny()
                 .ifPresent(
                         leader -> {
-                            Raft raft = leader.engine.raft();
+                            RaftNode raft = leader.engine.raft();
                             Member stale =
                                     raft.members().all().stream()
                                             .filter(
--- a/src/main/java/rockshift/kit/SimDisk.java
+++ b/src/main/java/rockshift/testkit/SimulatedDisk.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import rockshift.cluster.Disk;
+import rockshift.storage.Disk;
 
 /**
  * A folder in memory whose crashes lose what was not synced, in whole or from some byte on, perhaps
  * garbled.
  */
-final class SimDisk implements Disk {
+final class SimulatedDisk implements Disk {
     /** A crash in the middle of what the disk was asked to do. */
     static final class Crashed extends IOException {
         private static final long serialVersionUID = 1L;
@@ -33,7 +33,7 @@
     /** Operations until a crash, below 0 for none. */
     int crashIn = -1;
 
-    SimDisk(RandomGenerator chance) {
+    SimulatedDisk(RandomGenerator chance) {
         this.chance = chance;
     }
 
--- a/src/main/java/rockshift/kit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import rockshift.cluster.Codec;
-import rockshift.cluster.DurableLog;
 import rockshift.cluster.Engine;
-import rockshift.cluster.UnrecoverableStorageException;
-import rockshift.raft.Ballot;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Message;
-import rockshift.raft.Raft;
+import rockshift.raft.RaftNode;
 import rockshift.raft.Sessions;
 import rockshift.raft.Snapshot;
+import rockshift.raft.TermAndVote;
+import rockshift.storage.DurableLog;
+import rockshift.storage.UnrecoverableStorageException;
+import rockshift.wire.RaftCodec;
 
 /**
  * A member of a simulated cluster with the machine it runs on: its disk, its clock, what it hears
@@ -33,7 +33,7 @@
     private final HistoryChecker history;
     private final FaultInjection injection;
     final int place;
-    final SimDisk disk;
+    final SimulatedDisk disk;
     final double rate;
     final long offset;
     List<Long> changes = new ArrayList<>();
@@ -61,7 +61,7 @@
         chance = cluster.chance;
         history = cluster.history;
         injection = cluster.injection;
-        disk = new SimDisk(chance);
+        disk = new SimulatedDisk(chance);
         number = FaultInjection.number(chance);
         rate = 1 + injection.clocksApart() * (2 * chance.nextDouble() - 1);
         offset = chance.nextLong(1_000_000);
@@ -164,7 +164,7 @@
 
     void run() {
         engine.run();
-        Raft raft = engine.raft();
+        RaftNode raft = engine.raft();
         if (raft.leads()) {
             history.leads(raft);
             if (ledIn != raft.term()) {
@@ -253,7 +253,7 @@
     public void send(Message message) {
         Message sent = message;
         try {
-            sent = cluster.encoding ? Codec.message(Codec.message(message)) : message;
+            sent = cluster.encoding ? RaftCodec.message(RaftCodec.message(message)) : message;
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
@@ -315,16 +315,21 @@
 
     @Override
     public void save(
-            long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+            long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot) {
         if (!entries.isEmpty()) {
             history.written(entries, engine.raft().log().term(from - 1));
         }
-        Ballot kept = injection.saved(ballot);
+        TermAndVote kept = injection.saved(ballot);
         queue(() -> trySave(life, ticket, kept, from, entries, snapshot));
     }
 
     private void trySave(
-            int of, long ticket, Ballot ballot, long from, List<Entry> entries, Snapshot snapshot) {
+            int of,
+            long ticket,
+            TermAndVote ballot,
+            long from,
+            List<Entry> entries,
+            Snapshot snapshot) {
         if (of != life) {
             return;
         }
@@ -335,7 +340,7 @@
                         engine.disk(true);
                         engine.saved(ticket);
                     });
-        } catch (SimDisk.Crashed crashed) {
+        } catch (SimulatedDisk.Crashed crashed) {
             // It ends here.
         } catch (IOException full) {
             cluster.tell("n%d can't save: %s", place, full.getMessage());
@@ -351,7 +356,7 @@
                     try {
                         log.keep(snapshot);
                         enter(() -> engine.kept(snapshot));
-                    } catch (SimDisk.Crashed crashed) {
+                    } catch (SimulatedDisk.Crashed crashed) {
                         // It ends here.
                     } catch (IOException full) {
                         enter(() -> engine.kept(null));
--- a/src/main/java/rockshift/kit/package-info.java
+++ b/src/main/java/rockshift/testkit/package-info.java
@@ -3,4 +3,4 @@
  * code is tried. It owns what stands in for disks, networks, clients and processes. Nothing of it
  * is loaded by a governor that serves, and it must never talk to anything but loopback addresses.
  */
-package rockshift.kit;
+package rockshift.testkit;
--- a/src/main/java/rockshift/cluster/CborReader.java
+++ b/src/main/java/rockshift/wire/CborReader.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.wire;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
@@ -10,7 +10,7 @@
  * Reads CBOR items in a fixed order and takes exactly what {@link CborWriter} gave: a missing,
  * further or ill-typed item, or one out of its range, is an error.
  */
-final class CborReader {
+public final class CborReader {
     private static final CBORFactory CBOR = new CBORFactory();
     private static final byte[] NOTHING = {};
 
@@ -19,18 +19,18 @@
     /** The field that is being read, for what errors say; empty where fields have no names. */
     private String field = "";
 
-    CborReader(byte[] bytes, int from, int length) throws IOException {
+    public CborReader(byte[] bytes, int from, int length) throws IOException {
         in = CBOR.createParser(bytes, from, length);
     }
 
     /** Names the field that is read next: what is wrong with it is told by that name. */
-    CborReader at(String name) {
+    public CborReader at(String name) {
         field = name;
         return this;
     }
 
     /** An error at the field that is being read. */
-    IOException wrong(String what) {
+    public IOException wrong(String what) {
         return new IOException(field.isEmpty() ? what : "field " + field + ": " + what);
     }
 
@@ -49,14 +49,14 @@
         }
     }
 
-    void startArray() throws IOException {
+    public void startArray() throws IOException {
         expect(JsonToken.START_ARRAY);
     }
 
     /**
      * Reads the next token of an array whose items are read one by one; false at the array's end.
      */
-    boolean more() throws IOException {
+    public boolean more() throws IOException {
         JsonToken came = next();
         if (came == null) {
             throw wrong("an array that does not end");
@@ -64,19 +64,19 @@
         return came != JsonToken.END_ARRAY;
     }
 
-    void endArray() throws IOException {
+    public void endArray() throws IOException {
         expect(JsonToken.END_ARRAY);
     }
 
     /** The number that {@link #more} has just reached. */
-    long currentNumber() throws IOException {
+    public long currentNumber() throws IOException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
             throw wrong("expected a number, found " + in.currentToken());
         }
         return longValue();
     }
 
-    long number() throws IOException {
+    public long number() throws IOException {
         expect(JsonToken.VALUE_NUMBER_INT);
         return longValue();
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    long number(long least, long most) throws IOException {
+    public long number(long least, long most) throws IOException {
         long number = number();
         if (number < least || number > most) {
             throw wrong(number + " out of range");
@@ -97,16 +97,16 @@
         return number;
     }
 
-    int whole(int most) throws IOException {
+    public int whole(int most) throws IOException {
         return (int) number(0, most);
     }
 
     /** One of an enumeration's values, written as its ordinal. */
-    <E extends Enum<E>> E oneOf(E[] values) throws IOException {
+    public <E extends Enum<E>> E oneOf(E[] values) throws IOException {
         return values[whole(values.length - 1)];
     }
 
-    boolean flag() throws IOException {
+    public boolean flag() throws IOException {
         JsonToken token = next();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
             throw wrong("expected a yes or no, found " + token);
@@ -114,7 +114,7 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    String text() throws IOException {
+    public String text() throws IOException {
         expect(JsonToken.VALUE_STRING);
         try {
             return in.getText();
@@ -123,7 +123,7 @@
         }
     }
 
-    String text(int longest) throws IOException {
+    public String text(int longest) throws IOException {
         String text = text();
         if (text.length() > longest) {
             throw wrong("text of " + text.length() + " characters, at most " + longest);
@@ -131,7 +131,7 @@
         return text;
     }
 
-    byte[] bytes() throws IOException {
+    public byte[] bytes() throws IOException {
         expect(JsonToken.VALUE_EMBEDDED_OBJECT);
         try {
             byte[] value = in.getBinaryValue();
@@ -141,7 +141,7 @@
         }
     }
 
-    byte[] bytes(int longest) throws IOException {
+    public byte[] bytes(int longest) throws IOException {
         byte[] value = bytes();
         if (value.length > longest) {
             throw wrong("a value of " + value.length + " bytes, at most " + longest);
@@ -150,7 +150,7 @@
     }
 
     /** Takes the end of the outermost array, after which nothing may follow. */
-    void end() throws IOException {
+    public void end() throws IOException {
         endArray();
         if (next() != null) {
             throw wrong("more than one item");
--- a/src/main/java/rockshift/cluster/CborWriter.java
+++ b/src/main/java/rockshift/wire/CborWriter.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.wire;
 
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
@@ -6,53 +6,53 @@
 import java.io.IOException;
 
 /** Writes CBOR items in a fixed order; {@link CborReader} reads them back. */
-final class CborWriter {
+public final class CborWriter {
     private static final CBORFactory CBOR = new CBORFactory();
     private static final int USUAL_SIZE = 128;
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_SIZE);
     private final CBORGenerator out;
 
-    CborWriter() throws IOException {
+    public CborWriter() throws IOException {
         out = CBOR.createGenerator(bytes);
     }
 
-    CborWriter startArray() throws IOException {
+    public CborWriter startArray() throws IOException {
         out.writeStartArray();
         return this;
     }
 
-    CborWriter endArray() throws IOException {
+    public CborWriter endArray() throws IOException {
         out.writeEndArray();
         return this;
     }
 
-    CborWriter add(long... numbers) throws IOException {
+    public CborWriter add(long... numbers) throws IOException {
         for (long number : numbers) {
             out.writeNumber(number);
         }
         return this;
     }
 
-    CborWriter flag(boolean... flags) throws IOException {
+    public CborWriter flag(boolean... flags) throws IOException {
         for (boolean flag : flags) {
             out.writeBoolean(flag);
         }
         return this;
     }
 
-    CborWriter text(String text) throws IOException {
+    public CborWriter text(String text) throws IOException {
         out.writeString(text);
         return this;
     }
 
-    CborWriter binary(byte[] value) throws IOException {
+    public CborWriter binary(byte[] value) throws IOException {
         out.writeBinary(value);
         return this;
     }
 
     /** Closes the writer; answers all that was written. */
-    byte[] end() throws IOException {
+    public byte[] end() throws IOException {
         out.close();
         return bytes.toByteArray();
     }
--- a/src/main/java/rockshift/cluster/ConnectionLog.java
+++ b/src/main/java/rockshift/wire/ConnectionLog.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.wire;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -9,7 +9,7 @@
  * Logs why connections of one sort ended or were refused: so many lines a second, and of those
  * beyond one line that counts them by reason. It keeps the totals by reason as well.
  */
-final class ConnectionLog {
+public final class ConnectionLog {
     private static final int LINES_A_SECOND = 50;
 
     private final Logger log;
@@ -22,12 +22,12 @@
     /**
      * @param sort what the lines call the connections
      */
-    ConnectionLog(Logger log, String sort) {
+    public ConnectionLog(Logger log, String sort) {
         this.log = log;
         this.sort = sort;
     }
 
-    synchronized void ended(Object who, String code, String about) {
+    public synchronized void ended(Object who, String code, String about) {
         totals.merge(code, 1L, Long::sum);
         if (System.nanoTime() - countedSince > TimeUnit.SECONDS.toNanos(1)) {
             tellUnlogged();
@@ -50,7 +50,7 @@
     }
 
     /** Connections ended since the start, by reason. */
-    synchronized Map<String, Long> totals() {
+    public synchronized Map<String, Long> totals() {
         return new TreeMap<>(totals);
     }
 }
