--- a/src/main/java/rockshift/cluster/FramedConnection.java
+++ b/src/main/java/rockshift/wire/FramedConnection.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.wire;
 
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -16,7 +16,7 @@
  * those that wait to be sent, and why it ended: the first reason that is given counts. Events come
  * on the reactor's thread; {@link #send} and {@link #end} may be called from any.
  */
-abstract class FramedConnection implements IOEventHandler {
+public abstract class FramedConnection implements IOEventHandler {
     /** For how long the other side may read nothing while frames wait for it. */
     private static final long LONGEST_STALL = TimeUnit.SECONDS.toNanos(2);
 
@@ -41,7 +41,7 @@
      * @param readBuffer shared by all connections of one reactor's thread
      * @param mostUnsent bytes that may wait to be sent
      */
-    FramedConnection(IOSession session, ByteBuffer readBuffer, int mostUnsent) {
+    protected FramedConnection(IOSession session, ByteBuffer readBuffer, int mostUnsent) {
         this.session = session;
         this.from = session.getRemoteAddress();
         this.readBuffer = readBuffer;
@@ -52,26 +52,26 @@
      * Takes a frame. A thrown {@link Frames.Broken} ends the connection with its code, another
      * failure as malformed.
      */
-    abstract void take(Frames.Frame frame) throws IOException;
+    protected abstract void take(Frames.Frame frame) throws IOException;
 
     /** The connection has ended, for the reason that {@link #reason} gives. */
-    abstract void ended();
+    protected abstract void ended();
 
-    final IOSession session() {
+    public final IOSession session() {
         return session;
     }
 
-    final SocketAddress from() {
+    public final SocketAddress from() {
         return from;
     }
 
     /** The code of the reason for which it ended; null while it is open. */
-    final synchronized String reason() {
+    public final synchronized String reason() {
         return reason;
     }
 
     /** What more there is to say of the reason. */
-    final synchronized String about() {
+    public final synchronized String about() {
         return about;
     }
 
@@ -110,7 +110,7 @@
      * @return whether it was sent or waits; false where it was dropped, since too much waits
      *     already or the connection ends
      */
-    final boolean send(byte kind, byte[] payload) {
+    public final boolean send(byte kind, byte[] payload) {
         ByteBuffer frame = ByteBuffer.wrap(Frames.frame(kind, payload));
         session.getLock().lock();
         try {
@@ -164,7 +164,7 @@
     }
 
     /** Whether frames wait and the other side has read nothing for too long. */
-    final boolean stalled() {
+    public final boolean stalled() {
         session.getLock().lock();
         try {
             return !waiting.isEmpty() && System.nanoTime() - progressAt > LONGEST_STALL;
@@ -174,7 +174,7 @@
     }
 
     /** Ends the connection at once; what still waits is lost. */
-    final void end(String why, String what) {
+    public final void end(String why, String what) {
         if (given(why, what)) {
             session.close(CloseMode.IMMEDIATE);
         }
@@ -184,7 +184,7 @@
      * Ends the connection once what was sent is written, or soon if the other side does not take
      * it.
      */
-    final void endWhenSent(String why, String what) {
+    public final void endWhenSent(String why, String what) {
         if (!given(why, what)) {
             return;
         }
@@ -222,7 +222,7 @@
     }
 
     /** Nothing came or went for the time that was set. */
-    abstract void quiet();
+    protected abstract void quiet();
 
     @Override
     public final void exception(IOSession same, Exception failure) {
@@ -235,7 +235,7 @@
     }
 
     /** A fault of this program met while handling the connection. */
-    abstract void failed(Exception failure);
+    protected abstract void failed(Exception failure);
 
     @Override
     public final void disconnected(IOSession same) {
--- a/src/main/java/rockshift/cluster/Frames.java
+++ b/src/main/java/rockshift/wire/Frames.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.wire;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -11,38 +11,38 @@
  * together here; what is too long, garbled or of an unknown version ends the connection before
  * anything of it is used.
  */
-final class Frames {
+public final class Frames {
     /** Bytes of the longest frame: a message's entries or a snapshot's piece, and room. */
-    static final int LONGEST = 1 << 20;
+    public static final int LONGEST = 1 << 20;
 
     /**
      * Told by a member's hello. 2: changes may name a service and a zone, which members of version
      * 1 refuse to apply.
      */
-    static final int VERSION = 2;
+    public static final int VERSION = 2;
 
-    static final byte HELLO = 1;
-    static final byte MESSAGE = 2;
-    static final byte CALL = 3;
-    static final byte REPLY = 4;
+    public static final byte HELLO = 1;
+    public static final byte MESSAGE = 2;
+    public static final byte CALL = 3;
+    public static final byte REPLY = 4;
 
     /** A message of the distribution between a publisher and its subscriber. */
-    static final byte WATCH = 5;
+    public static final byte WATCH = 5;
 
     private static final int HEAD = 8;
 
     /** A frame that can't be used; the code is the reason that the log gives. */
-    static final class Broken extends IOException {
+    public static final class Broken extends IOException {
         private static final long serialVersionUID = 1L;
         final String code;
 
-        Broken(String code, String what) {
+        public Broken(String code, String what) {
             super(what);
             this.code = code;
         }
     }
 
-    record Frame(byte kind, byte[] payload) {}
+    public record Frame(byte kind, byte[] payload) {}
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
@@ -51,7 +51,7 @@
 
     private ByteBuffer held = EMPTY;
 
-    static byte[] frame(byte kind, byte[] payload) {
+    public static byte[] frame(byte kind, byte[] payload) {
         byte[] body = new byte[payload.length + 1];
         body[0] = kind;
         System.arraycopy(payload, 0, body, 1, payload.length);
@@ -63,7 +63,7 @@
     }
 
     /** Adds bytes that came. */
-    void feed(ByteBuffer piece) {
+    public void feed(ByteBuffer piece) {
         if (held.capacity() - held.limit() < piece.remaining()) {
             int needed = held.remaining() + piece.remaining();
             ByteBuffer larger =
@@ -78,7 +78,7 @@
     }
 
     /** The next whole frame, or null. */
-    Frame next() throws Broken {
+    public Frame next() throws Broken {
         if (held.remaining() < HEAD) {
             return null;
         }
@@ -111,7 +111,7 @@
     }
 
     /** Waits for one frame. */
-    static Frame read(DataInputStream in) throws IOException {
+    public static Frame read(DataInputStream in) throws IOException {
         int length = in.readInt();
         int sum = in.readInt();
         fits(length);
--- a/src/main/java/rockshift/cluster/Codec.java
+++ b/src/main/java/rockshift/wire/RaftCodec.java
@@ -1,23 +1,23 @@
-package rockshift.cluster;
+package rockshift.wire;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import rockshift.raft.Ballot;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Membership;
 import rockshift.raft.Message;
 import rockshift.raft.Sessions;
 import rockshift.raft.Snapshot;
+import rockshift.raft.TermAndVote;
 
 /**
  * Entries, messages and snapshots as bytes: CBOR arrays of a fixed order, told in docs/raft.md. A
  * reader takes exactly what a writer gave: a missing, further or ill-typed item is an error, and
  * nothing of a spoilt one is used.
  */
-public final class Codec {
-    private Codec() {}
+public final class RaftCodec {
+    private RaftCodec() {}
 
     private static void write(CborWriter out, Membership members) throws IOException {
         out.startArray();
@@ -76,7 +76,7 @@
                 kind == Entry.Kind.MEMBERS ? members : null);
     }
 
-    static byte[] entry(Entry entry) throws IOException {
+    public static byte[] entry(Entry entry) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
         write(writer, entry);
@@ -84,7 +84,7 @@
         return writer.end();
     }
 
-    static Entry entry(byte[] bytes, int from, int length) throws IOException {
+    public static Entry entry(byte[] bytes, int from, int length) throws IOException {
         CborReader reader = new CborReader(bytes, from, length);
         reader.startArray();
         Entry entry = readEntry(reader);
@@ -92,11 +92,11 @@
         return entry;
     }
 
-    static byte[] ballot(Ballot ballot) throws IOException {
+    public static byte[] ballot(TermAndVote ballot) throws IOException {
         return numbers(ballot.term(), ballot.vote());
     }
 
-    static byte[] numbers(long... numbers) throws IOException {
+    public static byte[] numbers(long... numbers) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
         writer.add(numbers);
@@ -104,7 +104,7 @@
         return writer.end();
     }
 
-    static long[] numbers(int count, byte[] bytes, int from, int length) throws IOException {
+    public static long[] numbers(int count, byte[] bytes, int from, int length) throws IOException {
         CborReader reader = new CborReader(bytes, from, length);
         reader.startArray();
         long[] numbers = new long[count];
@@ -115,7 +115,7 @@
         return numbers;
     }
 
-    static byte[] snapshot(Snapshot snapshot) throws IOException {
+    public static byte[] snapshot(Snapshot snapshot) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
         writer.add(snapshot.index(), snapshot.term());
@@ -125,7 +125,7 @@
         return writer.end();
     }
 
-    static Snapshot snapshot(byte[] bytes, int from, int length) throws IOException {
+    public static Snapshot snapshot(byte[] bytes, int from, int length) throws IOException {
         CborReader reader = new CborReader(bytes, from, length);
         reader.startArray();
         Snapshot snapshot =
@@ -135,7 +135,7 @@
     }
 
     /** The data of a snapshot: the sessions, and the machine's own image. */
-    static byte[] image(List<Sessions.Session> sessions, byte[] machine) throws IOException {
+    public static byte[] image(List<Sessions.Session> sessions, byte[] machine) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
         writer.add(sessions.size());
@@ -148,7 +148,7 @@
         return writer.end();
     }
 
-    static void restore(byte[] image, Sessions into) throws IOException {
+    public static void restore(byte[] image, Sessions into) throws IOException {
         CborReader reader = new CborReader(image, 0, image.length);
         reader.startArray();
         List<Sessions.Session> sessions = new ArrayList<>();
@@ -161,9 +161,9 @@
     }
 
     /** Who speaks, as the first frame of a connection tells. */
-    record Hello(long version, long cluster, long id, String name, Membership members) {}
+    public record Hello(long version, long cluster, long id, String name, Membership members) {}
 
-    static byte[] hello(Hello hello) throws IOException {
+    public static byte[] hello(Hello hello) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
         writer.add(hello.version, hello.cluster, hello.id);
@@ -173,7 +173,7 @@
         return writer.end();
     }
 
-    static Hello hello(byte[] bytes) throws IOException {
+    public static Hello hello(byte[] bytes) throws IOException {
         CborReader reader = new CborReader(bytes, 0, bytes.length);
         reader.startArray();
         long version = reader.number();
--- a/src/test/java/rockshift/scale/ScaleCheckerTest.java
+++ b/src/test/java/rockshift/capacity/ScaleCheckerTest.java
@@ -1,4 +1,4 @@
-package rockshift.scale;
+package rockshift.capacity;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/rockshift/cluster/DistributionFramesTest.java
+++ b/src/test/java/rockshift/cluster/DistributionFramesTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import rockshift.config.Section;
 import rockshift.distribution.DistributionMessage;
 import rockshift.distribution.DistributionMessage.Acknowledge;
 import rockshift.distribution.DistributionMessage.Difference;
@@ -34,7 +35,13 @@
 import rockshift.distribution.Scope;
 import rockshift.distribution.Summary;
 import rockshift.distribution.Update;
-import rockshift.operator.Section;
+import rockshift.distribution.wire.DistributionClient;
+import rockshift.distribution.wire.DistributionCodec;
+import rockshift.distribution.wire.DistributionListener;
+import rockshift.distribution.wire.DistributionReactor;
+import rockshift.distribution.wire.DistributionSettings;
+import rockshift.distribution.wire.RelayProcess;
+import rockshift.wire.Frames;
 
 /**
  * What is spoilt, cut, oversized, repeated or out of order ends its own connection with a reason;
--- a/src/test/java/rockshift/operator/OperatorFileTest.java
+++ b/src/test/java/rockshift/config/OperatorFileTest.java
@@ -1,4 +1,4 @@
-package rockshift.operator;
+package rockshift.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rockshift.cluster.ClusterSettings;
-import rockshift.cluster.DistributionSettings;
+import rockshift.distribution.wire.DistributionSettings;
 
 /** Stories of operators' files, right and wrong. */
 class OperatorFileTest {
--- a/src/test/java/rockshift/cluster/CutOffWatchTest.java
+++ b/src/test/java/rockshift/distribution/wire/CutOffWatchTest.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/rockshift/cluster/DistributionCodecTest.java
+++ b/src/test/java/rockshift/distribution/wire/DistributionCodecTest.java
@@ -1,4 +1,4 @@
-package rockshift.cluster;
+package rockshift.distribution.wire;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -21,6 +21,8 @@
 import rockshift.distribution.Scope;
 import rockshift.distribution.Summary;
 import rockshift.distribution.Update;
+import rockshift.wire.CborWriter;
+import rockshift.wire.Frames;
 
 /**
  * What publishers and subscribers write, they read; of what they did not write the error names the
--- a/src/test/java/rockshift/ClassSetTest.java
+++ b/src/test/java/rockshift/model/ClassSetTest.java
@@ -1,4 +1,4 @@
-package rockshift;
+package rockshift.model;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/rockshift/net/RespCodecTest.java
+++ b/src/test/java/rockshift/server/RespCodecTest.java
@@ -1,4 +1,4 @@
-package rockshift.net;
+package rockshift.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/rockshift/ClassNamesTest.java
+++ b/src/test/java/rockshift/settings/ClassNamesTest.java
@@ -1,10 +1,11 @@
-package rockshift;
+package rockshift.settings;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import rockshift.model.ClassSet;
 
 class ClassNamesTest {
     @Test
--- a/src/test/java/rockshift/kit/ExplorerTest.java
+++ b/src/test/java/rockshift/testkit/ExplorerTest.java
@@ -1,4 +1,4 @@
-package rockshift.kit;
+package rockshift.testkit;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
