--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -74,7 +74,7 @@
     @Override
     public long started(String replica) {
         Endpoint entry = receiver.listed().get(replica);
-        return entry == null ? 0 : entry.started() / TENTHS_PER_MILLI;
+        return entry == null ? 0 : entry.startedAtTicks() / TENTHS_PER_MILLI;
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/AgreedState.java
+++ b/src/main/java/rockshift/cluster/AgreedState.java
@@ -9,14 +9,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.TreeMap;
-import rockshift.raft.Sessions;
+import rockshift.raft.ClientSessions;
 
 /**
  * What all governors agree on: which replicas staff want kept out, budgets, and terms that may
  * change while running. Changes are applied in one order everywhere, and each effective one makes
  * the next version. It knows no replicas but by their names.
  */
-public final class AgreedState implements Sessions.Machine {
+public final class AgreedState implements ClientSessions.StateMachine {
     /**
      * Replicas that may be kept out at a time: a bound on the snapshot, far above a fleet's drains.
      */
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public byte[] image() {
+    public byte[] snapshot() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -23,13 +23,13 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rockshift.raft.ClientSessions;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Membership;
 import rockshift.raft.Message;
 import rockshift.raft.RaftNode;
 import rockshift.raft.SafetyRules;
-import rockshift.raft.Sessions;
 import rockshift.raft.Snapshot;
 import rockshift.raft.TermAndVote;
 import rockshift.storage.DurableLog;
@@ -114,7 +114,7 @@
             distribution =
                     new DistributionService(
                             settings.subscribers(),
-                            settings.timing().election(),
+                            settings.timing().electionTimeoutTicks(),
                             new SplittableRandom(source.nextLong()));
             links = new Links(this, distribution.port(), new SplittableRandom(source.nextLong()));
             engine =
@@ -149,7 +149,7 @@
                 Long.toHexString(id),
                 settings.listen().getHostString(),
                 port,
-                engine.raft().log().last(),
+                engine.raft().log().lastIndex(),
                 agreed.version());
     }
 
@@ -225,18 +225,19 @@
     }
 
     private void tend() {
-        leading = engine.raft().leads();
+        leading = engine.raft().isLeader();
         distribution.tend(cluster, agreed, engine.raft());
-        if (engine.raft().members() != shownMembers) {
+        if (engine.raft().membership() != shownMembers) {
             show();
             links.greet();
         }
-        LocalController.Reach now = engine.raft().inTouch() ? LocalController.Reach.FULL : cutOff();
+        LocalController.Reach now =
+                engine.raft().hasQuorumContact() ? LocalController.Reach.FULL : cutOff();
         if (now != reach) {
             boolean before = reach != null;
             reach = now;
             governor.reach(now);
-            if (engine.raft().inTouch()) {
+            if (engine.raft().hasQuorumContact()) {
                 LOG.info("in touch with most members, leader {}", name(engine.raft().leader()));
             } else if (before) {
                 LOG.warn(
@@ -275,7 +276,7 @@
      * named.
      */
     private Membership addressed() {
-        Membership members = engine.raft().members();
+        Membership members = engine.raft().membership();
         return members.all().isEmpty() && heardOf != null ? heardOf : members;
     }
 
@@ -284,7 +285,7 @@
     }
 
     private String name(long member) {
-        Member known = engine.raft().members().get(member);
+        Member known = engine.raft().membership().get(member);
         return known == null ? "none" : known.name();
     }
 
@@ -300,7 +301,7 @@
      */
     private void show() {
         try {
-            shownMembers = engine.raft().members();
+            shownMembers = engine.raft().membership();
             others = null;
             shown =
                     RaftCodec.hello(
@@ -490,8 +491,8 @@
     // ---- what is agreed -------------------------------------------------------------------------
 
     @Override
-    public void applied(Entry entry, Sessions.Outcome outcome) {
-        if (entry.kind() == Entry.Kind.MEMBERS) {
+    public void applied(Entry entry, ClientSessions.Outcome outcome) {
+        if (entry.kind() == Entry.Kind.MEMBERSHIP) {
             LOG.info(
                     "members agreed: {}",
                     entry.members().all().stream()
@@ -630,7 +631,7 @@
     }
 
     private long named(String name) {
-        Member member = name == null ? null : engine.raft().members().named(name);
+        Member member = name == null ? null : engine.raft().membership().byName(name);
         return member == null ? 0 : member.id();
     }
 
@@ -646,7 +647,7 @@
         // A change sent again must meet its own first time, not this check: only the state can tell
         // which it
         // is.
-        boolean first = engine.raft().leads() && !Boolean.parseBoolean(call.get("again"));
+        boolean first = engine.raft().isLeader() && !Boolean.parseBoolean(call.get("again"));
         String objection = first ? agreed.check(change) : null;
         if (first && objection == null && !Boolean.parseBoolean(call.get("force"))) {
             objection = governor.objection(change, agreed.out());
@@ -717,24 +718,24 @@
     }
 
     private void status(JsonGenerator json) throws IOException {
-        RaftNode.Standing standing = engine.raft().standing();
+        RaftNode.Status standing = engine.raft().status();
         json.writeStringField("name", settings.name());
         json.writeStringField("id", Long.toHexString(id));
         json.writeNumberField("number", id);
         json.writeStringField("cluster", Long.toHexString(cluster));
-        json.writeStringField("role", standing.role().name().toLowerCase(Locale.ROOT));
+        json.writeStringField("role", roleWord(standing.role()));
         json.writeNumberField("term", standing.term());
         json.writeStringField("leader", name(standing.leader()));
-        Member leader = engine.raft().members().get(standing.leader());
+        Member leader = engine.raft().membership().get(standing.leader());
         json.writeStringField("leader_address", leader == null ? "" : leader.address());
-        json.writeBooleanField("in_touch", engine.raft().inTouch());
+        json.writeBooleanField("in_touch", engine.raft().hasQuorumContact());
         json.writeStringField("orders", String.valueOf(reach).toLowerCase(Locale.ROOT));
-        json.writeBooleanField("leased", standing.leased());
-        json.writeNumberField("agreed", standing.commit());
-        json.writeNumberField("applied", standing.applied());
-        json.writeNumberField("saved", standing.saved());
-        json.writeNumberField("first", standing.first());
-        json.writeNumberField("last", standing.last());
+        json.writeBooleanField("leased", standing.holdsLease());
+        json.writeNumberField("agreed", standing.commitIndex());
+        json.writeNumberField("applied", standing.appliedIndex());
+        json.writeNumberField("saved", standing.durableIndex());
+        json.writeNumberField("first", standing.firstIndex());
+        json.writeNumberField("last", standing.lastIndex());
         json.writeNumberField("snapshot", engine.raft().snapshot().index());
         json.writeNumberField("version", agreed.version());
         json.writeStringField("disk", diskTrouble);
@@ -747,13 +748,13 @@
         json.writeNumberField("unreachable", published.summary().unreachable());
         json.writeEndObject();
         json.writeArrayFieldStart("members");
-        for (Member member : standing.members().all()) {
+        for (Member member : standing.membership().all()) {
             json.writeStartObject();
             json.writeStringField("name", member.name());
             json.writeStringField("address", member.address());
             json.writeStringField("role", member.role().name().toLowerCase(Locale.ROOT));
-            if (standing.matches().containsKey(member.id())) {
-                json.writeNumberField("match", standing.matches().get(member.id()));
+            if (standing.matchIndexes().containsKey(member.id())) {
+                json.writeNumberField("match", standing.matchIndexes().get(member.id()));
             }
             json.writeEndObject();
         }
@@ -774,4 +775,9 @@
         }
         json.writeEndArray();
     }
+
+    /** The role as the status tells it: commands and their users know the pre-vote as a trial. */
+    private static String roleWord(RaftNode.Role role) {
+        return role == RaftNode.Role.PRE_CANDIDATE ? "trial" : role.name().toLowerCase(Locale.ROOT);
+    }
 }
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
+import rockshift.raft.ClientSessions;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Membership;
@@ -13,7 +14,6 @@
 import rockshift.raft.RaftNode;
 import rockshift.raft.RaftOutput;
 import rockshift.raft.SafetyRules;
-import rockshift.raft.Sessions;
 import rockshift.raft.Snapshot;
 import rockshift.raft.TermAndVote;
 import rockshift.raft.Timing;
@@ -44,7 +44,7 @@
         void answer(long request, Answer answer);
 
         /** An entry was applied here, and what it came to. */
-        void applied(Entry entry, Sessions.Outcome outcome);
+        void applied(Entry entry, ClientSessions.Outcome outcome);
 
         /** All that was applied was replaced by a snapshot's state. */
         void restored(long index);
@@ -69,7 +69,7 @@
     private record Waiting(long request, long term) {}
 
     private final RaftNode raft;
-    private final Sessions sessions;
+    private final ClientSessions sessions;
     private final Compaction compaction;
     private final Environment environment;
     private final TreeMap<Long, Waiting> proposals = new TreeMap<>();
@@ -82,13 +82,13 @@
             SafetyRules rules,
             RandomGenerator chance,
             long now,
-            Sessions.Machine machine,
+            ClientSessions.StateMachine machine,
             Compaction compaction,
             Environment environment)
             throws IOException {
         this.compaction = compaction;
         this.environment = environment;
-        sessions = new Sessions(rules, machine);
+        sessions = new ClientSessions(rules, machine);
         raft =
                 new RaftNode(
                         disk.id(),
@@ -109,7 +109,7 @@
         return raft;
     }
 
-    public Sessions sessions() {
+    public ClientSessions sessions() {
         return sessions;
     }
 
@@ -117,7 +117,7 @@
 
     /** The cluster was founded with these members, before anything else happened here. */
     public void found(Membership members) {
-        raft.found(members);
+        raft.bootstrap(members);
     }
 
     public void tick(long now) {
@@ -134,20 +134,20 @@
 
     /** Whether the disk takes what it is given. */
     public void disk(boolean works) {
-        raft.disk(works);
+        raft.diskStatusChanged(works);
     }
 
     /** A snapshot is on the disk, or (null) could not be kept. */
     public void kept(Snapshot snapshot) {
         keeping = false;
         if (snapshot != null) {
-            raft.compacted(snapshot);
+            raft.snapshotTaken(snapshot);
         }
     }
 
     /** Opens a session under a number that its client drew. */
     public void open(long request, long session) {
-        propose(request, Entry.Kind.OPEN, session, 0, new byte[0]);
+        propose(request, Entry.Kind.OPEN_SESSION, session, 0, new byte[0]);
     }
 
     public void change(long request, long session, long serial, byte[] body) {
@@ -170,29 +170,29 @@
 
     /** Answers with the machine's image once that is known to be no older than the call. */
     public void read(long request) {
-        raft.read(request);
+        raft.requestRead(request);
     }
 
     public void member(long request, Member member, boolean remove) {
-        ProposalRejection refusal = raft.change(member, remove);
+        ProposalRejection refusal = raft.changeMembership(member, remove);
         if (refusal != null) {
             refuse(request, refusal);
         } else {
-            proposals.put(raft.log().last(), new Waiting(request, raft.term()));
+            proposals.put(raft.log().lastIndex(), new Waiting(request, raft.term()));
         }
     }
 
     public void transfer(long request, long to) {
-        ProposalRejection refusal = raft.transfer(to);
+        ProposalRejection refusal = raft.transferLeadership(to);
         if (refusal != null) {
             refuse(request, refusal);
         } else {
-            environment.answer(request, new Answer(null, new byte[0], raft.commit(), null));
+            environment.answer(request, new Answer(null, new byte[0], raft.commitIndex(), null));
         }
     }
 
     private void refuse(long request, ProposalRejection refusal) {
-        Member leader = raft.members().get(raft.leader());
+        Member leader = raft.membership().get(raft.leader());
         boolean elsewhere = refusal == ProposalRejection.NOT_LEADER && leader != null;
         environment.answer(
                 request,
@@ -203,14 +203,14 @@
 
     /** Decides all that there is to decide now. */
     public void run() {
-        while (raft.decide(this)) {
+        while (raft.poll(this)) {
             continue;
         }
-        if (!raft.leads() && !proposals.isEmpty()) {
+        if (!raft.isLeader() && !proposals.isEmpty()) {
             // Another leads now: whether these will be agreed is not known here, and nobody is kept
             // waiting
             // for it.
-            Member leader = raft.members().get(raft.leader());
+            Member leader = raft.membership().get(raft.leader());
             proposals
                     .values()
                     .forEach(
@@ -225,9 +225,9 @@
             proposals.clear();
         }
         boolean much =
-                raft.applied() - keptAt >= compaction.entries()
+                raft.appliedIndex() - keptAt >= compaction.entries()
                         || raft.log().bytes() > compaction.bytes()
-                                && raft.applied() > raft.snapshot().index();
+                                && raft.appliedIndex() > raft.snapshot().index();
         if (much && !keeping) {
             compact();
         }
@@ -235,16 +235,16 @@
 
     /** Takes a snapshot of what is applied; false if one is under way. */
     public boolean compact() {
-        if (keeping || raft.applied() <= raft.snapshot().index()) {
+        if (keeping || raft.appliedIndex() <= raft.snapshot().index()) {
             return false;
         }
         try {
-            long index = raft.applied();
-            byte[] image = RaftCodec.image(sessions.sessions(), sessions.machine().image());
+            long index = raft.appliedIndex();
+            byte[] image = RaftCodec.image(sessions.sessions(), sessions.stateMachine().snapshot());
             keeping = true;
             keptAt = index;
             environment.keep(
-                    new Snapshot(index, raft.log().term(index), raft.membersAt(index), image));
+                    new Snapshot(index, raft.log().term(index), raft.membershipAt(index), image));
             return true;
         } catch (IOException failure) {
             throw new IllegalStateException(failure);
@@ -252,7 +252,7 @@
     }
 
     @Override
-    public void save(
+    public void persist(
             long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot) {
         environment.save(ticket, ballot, from, entries, snapshot);
     }
@@ -264,7 +264,7 @@
 
     @Override
     public void apply(Entry entry) {
-        Sessions.Outcome outcome = sessions.apply(entry);
+        ClientSessions.Outcome outcome = sessions.apply(entry);
         while (!proposals.isEmpty() && proposals.firstKey() <= entry.index()) {
             Map.Entry<Long, Waiting> first = proposals.pollFirstEntry();
             Waiting waiting = first.getValue();
@@ -272,7 +272,7 @@
             environment.answer(
                     waiting.request,
                     same
-                            ? new Answer(outcome.refused(), outcome.answer(), entry.index(), null)
+                            ? new Answer(outcome.rejection(), outcome.answer(), entry.index(), null)
                             : new Answer(Answer.UNKNOWN, new byte[0], 0, null));
         }
         environment.applied(entry, outcome);
@@ -291,13 +291,14 @@
     }
 
     @Override
-    public void readable(long token) {
+    public void readReady(long token) {
         environment.answer(
-                token, new Answer(null, sessions.machine().image(), raft.applied(), null));
+                token,
+                new Answer(null, sessions.stateMachine().snapshot(), raft.appliedIndex(), null));
     }
 
     @Override
-    public void unreadable(long token) {
+    public void readRejected(long token) {
         refuse(token, ProposalRejection.NOT_LEADER);
     }
 
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -31,10 +31,10 @@
 
     /** A message came to a member. */
     public void heard(Message message, RaftNode raft, long nowMs) {
-        if (message instanceof Message.Append append
+        if (message instanceof Message.AppendRequest append
                 && append.from() == raft.leader()
                 && announced == 0) {
-            announced = Math.max(1, append.commit());
+            announced = Math.max(1, append.commitIndex());
             announcedAt = nowMs;
         }
     }
@@ -44,14 +44,14 @@
      * if it never was.
      */
     public long freshAt(RaftNode raft, long nowMs) {
-        if (raft.leads()) {
+        if (raft.isLeader()) {
             announced = 0;
-            if (raft.inTouch()
-                    && raft.applied() == raft.commit()
-                    && raft.log().term(raft.commit()) == raft.term()) {
+            if (raft.hasQuorumContact()
+                    && raft.appliedIndex() == raft.commitIndex()
+                    && raft.log().term(raft.commitIndex()) == raft.term()) {
                 freshAt = nowMs - electionMs;
             }
-        } else if (announced > 0 && raft.applied() >= announced) {
+        } else if (announced > 0 && raft.appliedIndex() >= announced) {
             freshAt = Math.max(freshAt, announcedAt - electionMs);
             announced = 0;
         }
--- a/src/main/java/rockshift/model/Endpoint.java
+++ b/src/main/java/rockshift/model/Endpoint.java
@@ -3,9 +3,10 @@
 /**
  * A replica as the list shows it.
  *
- * @param started when it last started, in tenths of a millisecond; 0 for long past
+ * @param startedAtTicks when it last started, in tenths of a millisecond; 0 for long past
  */
-public record Endpoint(long replica, String zone, String kind, Health health, long started) {
+public record Endpoint(
+        long replicaId, String zone, String machineType, Health health, long startedAtTicks) {
     /** What the list says of a replica: fit for new work, finishing what it has, or removed. */
     public enum Health {
         READY,
--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -58,14 +58,14 @@
         }
         serial = serial % LAST_SERIAL + 1;
         for (Proxy proxy : written) {
-            for (int further = orders.messages(proxy.number) - 1; further > 0; further--) {
+            for (int further = orders.messageCount(proxy.number) - 1; further > 0; further--) {
                 countFurther(proxy, now);
             }
             proxy.marks.add(new long[] {serial, now, (long) proxy.lines});
             proxy.lines = 0;
         }
         written.clear();
-        orders.mark(serial);
+        orders.requestAcknowledgement(serial);
         return true;
     }
 
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -21,7 +21,7 @@
 
 /**
  * All decisions of one governor. The host calls an input method for each thing it learns, then
- * {@link #decide} until that answers false; what is decided comes out through {@link
+ * {@link #decideNext} until that answers false; what is decided comes out through {@link
  * ProxyCommands}. Inputs only update what is known. Times are tenths of a millisecond on the host's
  * clock. The mechanism and every exception to it are explained in docs/design.md.
  */
@@ -328,7 +328,7 @@
     // ---- decisions ------------------------------------------------------------------------------
 
     /** Takes one decision, if there is one to take now. */
-    public boolean decide(ProxyCommands orders) {
+    public boolean decideNext(ProxyCommands orders) {
         Due due = dues.first();
         if (unsettled) {
             waiting.values().forEach(this::settle);
@@ -336,7 +336,7 @@
         } else if (!timerSet) {
             timerSet = true;
             urgent |= held;
-            orders.wake(TURN);
+            orders.wakeAfter(TURN);
         } else if (!notes.isEmpty()) {
             orders.log(notes.remove());
         } else if (urgent || due.at <= now && due.batch) {
@@ -405,7 +405,10 @@
             lay(orders, proxy, brief, cost);
             return true;
         }
-        boolean calm = waiting.isEmpty() && reach == ControlScope.FULL && queue() <= putOff() / 2;
+        boolean calm =
+                waiting.isEmpty()
+                        && setControlScope == ControlScope.FULL
+                        && queue() <= putOff() / 2;
         Optional<Proxy> next =
                 proxies.values().stream()
                         .filter(
@@ -426,9 +429,11 @@
 
     private void lay(ProxyCommands orders, Proxy proxy, boolean brief, double cost) {
         double told =
-                brief ? orders.bind(proxy.place.shared.number, proxy.number, ClassSet.all()) : 0;
+                brief
+                        ? orders.bindProxy(proxy.place.shared.number, proxy.number, ClassSet.all())
+                        : 0;
         for (RoutingTable request : brief ? List.<RoutingTable>of() : proxy.place.requests) {
-            told += orders.bind(request.number, proxy.number, request.classes);
+            told += orders.bindProxy(request.number, proxy.number, request.classes);
         }
         proxy.bound = true;
         proxy.brief = brief;
@@ -440,7 +445,10 @@
      */
     private double laying(ProxyGroup place, boolean brief) {
         boolean none =
-                place == null || !place.laid || place.filled == 0 || reach == ControlScope.HOLD;
+                place == null
+                        || !place.laid
+                        || place.filled == 0
+                        || setControlScope == ControlScope.HOLD;
         return none
                 ? Double.MAX_VALUE
                 : brief ? place.shared.filled + 2 : place.filled + 2 * classes;
@@ -455,7 +463,7 @@
     private boolean withdraw(ProxyCommands orders) {
         if (waiting.isEmpty()) {
             Replica back =
-                    reach != ControlScope.FULL
+                    setControlScope != ControlScope.FULL
                             ? null
                             : replicas.values().stream()
                                     .filter(replica -> replica.usable() && replica.withdrawn)
@@ -468,7 +476,7 @@
             return back != null;
         }
         // Once a turn: what has changed since is told in the next one.
-        if (warnedAt == now || reach == ControlScope.HOLD) {
+        if (warnedAt == now || setControlScope == ControlScope.HOLD) {
             return false;
         }
         warnedAt = now;
@@ -499,7 +507,7 @@
         int cost = 0;
         for (Replica replica : about) {
             replica.withdrawn = out;
-            cost += orders.withdraw(replica.id, out, proxy.number);
+            cost += orders.notifyDraining(replica.id, out, proxy.number);
         }
         if (cost > 0) {
             channel.post(proxy, cost, now);
@@ -1084,8 +1092,8 @@
                             || cold && 2 * change.to < old
                             || place.bound == 0
                             || place.sent > 0 && old == 0 && change.path != null;
-            if (reach == ControlScope.HOLD
-                    || reach == ControlScope.WITHDRAW && !owed
+            if (setControlScope == ControlScope.HOLD
+                    || setControlScope == ControlScope.WITHDRAW && !owed
                     || !gathered && !atOnce) {
                 continue;
             }
@@ -1100,12 +1108,14 @@
             weights -= old > 0 && !guard ? cost : 0;
             if (change.path == null) {
                 change.request.sentLevel = change.to;
-                orders.admit(change.request.number, change.request.classes, change.to * all, AGAIN);
+                orders.setAdmissionLevel(
+                        change.request.number, change.request.classes, change.to * all, AGAIN);
                 change.request.sent++;
                 place.sent++;
             } else {
                 change.path.published = change.to;
-                int lines = orders.line(change.request.number, change.path.link.id, change.to);
+                int lines =
+                        orders.setTableEntry(change.request.number, change.path.link.id, change.to);
                 change.request.sent += lines;
                 place.sent += lines;
             }
@@ -1134,7 +1144,7 @@
                     && !old.inTables()
                     && now > old.changed + REMEMBERED) {
                 replicas.remove(old.id);
-                orders.forget(old.id);
+                orders.forgetReplica(old.id);
             }
         }
     }
--- a/src/main/java/rockshift/planner/PlannerState.java
+++ b/src/main/java/rockshift/planner/PlannerState.java
@@ -27,7 +27,7 @@
 
     final TreeMap<Long, Long> asked = new TreeMap<>();
     long agreedVersion;
-    ControlScope reach = ControlScope.FULL;
+    ControlScope setControlScope = ControlScope.FULL;
     final List<String> zones;
     final int classes;
     private final ClassNames classNames;
@@ -104,7 +104,7 @@
      * several.
      */
     final double turns(double messages) {
-        int further = Math.max(0, classes - 1) / ProxyCommands.MOST_PARTS;
+        int further = Math.max(0, classes - 1) / ProxyCommands.MAX_PARTS_PER_MESSAGE;
         return messages > 0 ? Math.max(1, messages - further) : 0;
     }
 
@@ -129,19 +129,19 @@
     }
 
     /** The list: changes only, or the whole of it. */
-    public void listed(long now, List<Endpoint> entries, boolean changes) {
+    public void updateEndpoints(long now, List<Endpoint> entries, boolean changes) {
         this.now = now;
         TreeSet<Long> missing = new TreeSet<>(changes ? List.of() : replicas.keySet());
         for (Endpoint entry : entries) {
-            missing.remove(entry.replica());
-            Replica replica = replicas.computeIfAbsent(entry.replica(), Replica::new);
-            boolean restarted = entry.started() > replica.started;
+            missing.remove(entry.replicaId());
+            Replica replica = replicas.computeIfAbsent(entry.replicaId(), Replica::new);
+            boolean restarted = entry.startedAtTicks() > replica.started;
             if (restarted) {
-                replica.started = entry.started();
+                replica.started = entry.startedAtTicks();
                 replica.forget();
             }
             replica.zone = entry.zone();
-            replica.kind = entry.kind();
+            replica.kind = entry.machineType();
             change(replica, entry.health(), restarted ? " started" : "");
         }
         missing.forEach(id -> change(replicas.get(id), Endpoint.Health.GONE, ""));
@@ -161,7 +161,8 @@
      * What staff agreed, as it stands since a version: replicas to keep out, each up to a last
      * start, and changed terms. One that is older than what is known means nothing.
      */
-    public void agreed(long now, long version, Map<Long, Long> out, Map<String, String> changed) {
+    public void applyAgreedChanges(
+            long now, long version, Map<Long, Long> out, Map<String, String> changed) {
         this.now = now;
         if (version > agreedVersion) {
             agreedVersion = version;
@@ -177,16 +178,16 @@
      * Whether this governor may order all, or being cut off from the others only what rules owe, or
      * nothing.
      */
-    public void reach(long now, ControlScope to) {
+    public void setControlScope(long now, ControlScope to) {
         this.now = now;
-        urgent |= to != reach;
-        reach = to;
+        urgent |= to != setControlScope;
+        setControlScope = to;
         notes.add("orders " + to);
     }
 
     /** A proxy's stream is up; the proxy holds what it held. */
-    public void joined(long now, int number, String zone, double usualRate) {
-        left(now, number);
+    public void proxyJoined(long now, int number, String zone, double usualRate) {
+        proxyLeft(now, number);
         double[] rate = new double[classes];
         Arrays.fill(rate, usualRate / Math.max(1, classes));
         Proxy proxy = new Proxy(number, Math.max(0, zones.indexOf(zone)), rate);
@@ -197,7 +198,7 @@
         unsettled = true;
     }
 
-    public void left(long now, int number) {
+    public void proxyLeft(long now, int number) {
         this.now = now;
         Proxy proxy = proxies.remove(number);
         waiting.remove(number);
@@ -212,7 +213,7 @@
      * What proxies of a zone met at a replica over a span, the mean time of answers, its load if
      * told.
      */
-    public void heard(
+    public void recordLoadReport(
             long now,
             String zone,
             long id,
@@ -233,7 +234,7 @@
     }
 
     /** Transactions of a class that came to a proxy over a span. */
-    public void usage(long now, int number, String type, int count, long span) {
+    public void recordUsage(long now, int number, String type, int count, long span) {
         this.now = now;
         Proxy proxy = proxies.get(number);
         int k = classNames.number(type);
@@ -249,7 +250,7 @@
     }
 
     /** A proxy has applied the messages up to a mark. */
-    public void caughtUp(long now, int number, int serial) {
+    public void proxyAcknowledged(long now, int number, int serial) {
         this.now = now;
         if (proxies.containsKey(number)) {
             ChannelPacer.answered(proxies.get(number), serial);
@@ -260,7 +261,7 @@
      * Time has passed; who told of nothing for two report periods, brought nothing in the first of
      * them.
      */
-    public void woken(long now) {
+    public void timerFired(long now) {
         this.now = now;
         timerSet = false;
         long period = (long) number("report.period", 0);
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -88,7 +88,7 @@
                     .forEach(
                             path -> {
                                 path.published = 0;
-                                orders.line(path.request.number, path.link.id, 0);
+                                orders.setTableEntry(path.request.number, path.link.id, 0);
                             });
         }
     }
--- a/src/main/java/rockshift/raft/Sessions.java
+++ b/src/main/java/rockshift/raft/ClientSessions.java
@@ -11,19 +11,19 @@
  * What a session was answered last is kept with it, and all of it is part of the snapshot. The same
  * entries leave the same state everywhere.
  */
-public final class Sessions {
+public final class ClientSessions {
     /**
      * Sessions kept; one more drops the one that was unused longest, whose client must open
      * another.
      */
-    public static final int MOST = 512;
+    public static final int MAX_SESSIONS = 512;
 
     /** What changes are applied to. It must come out the same on every member. */
-    public interface Machine {
+    public interface StateMachine {
         /** Applies a change; answers what its client is told. */
         byte[] apply(long index, byte[] change);
 
-        byte[] image();
+        byte[] snapshot();
 
         void restore(byte[] image);
     }
@@ -32,7 +32,7 @@
      * How an entry ended: whether it took effect now, and what the client is told; a reason if it
      * was refused.
      */
-    public record Outcome(boolean applied, byte[] answer, String refused) {}
+    public record Outcome(boolean applied, byte[] answer, String rejection) {}
 
     /** A client's session: its number, its last change and what that was answered. */
     public record Session(long id, long serial, byte[] answer) {
@@ -53,23 +53,23 @@
     private static final byte[] NOTHING = {};
 
     private final SafetyRules rules;
-    private final Machine machine;
+    private final StateMachine stateMachine;
 
     /** By use, oldest first. */
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
 
-    public Sessions(SafetyRules rules, Machine machine) {
+    public ClientSessions(SafetyRules rules, StateMachine machine) {
         this.rules = rules;
-        this.machine = machine;
+        this.stateMachine = machine;
     }
 
     /** Applies one committed entry, in the order of the log. */
     public Outcome apply(Entry entry) {
-        if (entry.kind() == Entry.Kind.OPEN) {
+        if (entry.kind() == Entry.Kind.OPEN_SESSION) {
             if (!sessions.containsKey(entry.session())) {
                 put(new Session(entry.session(), 0, NOTHING));
             }
-            while (sessions.size() > MOST) {
+            while (sessions.size() > MAX_SESSIONS) {
                 sessions.remove(sessions.keySet().iterator().next());
             }
             return new Outcome(true, NOTHING, null);
@@ -79,12 +79,12 @@
         Session session = sessions.get(entry.session());
         if (session == null) {
             return new Outcome(false, NOTHING, "session-unknown");
-        } else if (!rules.isNew(entry.serial(), session.serial)) {
+        } else if (!rules.isNewSerial(entry.serial(), session.serial)) {
             return entry.serial() == session.serial
                     ? new Outcome(false, session.answer, null)
                     : new Outcome(false, NOTHING, "serial-past");
         }
-        byte[] answer = machine.apply(entry.index(), entry.body());
+        byte[] answer = stateMachine.apply(entry.index(), entry.body());
         put(new Session(entry.session(), entry.serial(), answer));
         return new Outcome(true, answer, null);
     }
@@ -99,14 +99,14 @@
         return new ArrayList<>(sessions.values());
     }
 
-    public Machine machine() {
-        return machine;
+    public StateMachine stateMachine() {
+        return stateMachine;
     }
 
     /** Takes a snapshot's sessions and state in place of its own. */
     public void restore(List<Session> kept, byte[] image) {
         sessions.clear();
         kept.forEach(this::put);
-        machine.restore(image);
+        stateMachine.restore(image);
     }
 }
--- a/src/main/java/rockshift/raft/ClockDriftMonitor.java
+++ b/src/main/java/rockshift/raft/ClockDriftMonitor.java
@@ -16,9 +16,9 @@
     private long heard;
     private long there;
     private boolean begun;
-    private double apart;
+    private double driftRatio;
 
-    void seen(long sentAt, long now, long clockThere) {
+    void record(long sentAt, long now, long clockThere) {
         if (!begun || clockThere < there) {
             begin(sentAt, now, clockThere);
         } else if (sentAt >= heard + SPAN) {
@@ -27,7 +27,7 @@
             double shortest = sentAt - heard;
             double longest = now - sent;
             double passed = clockThere - there;
-            apart =
+            driftRatio =
                     passed > longest
                             ? passed / longest - 1
                             : passed < shortest ? shortest / Math.max(1, passed) - 1 : 0;
@@ -43,7 +43,7 @@
     }
 
     /** By what share its clock is proved to run apart from ours. */
-    double apart() {
-        return apart;
+    double driftRatio() {
+        return driftRatio;
     }
 }
--- a/src/main/java/rockshift/raft/Entry.java
+++ b/src/main/java/rockshift/raft/Entry.java
@@ -6,7 +6,7 @@
  * @param session the client's session of a change; of an opening, the number that the client drew
  *     for it
  * @param serial the number of a change within its session, from 1 on
- * @param members the membership that holds from this entry on; null but for {@link Kind#MEMBERS}
+ * @param members the membership that holds from this entry on; null but for {@link Kind#MEMBERSHIP}
  */
 public record Entry(
         long index,
@@ -21,10 +21,10 @@
      * agrees.
      */
     public enum Kind {
-        START,
-        OPEN,
+        NO_OP,
+        OPEN_SESSION,
         CHANGE,
-        MEMBERS
+        MEMBERSHIP
     }
 
     private static final byte[] EMPTY = {};
@@ -33,11 +33,11 @@
     private static final int FRAME = 48;
 
     static Entry start(long index, long term) {
-        return new Entry(index, term, Kind.START, 0, 0, EMPTY, null);
+        return new Entry(index, term, Kind.NO_OP, 0, 0, EMPTY, null);
     }
 
     static Entry members(long index, long term, Membership members) {
-        return new Entry(index, term, Kind.MEMBERS, 0, 0, EMPTY, members);
+        return new Entry(index, term, Kind.MEMBERSHIP, 0, 0, EMPTY, members);
     }
 
     public int size() {
--- a/src/main/java/rockshift/raft/Log.java
+++ b/src/main/java/rockshift/raft/Log.java
@@ -18,16 +18,16 @@
         this.baseTerm = baseTerm;
     }
 
-    public long base() {
+    public long baseIndex() {
         return baseIndex;
     }
 
-    public long last() {
+    public long lastIndex() {
         return baseIndex + entries.size();
     }
 
     public long lastTerm() {
-        return term(last());
+        return term(lastIndex());
     }
 
     /** Bytes held in memory, roughly. */
@@ -40,7 +40,7 @@
         if (index == baseIndex) {
             return baseTerm;
         }
-        return index < baseIndex || index > last() ? -1 : get(index).term();
+        return index < baseIndex || index > lastIndex() ? -1 : get(index).term();
     }
 
     public Entry get(long index) {
@@ -48,16 +48,16 @@
     }
 
     public void add(Entry entry) {
-        if (entry.index() != last() + 1) {
-            throw new IllegalArgumentException("entry " + entry.index() + " after " + last());
+        if (entry.index() != lastIndex() + 1) {
+            throw new IllegalArgumentException("entry " + entry.index() + " after " + lastIndex());
         }
         entries.add(entry);
         bytes += entry.size();
     }
 
     /** Voids an entry and all after it. */
-    public void cut(long from) {
-        while (last() >= from) {
+    public void truncateFrom(long from) {
+        while (lastIndex() >= from) {
             bytes -= entries.remove(entries.size() - 1).size();
         }
     }
--- a/src/main/java/rockshift/raft/Membership.java
+++ b/src/main/java/rockshift/raft/Membership.java
@@ -8,7 +8,7 @@
 /** Who takes part. It never changes; a change makes another that differs by one member. */
 public final class Membership {
     /** Members at most: five that vote, and a few that learn. */
-    public static final int MOST = 9;
+    public static final int MAX_MEMBERS = 9;
 
     private final TreeMap<Long, Member> byId = new TreeMap<>();
 
@@ -24,24 +24,24 @@
         return byId.get(id);
     }
 
-    public Member named(String name) {
+    public Member byName(String name) {
         return byId.values().stream()
                 .filter(member -> member.name().equals(name))
                 .findFirst()
                 .orElse(null);
     }
 
-    public boolean votes(long id) {
+    public boolean isVoter(long id) {
         Member member = byId.get(id);
         return member != null && member.role() == Member.Role.VOTER;
     }
 
-    public long voters() {
-        return byId.keySet().stream().filter(this::votes).count();
+    public long voterCount() {
+        return byId.keySet().stream().filter(this::isVoter).count();
     }
 
-    public long counted(LongPredicate agrees) {
-        return byId.keySet().stream().filter(id -> votes(id) && agrees.test(id)).count();
+    public long countVoters(LongPredicate agrees) {
+        return byId.keySet().stream().filter(id -> isVoter(id) && agrees.test(id)).count();
     }
 
     Membership with(Member member) {
@@ -59,7 +59,7 @@
     /** The highest value that so many voters have reached. */
     long reachedBy(long needed, ToLongFunction<Long> value) {
         long[] sorted =
-                byId.keySet().stream().filter(this::votes).mapToLong(value).sorted().toArray();
+                byId.keySet().stream().filter(this::isVoter).mapToLong(value).sorted().toArray();
         return needed < 1 || sorted.length < needed
                 ? Long.MIN_VALUE
                 : sorted[sorted.length - (int) needed];
--- a/src/main/java/rockshift/raft/Message.java
+++ b/src/main/java/rockshift/raft/Message.java
@@ -16,22 +16,24 @@
     /**
      * Asks for a vote.
      *
-     * @param trial only asks whether the vote would be given, and binds nobody; its term is the one
-     *     that would come
-     * @param forced the leader itself handed over, so that hearing from it is no reason to refuse
+     * @param preVote only asks whether the vote would be given, and binds nobody; its term is the
+     *     one that would come
+     * @param leadershipTransfer the leader itself handed over, so that hearing from it is no reason
+     *     to refuse
      */
-    record Ask(
+    record VoteRequest(
             long from,
             long to,
             long term,
             long lastIndex,
             long lastTerm,
-            boolean trial,
-            boolean forced)
+            boolean preVote,
+            boolean leadershipTransfer)
             implements Message {}
 
-    /** Answers {@link Ask}. */
-    record Vote(long from, long to, long term, boolean trial, boolean given) implements Message {}
+    /** Answers {@link VoteRequest}. */
+    record VoteResponse(long from, long to, long term, boolean preVote, boolean granted)
+            implements Message {}
 
     /**
      * Entries to follow those up to {@code prevIndex}, perhaps none.
@@ -39,48 +41,49 @@
      * @param round rises with each time that the leader speaks to all; answers bring it back
      * @param sentAt the leader's clock as it began the round
      */
-    record Append(
+    record AppendRequest(
             long from,
             long to,
             long term,
             long prevIndex,
             long prevTerm,
-            long commit,
+            long commitIndex,
             long round,
             long sentAt,
             List<Entry> entries)
             implements Message {}
 
     /**
-     * Answers {@link Append} or the last {@link Piece}.
+     * Answers {@link AppendRequest} or the last {@link SnapshotChunk}.
      *
-     * @param match up to where the logs are the same and saved; of a refusal, where they may part
-     * @param hintTerm of a refusal, the follower's term there
-     * @param refused of a refusal, the index that was missing
-     * @param clock the follower's own clock
+     * @param matchIndex up to where the logs are the same and saved; of a refusal, where they may
+     *     part
+     * @param conflictTerm of a refusal, the follower's term there
+     * @param rejectedIndex of a refusal, the index that was missing
+     * @param followerClock the follower's own clock
      */
-    record Appended(
+    record AppendResponse(
             long from,
             long to,
             long term,
-            boolean ok,
-            long match,
-            long hintTerm,
-            long refused,
+            boolean success,
+            long matchIndex,
+            long conflictTerm,
+            long rejectedIndex,
             long round,
             long sentAt,
-            long clock)
+            long followerClock)
             implements Message {}
 
     /** A part of a snapshot, for a follower that lacks entries which the leader no longer has. */
-    record Piece(
+    record SnapshotChunk(
             long from,
             long to,
             long term,
-            long index,
+            long snapshotIndex,
             long snapshotTerm,
             Membership members,
-            int total,
+            int totalBytes,
             int checksum,
             int offset,
             byte[] bytes,
@@ -89,17 +92,17 @@
             implements Message {}
 
     /** How much of a snapshot is held. */
-    record Taken(
+    record SnapshotChunkResponse(
             long from,
             long to,
             long term,
-            long index,
-            int offset,
+            long snapshotIndex,
+            int receivedBytes,
             long round,
             long sentAt,
-            long clock)
+            long followerClock)
             implements Message {}
 
     /** The leader hands over: campaign now. */
-    record Campaign(long from, long to, long term) implements Message {}
+    record TimeoutNow(long from, long to, long term) implements Message {}
 }
--- a/src/main/java/rockshift/raft/Progress.java
+++ b/src/main/java/rockshift/raft/Progress.java
@@ -48,7 +48,7 @@
         heardAt = now;
         this.round = Math.max(this.round, round);
         this.sentAt = Math.max(this.sentAt, sentAt);
-        clock.seen(sentAt, now, clockThere);
+        clock.record(sentAt, now, clockThere);
     }
 
     void probe(long from) {
--- a/src/main/java/rockshift/raft/ProposalRejection.java
+++ b/src/main/java/rockshift/raft/ProposalRejection.java
@@ -5,13 +5,13 @@
     NOT_LEADER("not-leader"),
     BUSY("busy"),
     TOO_LARGE("too-large"),
-    HANDING_OVER("handing-over"),
-    UNSETTLED("members-unsettled"),
+    TRANSFERRING_LEADERSHIP("handing-over"),
+    MEMBERSHIP_UNSETTLED("members-unsettled"),
     NOT_CAUGHT_UP("not-caught-up"),
     UNKNOWN_MEMBER("unknown-member"),
-    TOO_MANY("too-many-members"),
+    TOO_MANY_MEMBERS("too-many-members"),
     LAST_VOTER("last-voter"),
-    DISK("disk");
+    DISK_FAILED("disk");
 
     private final String code;
 
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -15,7 +15,7 @@
 
 /**
  * One member's part in the protocol. The host calls an input method for each thing that happens,
- * then {@link #decide} until that answers false; what is decided comes out through {@link
+ * then {@link #poll} until that answers false; what is decided comes out through {@link
  * RaftOutput}. Inputs only update what is known. Times are tenths of a millisecond on the host's
  * even clock; the host hands in the time before anything else, so that a member that stood still
  * notices first. The conditions on which safety rests stand in {@link SafetyRules}; docs/raft.md
@@ -60,7 +60,7 @@
     /** What a member is in the current term; one on trial asks whether it would be elected. */
     public enum Role {
         FOLLOWER,
-        TRIAL,
+        PRE_CANDIDATE,
         CANDIDATE,
         LEADER
     }
@@ -70,18 +70,18 @@
     private record Held(long ticket, Message message) {}
 
     /** Where a member stands, for staff and for checks. */
-    public record Standing(
+    public record Status(
             Role role,
             long term,
             long leader,
-            long commit,
-            long applied,
-            long saved,
-            long first,
-            long last,
-            Membership members,
-            Map<Long, Long> matches,
-            boolean leased) {}
+            long commitIndex,
+            long appliedIndex,
+            long durableIndex,
+            long firstIndex,
+            long lastIndex,
+            Membership membership,
+            Map<Long, Long> matchIndexes,
+            boolean holdsLease) {}
 
     // ---- state ----------------------------------------------------------------------------------
     private final long id;
@@ -102,8 +102,8 @@
     private long heardAt;
     private long campaignAt;
     private final Set<Long> given = new HashSet<>();
-    private long commit;
-    private long applied;
+    private long commitIndex;
+    private long appliedIndex;
     // What is durable: all entries up to here, and what a save under way will make so.
     private long saved;
     private long saving;
@@ -132,7 +132,7 @@
     private boolean handedOver;
     private boolean driftTold;
     // A snapshot that comes in pieces.
-    private Message.Piece coming;
+    private Message.SnapshotChunk coming;
     private ByteArrayOutputStream came = new ByteArrayOutputStream();
 
     /**
@@ -160,9 +160,9 @@
         log = new Log(snapshot.index(), snapshot.term());
         configs.put(snapshot.index(), snapshot.members());
         entries.forEach(this::take);
-        commit = snapshot.index();
-        applied = snapshot.index();
-        saved = log.last();
+        commitIndex = snapshot.index();
+        appliedIndex = snapshot.index();
+        saved = log.lastIndex();
         // It may have promised a lease just before it ended: it waits as one that has heard from a
         // leader.
         heardAt = now;
@@ -171,14 +171,17 @@
 
     private void take(Entry entry) {
         log.add(entry);
-        if (entry.kind() == Entry.Kind.MEMBERS) {
+        if (entry.kind() == Entry.Kind.MEMBERSHIP) {
             configs.put(entry.index(), entry.members());
         }
     }
 
     /** Waits as one who has just heard of a leader, or that another may become one. */
     private void rest() {
-        campaignAt = now + timing.election() + chance.nextLong(timing.election() / 2);
+        campaignAt =
+                now
+                        + timing.electionTimeoutTicks()
+                        + chance.nextLong(timing.electionTimeoutTicks() / 2);
     }
 
     // ---- what is known --------------------------------------------------------------------------
@@ -191,7 +194,7 @@
         return ballot.term();
     }
 
-    public boolean leads() {
+    public boolean isLeader() {
         return role == Role.LEADER;
     }
 
@@ -200,16 +203,16 @@
         return role == Role.LEADER ? id : leader;
     }
 
-    public Membership members() {
+    public Membership membership() {
         return configs.lastEntry().getValue();
     }
 
-    public long commit() {
-        return commit;
+    public long commitIndex() {
+        return commitIndex;
     }
 
-    public long applied() {
-        return applied;
+    public long appliedIndex() {
+        return appliedIndex;
     }
 
     public Log log() {
@@ -224,25 +227,25 @@
      * Whether a leader that most hear is in touch: a leader knows by answers, a follower by its
      * words.
      */
-    public boolean inTouch() {
+    public boolean hasQuorumContact() {
         return role == Role.LEADER
-                ? now < contactAt() + timing.election()
-                : leader != 0 && now < heardAt + 2 * timing.election();
+                ? now < contactAt() + timing.electionTimeoutTicks()
+                : leader != 0 && now < heardAt + 2 * timing.electionTimeoutTicks();
     }
 
-    public Standing standing() {
+    public Status status() {
         Map<Long, Long> matches = new TreeMap<>();
         followers.forEach((member, progress) -> matches.put(member, progress.match));
-        return new Standing(
+        return new Status(
                 role,
                 ballot.term(),
                 leader(),
-                commit,
-                applied,
+                commitIndex,
+                appliedIndex,
                 saved,
-                log.base() + 1,
-                log.last(),
-                members(),
+                log.baseIndex() + 1,
+                log.lastIndex(),
+                membership(),
                 matches,
                 leaseHolds());
     }
@@ -250,8 +253,8 @@
     // ---- inputs ---------------------------------------------------------------------------------
 
     /** A blank member learns with whom it founds the cluster; its host has saved that. */
-    public void found(Membership members) {
-        if (log.last() == 0 && ballot.equals(TermAndVote.NONE)) {
+    public void bootstrap(Membership members) {
+        if (log.lastIndex() == 0 && ballot.equals(TermAndVote.NONE)) {
             snapshot = new Snapshot(0, 0, members, new byte[0]);
             configs.put(0L, members);
         }
@@ -261,7 +264,7 @@
     public void tick(long time) {
         now = Math.max(now, time);
         if (role == Role.LEADER) {
-            if (now >= contactAt() + timing.election()) {
+            if (now >= contactAt() + timing.electionTimeoutTicks()) {
                 notes.add(
                         "term "
                                 + ballot.term()
@@ -273,13 +276,13 @@
                 notes.add("hand-over to " + name(handTo) + " was not taken up");
                 handTo = 0;
             }
-            if (now >= wordAt + timing.heartbeat()) {
+            if (now >= wordAt + timing.heartbeatIntervalTicks()) {
                 speak();
             }
             abdicate();
             admitJoining();
-        } else if (now >= campaignAt && diskWorks && members().votes(id)) {
-            campaign(rules.asksFirst(), false);
+        } else if (now >= campaignAt && diskWorks && membership().isVoter(id)) {
+            campaign(rules.usesPreVote(), false);
         } else if (now >= campaignAt) {
             rest();
         }
@@ -292,7 +295,7 @@
         }
         saving = 0;
         savedTicket = ticket;
-        saved = Math.max(saved, Math.min(savingUpTo, log.last()));
+        saved = Math.max(saved, Math.min(savingUpTo, log.lastIndex()));
         if (role == Role.LEADER) {
             advance();
         }
@@ -302,7 +305,7 @@
      * Whether the disk takes what it is given. One whose disk does not works on, but neither leads
      * nor campaigns.
      */
-    public void disk(boolean works) {
+    public void diskStatusChanged(boolean works) {
         if (diskWorks != works) {
             notes.add(
                     works
@@ -317,9 +320,9 @@
     private void abdicate() {
         if (role == Role.LEADER && !diskWorks && handTo == 0) {
             followers.values().stream()
-                    .filter(other -> members().votes(other.id))
+                    .filter(other -> membership().isVoter(other.id))
                     .max(Comparator.comparingLong(other -> other.match))
-                    .ifPresent(next -> transfer(next.id));
+                    .ifPresent(next -> transferLeadership(next.id));
         }
     }
 
@@ -330,12 +333,12 @@
                 role != Role.LEADER
                         ? ProposalRejection.NOT_LEADER
                         : handTo != 0
-                                ? ProposalRejection.HANDING_OVER
+                                ? ProposalRejection.TRANSFERRING_LEADERSHIP
                                 : !diskWorks
-                                        ? ProposalRejection.DISK
+                                        ? ProposalRejection.DISK_FAILED
                                         : body.length > LARGEST_CHANGE
                                                 ? ProposalRejection.TOO_LARGE
-                                                : log.last() - commit >= MOST_OPEN
+                                                : log.lastIndex() - commitIndex >= MOST_OPEN
                                                                 || openBytes() > MOST_OPEN_BYTES
                                                         ? ProposalRejection.BUSY
                                                         : null;
@@ -343,51 +346,55 @@
             why[0] = refusal;
             return 0;
         }
-        return add(new Entry(log.last() + 1, ballot.term(), kind, session, serial, body, null));
+        return add(
+                new Entry(log.lastIndex() + 1, ballot.term(), kind, session, serial, body, null));
     }
 
     /** Bytes that wait to be committed, by their part of the entries that are held. */
     private long openBytes() {
-        return log.bytes() * (log.last() - commit) / Math.max(1, log.last() - log.base());
+        return log.bytes()
+                * (log.lastIndex() - commitIndex)
+                / Math.max(1, log.lastIndex() - log.baseIndex());
     }
 
     /** Adds a member, changes what it does, or removes it. */
-    public ProposalRejection change(Member member, boolean remove) {
-        Membership before = members();
+    public ProposalRejection changeMembership(Member member, boolean remove) {
+        Membership before = membership();
         Membership after = remove ? before.without(member.id()) : before.with(member);
         Progress progress = followers.get(member.id());
         Member known = before.get(member.id());
         if (role != Role.LEADER) {
             return ProposalRejection.NOT_LEADER;
         } else if (handTo != 0) {
-            return ProposalRejection.HANDING_OVER;
-        } else if (!rules.settled(configs.lastKey(), commit, log.term(commit), ballot.term())) {
-            return ProposalRejection.UNSETTLED;
+            return ProposalRejection.TRANSFERRING_LEADERSHIP;
+        } else if (!rules.mayChangeMembership(
+                configs.lastKey(), commitIndex, log.term(commitIndex), ballot.term())) {
+            return ProposalRejection.MEMBERSHIP_UNSETTLED;
         } else if (remove && known == null) {
             return ProposalRejection.UNKNOWN_MEMBER;
-        } else if (after.voters() == 0) {
+        } else if (after.voterCount() == 0) {
             return ProposalRejection.LAST_VOTER;
-        } else if (after.all().size() > Membership.MOST) {
-            return ProposalRejection.TOO_MANY;
+        } else if (after.all().size() > Membership.MAX_MEMBERS) {
+            return ProposalRejection.TOO_MANY_MEMBERS;
         } else if (!remove
                 && member.role() == Member.Role.VOTER
-                && !before.votes(member.id())
-                && (progress == null || progress.match + CLOSE < commit)) {
+                && !before.isVoter(member.id())
+                && (progress == null || progress.match + CLOSE < commitIndex)) {
             return ProposalRejection.NOT_CAUGHT_UP;
         }
-        add(Entry.members(log.last() + 1, ballot.term(), after));
+        add(Entry.members(log.lastIndex() + 1, ballot.term(), after));
         return null;
     }
 
     /** Hands over to another voter: it is brought up to date and then told to campaign. */
-    public ProposalRejection transfer(long to) {
+    public ProposalRejection transferLeadership(long to) {
         if (role != Role.LEADER) {
             return ProposalRejection.NOT_LEADER;
-        } else if (!members().votes(to)) {
+        } else if (!membership().isVoter(to)) {
             return ProposalRejection.UNKNOWN_MEMBER;
         } else if (to != id) {
             handTo = to;
-            handUntil = now + timing.election();
+            handUntil = now + timing.electionTimeoutTicks();
             // From here on another may lead without waiting, however late the word reaches it.
             handedOver = true;
             handOver(followers.get(to));
@@ -396,17 +403,17 @@
     }
 
     private void handOver(Progress progress) {
-        if (handTo == progress.id && progress.match == log.last()) {
-            post(new Message.Campaign(id, progress.id, ballot.term()), 0);
+        if (handTo == progress.id && progress.match == log.lastIndex()) {
+            post(new Message.TimeoutNow(id, progress.id, ballot.term()), 0);
         }
     }
 
     /** Asks for leave to answer a read from what is applied here. */
-    public void read(long token) {
+    public void requestRead(long token) {
         if (role != Role.LEADER || reads.size() + confirmed.size() >= MOST_READS) {
             refusedReads.add(token);
         } else if (leaseHolds()) {
-            confirmed.add(new Read(token, 0, commit));
+            confirmed.add(new Read(token, 0, commitIndex));
         } else {
             reads.add(new Read(token, round + 1, -1));
         }
@@ -416,17 +423,17 @@
      * What is applied was saved as a snapshot: the entries below it are no longer needed, but for a
      * tail.
      */
-    public void compacted(Snapshot other) {
-        if (other.index() > snapshot.index() && other.index() <= applied) {
+    public void snapshotTaken(Snapshot other) {
+        if (other.index() > snapshot.index() && other.index() <= appliedIndex) {
             snapshot = other;
-            log.compact(Math.max(log.base(), other.index() - TAIL));
-            long kept = configs.floorKey(Math.max(log.base(), 0));
+            log.compact(Math.max(log.baseIndex(), other.index() - TAIL));
+            long kept = configs.floorKey(Math.max(log.baseIndex(), 0));
             configs.headMap(kept, false).clear();
         }
     }
 
     /** The membership that held at an index that is kept. */
-    public Membership membersAt(long index) {
+    public Membership membershipAt(long index) {
         return configs.floorEntry(index).getValue();
     }
 
@@ -435,42 +442,45 @@
         if (message.to() != id) {
             return;
         }
-        if (message instanceof Message.Ask ask) {
+        if (message instanceof Message.VoteRequest ask) {
             asked(ask);
         } else if (message.term() < ballot.term()) {
             // A leader of an older term learns of ours, and ends; answers to what is long past mean
             // nothing.
-            if (message instanceof Message.Append || message instanceof Message.Piece) {
+            if (message instanceof Message.AppendRequest
+                    || message instanceof Message.SnapshotChunk) {
                 post(
-                        new Message.Appended(
+                        new Message.AppendResponse(
                                 id, message.from(), ballot.term(), false, 0, 0, 0, 0, 0, now),
                         needs());
             }
-        } else if (message instanceof Message.Vote vote && vote.trial() && vote.given()) {
-            if (role == Role.TRIAL && vote.term() == ballot.term() + 1) {
+        } else if (message instanceof Message.VoteResponse vote
+                && vote.preVote()
+                && vote.granted()) {
+            if (role == Role.PRE_CANDIDATE && vote.term() == ballot.term() + 1) {
                 counted(vote.from());
             }
         } else {
             if (message.term() > ballot.term()) {
                 follow(message.term(), 0);
             }
-            if (message instanceof Message.Vote vote) {
-                if (role == Role.CANDIDATE && vote.given() && !vote.trial()) {
+            if (message instanceof Message.VoteResponse vote) {
+                if (role == Role.CANDIDATE && vote.granted() && !vote.preVote()) {
                     counted(vote.from());
                 }
-            } else if (message instanceof Message.Append append) {
+            } else if (message instanceof Message.AppendRequest append) {
                 heard(append.from());
                 appended(append);
-            } else if (message instanceof Message.Piece piece) {
+            } else if (message instanceof Message.SnapshotChunk piece) {
                 heard(piece.from());
                 pieced(piece);
-            } else if (message instanceof Message.Appended answer) {
+            } else if (message instanceof Message.AppendResponse answer) {
                 answered(answer);
-            } else if (message instanceof Message.Taken taken) {
+            } else if (message instanceof Message.SnapshotChunkResponse taken) {
                 taken(taken);
-            } else if (message instanceof Message.Campaign
+            } else if (message instanceof Message.TimeoutNow
                     && diskWorks
-                    && members().votes(id)
+                    && membership().isVoter(id)
                     && role != Role.LEADER) {
                 campaign(false, true);
             }
@@ -479,20 +489,24 @@
 
     // ---- elections ------------------------------------------------------------------------------
 
-    private void asked(Message.Ask ask) {
+    private void asked(Message.VoteRequest ask) {
         boolean leading = role == Role.LEADER;
-        boolean bound = !ask.forced() && (leading || rules.loyal(now, heardAt, timing));
+        boolean bound =
+                !ask.leadershipTransfer()
+                        && (leading || rules.honorsCurrentLeader(now, heardAt, timing));
         if (ask.term() > ballot.term() && bound) {
             // Nothing is learned of its term: one that is cut off must not depose who works.
             return;
         }
         boolean fits =
-                rules.upToDate(ask.lastIndex(), ask.lastTerm(), log.last(), log.lastTerm())
+                rules.isLogUpToDate(
+                                ask.lastIndex(), ask.lastTerm(), log.lastIndex(), log.lastTerm())
                         && diskWorks;
-        if (ask.trial()) {
+        if (ask.preVote()) {
             boolean yes = ask.term() > ballot.term() && fits;
             post(
-                    new Message.Vote(id, ask.from(), yes ? ask.term() : ballot.term(), true, yes),
+                    new Message.VoteResponse(
+                            id, ask.from(), yes ? ask.term() : ballot.term(), true, yes),
                     needs());
             return;
         }
@@ -502,14 +516,14 @@
         boolean yes =
                 ask.term() == ballot.term()
                         && fits
-                        && (role == Role.FOLLOWER || role == Role.TRIAL)
-                        && rules.free(ballot, ask.from());
+                        && (role == Role.FOLLOWER || role == Role.PRE_CANDIDATE)
+                        && rules.mayVoteFor(ballot, ask.from());
         if (yes) {
             vote(new TermAndVote(ballot.term(), ask.from()));
             role = Role.FOLLOWER;
             rest();
         }
-        post(new Message.Vote(id, ask.from(), ballot.term(), false, yes), needs());
+        post(new Message.VoteResponse(id, ask.from(), ballot.term(), false, yes), needs());
     }
 
     private void vote(TermAndVote other) {
@@ -518,35 +532,41 @@
     }
 
     private void campaign(boolean trial, boolean forced) {
-        role = trial ? Role.TRIAL : Role.CANDIDATE;
+        role = trial ? Role.PRE_CANDIDATE : Role.CANDIDATE;
         leader = 0;
         given.clear();
         // Who still waits for the old leader refuses a trial, which harms nobody: it is made again
         // soon.
         campaignAt =
                 now
-                        + timing.election() / (trial ? 5 : 2)
-                        + chance.nextLong(timing.election() / (trial ? 5 : 2));
+                        + timing.electionTimeoutTicks() / (trial ? 5 : 2)
+                        + chance.nextLong(timing.electionTimeoutTicks() / (trial ? 5 : 2));
         if (!trial) {
             vote(new TermAndVote(ballot.term() + 1, id));
         }
         long term = trial ? ballot.term() + 1 : ballot.term();
-        for (Member member : members().all()) {
+        for (Member member : membership().all()) {
             if (member.id() != id && member.role() == Member.Role.VOTER) {
                 post(
-                        new Message.Ask(
-                                id, member.id(), term, log.last(), log.lastTerm(), trial, forced),
+                        new Message.VoteRequest(
+                                id,
+                                member.id(),
+                                term,
+                                log.lastIndex(),
+                                log.lastTerm(),
+                                trial,
+                                forced),
                         needs());
             }
         }
         // Its own vote counts once it is durable, like any other's.
-        post(new Message.Vote(id, id, term, trial, true), needs());
+        post(new Message.VoteResponse(id, id, term, trial, true), needs());
     }
 
     private void counted(long voter) {
         given.add(voter);
-        if (rules.quorum(members(), given::contains)) {
-            if (role == Role.TRIAL) {
+        if (rules.isQuorum(membership(), given::contains)) {
+            if (role == Role.PRE_CANDIDATE) {
                 campaign(false, false);
             } else {
                 lead();
@@ -562,24 +582,24 @@
         driftTold = false;
         followers.clear();
         roundAt = now;
-        for (Member member : members().all()) {
+        for (Member member : membership().all()) {
             if (member.id() != id) {
-                followers.put(member.id(), new Progress(member.id(), log.last() + 1, now));
+                followers.put(member.id(), new Progress(member.id(), log.lastIndex() + 1, now));
             }
         }
         notes.add(
                 "leads in term "
                         + ballot.term()
                         + " with "
-                        + log.last()
+                        + log.lastIndex()
                         + " entries, "
-                        + commit
+                        + commitIndex
                         + " known agreed");
-        add(Entry.start(log.last() + 1, ballot.term()));
+        add(Entry.start(log.lastIndex() + 1, ballot.term()));
         if (configs.lastKey() == 0) {
             // Who founded the cluster is told to those that come in with an empty log, like
             // everything else.
-            add(Entry.members(log.last() + 1, ballot.term(), members()));
+            add(Entry.members(log.lastIndex() + 1, ballot.term(), membership()));
         }
         speak();
     }
@@ -611,24 +631,24 @@
 
     // ---- the follower's log ---------------------------------------------------------------------
 
-    private void appended(Message.Append append) {
+    private void appended(Message.AppendRequest append) {
         List<Entry> entries = append.entries();
         long prev = append.prevIndex();
         long prevTerm = append.prevTerm();
         int known = 0;
         // What a snapshot stands for is agreed, and so the same.
-        while (prev < log.base() && known < entries.size()) {
+        while (prev < log.baseIndex() && known < entries.size()) {
             prev = entries.get(known).index();
             prevTerm = entries.get(known).term();
             known++;
         }
-        if (prev >= log.base() && !rules.same(prevTerm, log.term(prev))) {
-            long hint = Math.min(prev - 1, log.last());
-            while (hint > log.base() && log.term(hint) > prevTerm) {
+        if (prev >= log.baseIndex() && !rules.logsMatch(prevTerm, log.term(prev))) {
+            long hint = Math.min(prev - 1, log.lastIndex());
+            while (hint > log.baseIndex() && log.term(hint) > prevTerm) {
                 hint--;
             }
             post(
-                    new Message.Appended(
+                    new Message.AppendResponse(
                             id,
                             append.from(),
                             ballot.term(),
@@ -643,29 +663,32 @@
             return;
         }
         for (Entry entry : entries.subList(known, entries.size())) {
-            if (entry.index() <= log.last()
-                    && !rules.stands(entry.term(), log.term(entry.index()))) {
+            if (entry.index() <= log.lastIndex()
+                    && !rules.entriesMatch(entry.term(), log.term(entry.index()))) {
                 cut(entry.index());
             }
-            if (entry.index() == log.last() + 1) {
+            if (entry.index() == log.lastIndex() + 1) {
                 take(entry);
                 dirty = true;
                 unsavedFrom = Math.min(unsavedFrom, entry.index());
             }
         }
         long last = Math.max(prev, entries.isEmpty() ? 0 : entries.get(entries.size() - 1).index());
-        commit = Math.max(commit, Math.min(append.commit(), Math.min(last, log.last())));
+        commitIndex =
+                Math.max(
+                        commitIndex,
+                        Math.min(append.commitIndex(), Math.min(last, log.lastIndex())));
         // A disk that is behind does not make the member seem out of reach: what is durable is told
         // at once.
-        long ready = rules.waits() ? Math.min(last, saved) : last;
+        long ready = rules.persistsBeforeSending() ? Math.min(last, saved) : last;
         post(match(append, ready), dirtyBallot());
         if (ready < last) {
             post(match(append, last), needs());
         }
     }
 
-    private Message match(Message.Append append, long match) {
-        return new Message.Appended(
+    private Message match(Message.AppendRequest append, long match) {
+        return new Message.AppendResponse(
                 id,
                 append.from(),
                 ballot.term(),
@@ -679,7 +702,7 @@
     }
 
     private void cut(long from) {
-        log.cut(from);
+        log.truncateFrom(from);
         configs.tailMap(from, true).clear();
         saved = Math.min(saved, from - 1);
         savingUpTo = Math.min(savingUpTo, from - 1);
@@ -687,18 +710,19 @@
         dirty = true;
     }
 
-    private void pieced(Message.Piece piece) {
-        if (piece.index() <= log.last() && log.term(piece.index()) == piece.snapshotTerm()
-                || piece.index() <= commit) {
-            commit = Math.max(commit, Math.min(piece.index(), log.last()));
-            post(taken(piece, piece.total()), needs());
+    private void pieced(Message.SnapshotChunk piece) {
+        if (piece.snapshotIndex() <= log.lastIndex()
+                        && log.term(piece.snapshotIndex()) == piece.snapshotTerm()
+                || piece.snapshotIndex() <= commitIndex) {
+            commitIndex = Math.max(commitIndex, Math.min(piece.snapshotIndex(), log.lastIndex()));
+            post(taken(piece, piece.totalBytes()), needs());
             post(
-                    new Message.Appended(
+                    new Message.AppendResponse(
                             id,
                             piece.from(),
                             ballot.term(),
                             true,
-                            Math.min(piece.index(), saved),
+                            Math.min(piece.snapshotIndex(), saved),
                             0,
                             0,
                             piece.round(),
@@ -707,22 +731,23 @@
                     needs());
             return;
         }
-        if (piece.total() > LARGEST_SNAPSHOT) {
-            notes.add("a snapshot of " + piece.total() + " bytes is too large, left");
+        if (piece.totalBytes() > LARGEST_SNAPSHOT) {
+            notes.add("a snapshot of " + piece.totalBytes() + " bytes is too large, left");
             return;
         }
         if (coming == null
-                || coming.index() != piece.index()
+                || coming.snapshotIndex() != piece.snapshotIndex()
                 || coming.snapshotTerm() != piece.snapshotTerm()
                 || coming.checksum() != piece.checksum()
-                || coming.total() != piece.total()) {
+                || coming.totalBytes() != piece.totalBytes()) {
             coming = piece;
             came = new ByteArrayOutputStream();
         }
-        if (piece.offset() == came.size() && came.size() + piece.bytes().length <= piece.total()) {
+        if (piece.offset() == came.size()
+                && came.size() + piece.bytes().length <= piece.totalBytes()) {
             came.writeBytes(piece.bytes());
         }
-        if (came.size() < piece.total()) {
+        if (came.size() < piece.totalBytes()) {
             post(taken(piece, came.size()), 0);
             return;
         }
@@ -732,23 +757,24 @@
         if (Checksum.of(data) != piece.checksum()) {
             notes.add(
                     "snapshot of entry "
-                            + piece.index()
+                            + piece.snapshotIndex()
                             + " came corrupt from "
                             + name(piece.from())
                             + ", asked anew");
             post(taken(piece, 0), 0);
             return;
         }
-        install(new Snapshot(piece.index(), piece.snapshotTerm(), piece.members(), data));
-        notes.add("snapshot of entry " + piece.index() + " taken from " + name(piece.from()));
-        post(taken(piece, piece.total()), needs());
+        install(new Snapshot(piece.snapshotIndex(), piece.snapshotTerm(), piece.members(), data));
+        notes.add(
+                "snapshot of entry " + piece.snapshotIndex() + " taken from " + name(piece.from()));
+        post(taken(piece, piece.totalBytes()), needs());
         post(
-                new Message.Appended(
+                new Message.AppendResponse(
                         id,
                         piece.from(),
                         ballot.term(),
                         true,
-                        piece.index(),
+                        piece.snapshotIndex(),
                         0,
                         0,
                         piece.round(),
@@ -757,12 +783,12 @@
                 needs());
     }
 
-    private Message taken(Message.Piece piece, int offset) {
-        return new Message.Taken(
+    private Message taken(Message.SnapshotChunk piece, int offset) {
+        return new Message.SnapshotChunkResponse(
                 id,
                 piece.from(),
                 ballot.term(),
-                piece.index(),
+                piece.snapshotIndex(),
                 offset,
                 piece.round(),
                 piece.sentAt(),
@@ -774,7 +800,7 @@
         log.reset(other.index(), other.term());
         configs.clear();
         configs.put(other.index(), other.members());
-        commit = other.index();
+        commitIndex = other.index();
         saved = 0;
         savingUpTo = 0;
         unsavedFrom = Long.MAX_VALUE;
@@ -788,9 +814,10 @@
         take(entry);
         dirty = true;
         unsavedFrom = Math.min(unsavedFrom, entry.index());
-        for (Member member : members().all()) {
+        for (Member member : membership().all()) {
             if (member.id() != id) {
-                followers.computeIfAbsent(member.id(), key -> new Progress(key, log.last(), now));
+                followers.computeIfAbsent(
+                        member.id(), key -> new Progress(key, log.lastIndex(), now));
             }
         }
         return entry.index();
@@ -801,7 +828,7 @@
         round++;
         roundAt = now;
         wordAt = now;
-        tellFrom = commit + 1;
+        tellFrom = commitIndex + 1;
         for (Progress progress : followers.values()) {
             progress.probing = false;
             if (!send(progress)) {
@@ -815,19 +842,19 @@
     private boolean send(Progress progress) {
         boolean any = false;
         if (progress.way == Progress.Way.SNAPSHOT) {
-            return now >= progress.pieceAt + timing.heartbeat() && piece(progress);
+            return now >= progress.pieceAt + timing.heartbeatIntervalTicks() && piece(progress);
         }
         while (progress.way == Progress.Way.REPLICATE
-                ? progress.next <= log.last() && progress.flight.size() < FLIGHT
+                ? progress.next <= log.lastIndex() && progress.flight.size() < FLIGHT
                 : !progress.probing) {
-            if (progress.next <= log.base()) {
+            if (progress.next <= log.baseIndex()) {
                 progress.snapshot(snapshot, Checksum.of(snapshot.data()));
                 return piece(progress);
             }
             List<Entry> entries =
-                    progress.next > log.last()
+                    progress.next > log.lastIndex()
                             ? List.of()
-                            : log.from(progress.next, timing.batch(), MOST_BYTES);
+                            : log.from(progress.next, timing.maxBatchEntries(), MOST_BYTES);
             append(progress, entries);
             any = true;
             if (progress.way == Progress.Way.PROBE) {
@@ -842,13 +869,13 @@
 
     private void append(Progress progress, List<Entry> entries) {
         post(
-                new Message.Append(
+                new Message.AppendRequest(
                         id,
                         progress.id,
                         ballot.term(),
                         progress.next - 1,
                         log.term(progress.next - 1),
-                        commit,
+                        commitIndex,
                         round,
                         roundAt,
                         entries),
@@ -859,7 +886,7 @@
     private void word(Progress progress) {
         if (progress.way == Progress.Way.SNAPSHOT) {
             post(
-                    new Message.Append(
+                    new Message.AppendRequest(
                             id, progress.id, ballot.term(), 0, 0, 0, round, roundAt, List.of()),
                     0);
         } else {
@@ -872,7 +899,7 @@
         int end = Math.min(sent.data().length, progress.offset + PIECE);
         progress.pieceAt = now;
         post(
-                new Message.Piece(
+                new Message.SnapshotChunk(
                         id,
                         progress.id,
                         ballot.term(),
@@ -889,30 +916,31 @@
         return true;
     }
 
-    private void answered(Message.Appended answer) {
+    private void answered(Message.AppendResponse answer) {
         Progress progress = followers.get(answer.from());
         if (role != Role.LEADER || progress == null) {
             return;
         }
-        hear(progress, answer.round(), answer.sentAt(), answer.clock());
-        if (!answer.ok()) {
+        hear(progress, answer.round(), answer.sentAt(), answer.followerClock());
+        if (!answer.success()) {
             boolean stale =
-                    answer.refused() <= progress.match
+                    answer.rejectedIndex() <= progress.match
                             || progress.way == Progress.Way.PROBE
-                                    && answer.refused() != progress.next - 1;
+                                    && answer.rejectedIndex() != progress.next - 1;
             if (!stale && progress.way != Progress.Way.SNAPSHOT) {
-                long hint = Math.min(answer.match(), log.last());
-                while (hint > log.base() && log.term(hint) > answer.hintTerm()) {
+                long hint = Math.min(answer.matchIndex(), log.lastIndex());
+                while (hint > log.baseIndex() && log.term(hint) > answer.conflictTerm()) {
                     hint--;
                 }
                 progress.probe(hint + 1);
             }
         } else {
-            progress.match = Math.max(progress.match, answer.match());
+            progress.match = Math.max(progress.match, answer.matchIndex());
             while (!progress.flight.isEmpty() && progress.flight.getFirst() <= progress.match) {
                 progress.flight.removeFirst();
             }
-            boolean met = progress.way == Progress.Way.PROBE && answer.match() >= progress.next - 1;
+            boolean met =
+                    progress.way == Progress.Way.PROBE && answer.matchIndex() >= progress.next - 1;
             boolean installed =
                     progress.way == Progress.Way.SNAPSHOT
                             && progress.match >= progress.sending.index();
@@ -929,15 +957,16 @@
         }
     }
 
-    private void taken(Message.Taken taken) {
+    private void taken(Message.SnapshotChunkResponse taken) {
         Progress progress = followers.get(taken.from());
         if (role != Role.LEADER || progress == null) {
             return;
         }
-        hear(progress, taken.round(), taken.sentAt(), taken.clock());
-        if (progress.way == Progress.Way.SNAPSHOT && taken.index() == progress.sending.index()) {
-            boolean moved = taken.offset() != progress.offset;
-            progress.offset = Math.min(taken.offset(), progress.sending.data().length);
+        hear(progress, taken.round(), taken.sentAt(), taken.followerClock());
+        if (progress.way == Progress.Way.SNAPSHOT
+                && taken.snapshotIndex() == progress.sending.index()) {
+            boolean moved = taken.receivedBytes() != progress.offset;
+            progress.offset = Math.min(taken.receivedBytes(), progress.sending.data().length);
             if (moved && progress.offset < progress.sending.data().length) {
                 piece(progress);
             }
@@ -946,7 +975,7 @@
 
     private void hear(Progress progress, long answeredRound, long sentAt, long clock) {
         progress.answered(now, answeredRound, sentAt, clock);
-        if (progress.clock.apart() > timing.drift() && !driftTold) {
+        if (progress.clock.driftRatio() > timing.maxClockDriftRatio() && !driftTold) {
             driftTold = true;
             notes.add(
                     "the clock of "
@@ -959,9 +988,9 @@
     /** Lets reads go whose round most have answered. */
     private void confirm() {
         long of =
-                members()
+                membership()
                         .reachedBy(
-                                rules.needed(members()),
+                                rules.quorumSize(membership()),
                                 member ->
                                         member == id
                                                 ? round
@@ -969,17 +998,17 @@
                                                         ? followers.get(member).round
                                                         : 0);
         while (!reads.isEmpty()
-                && rules.confirmed(of, reads.getFirst().round)
-                && rules.knows(log.term(commit), ballot.term())) {
-            confirmed.add(new Read(reads.removeFirst().token, 0, commit));
+                && rules.isReadConfirmed(of, reads.getFirst().round)
+                && rules.knowsCommitIndex(log.term(commitIndex), ballot.term())) {
+            confirmed.add(new Read(reads.removeFirst().token, 0, commitIndex));
         }
     }
 
     /** When most of the voters, this one with them, were last heard from. */
     private long contactAt() {
-        return members()
+        return membership()
                 .reachedBy(
-                        rules.needed(members()),
+                        rules.quorumSize(membership()),
                         member ->
                                 member == id
                                         ? now
@@ -990,40 +1019,40 @@
 
     private boolean leaseHolds() {
         if (role != Role.LEADER
-                || !timing.leases()
+                || !timing.leaseReads()
                 || driftTold
-                || !rules.leased(handedOver)
-                || !rules.knows(log.term(commit), ballot.term())) {
+                || !rules.mayHoldLease(handedOver)
+                || !rules.knowsCommitIndex(log.term(commitIndex), ballot.term())) {
             return false;
         }
         long sentAt =
-                members()
+                membership()
                         .reachedBy(
-                                rules.needed(members()),
+                                rules.quorumSize(membership()),
                                 member ->
                                         member == id
                                                 ? now
                                                 : followers.containsKey(member)
                                                         ? followers.get(member).sentAt
                                                         : Long.MIN_VALUE / 2);
-        return now < rules.lease(sentAt, timing);
+        return now < rules.leaseExpiry(sentAt, timing);
     }
 
     private void advance() {
         long reached =
-                members()
+                membership()
                         .reachedBy(
-                                rules.needed(members()),
+                                rules.quorumSize(membership()),
                                 member ->
                                         member == id
                                                 ? saved
                                                 : followers.containsKey(member)
                                                         ? followers.get(member).match
                                                         : 0);
-        reached = Math.min(reached, log.last());
-        if (reached > commit && rules.countable(log.term(reached), ballot.term())) {
-            commit = reached;
-            if (configs.lastKey() <= commit) {
+        reached = Math.min(reached, log.lastIndex());
+        if (reached > commitIndex && rules.mayCommitByCounting(log.term(reached), ballot.term())) {
+            commitIndex = reached;
+            if (configs.lastKey() <= commitIndex) {
                 retire();
             }
         }
@@ -1032,11 +1061,11 @@
     /** Members that were removed hear of it once, and a leader that was removed ends. */
     private void retire() {
         List<Long> removed = new ArrayList<>(followers.keySet());
-        removed.removeIf(member -> members().get(member) != null);
+        removed.removeIf(member -> membership().get(member) != null);
         for (long member : removed) {
             word(followers.remove(member));
         }
-        if (!members().votes(id)) {
+        if (!membership().isVoter(id)) {
             speak();
             notes.add("no longer a voting member, no longer leading");
             follow(ballot.term(), 0);
@@ -1044,13 +1073,13 @@
     }
 
     private void admitJoining() {
-        for (Member member : List.copyOf(members().all())) {
+        for (Member member : List.copyOf(membership().all())) {
             Progress progress = followers.get(member.id());
             if (member.role() == Member.Role.JOINING
                     && progress != null
-                    && progress.match + CLOSE >= commit
+                    && progress.match + CLOSE >= commitIndex
                     && progress.way == Progress.Way.REPLICATE
-                    && change(member.as(Member.Role.VOTER), false) == null) {
+                    && changeMembership(member.as(Member.Role.VOTER), false) == null) {
                 notes.add(member.name() + " has caught up and votes");
                 return;
             }
@@ -1063,14 +1092,14 @@
      * What a message that is made now must wait for, to be a promise that a crash does not break.
      */
     private long needs() {
-        return !rules.waits() ? 0 : dirty ? tickets + 1 : saving;
+        return !rules.persistsBeforeSending() ? 0 : dirty ? tickets + 1 : saving;
     }
 
     /**
      * The same for what rests on the ballot alone, which a save of entries alone need not hold up.
      */
     private long dirtyBallot() {
-        return !rules.waits() || ballot.equals(savedBallot) ? 0 : needs();
+        return !rules.persistsBeforeSending() || ballot.equals(savedBallot) ? 0 : needs();
     }
 
     private void post(Message message, long ticket) {
@@ -1078,7 +1107,7 @@
     }
 
     /** Takes one decision, if there is one to take now. */
-    public boolean decide(RaftOutput effects) {
+    public boolean poll(RaftOutput effects) {
         if (savedTicket >= tickets) {
             savedBallot = savingBallot;
         }
@@ -1086,7 +1115,7 @@
             effects.log(notes.remove());
         } else if (role == Role.LEADER
                 && (!reads.isEmpty() && reads.getLast().round > round
-                        || tellFrom <= commit && commit == log.last())) {
+                        || tellFrom <= commitIndex && commitIndex == log.lastIndex())) {
             // Followers hear at once of what was agreed, where nothing is on the way that would
             // tell them
             // later.
@@ -1099,17 +1128,17 @@
             save(effects);
         } else if (unrestored != null && saving == 0 && !dirty) {
             effects.restore(unrestored);
-            applied = unrestored.index();
+            appliedIndex = unrestored.index();
             unrestored = null;
         } else if (unrestored == null
                 && unsavedSnapshot == null
-                && applied < Math.min(commit, saved)) {
-            applied++;
-            effects.apply(log.get(applied));
+                && appliedIndex < Math.min(commitIndex, saved)) {
+            appliedIndex++;
+            effects.apply(log.get(appliedIndex));
         } else if (!refusedReads.isEmpty()) {
-            effects.unreadable(refusedReads.removeFirst());
-        } else if (!confirmed.isEmpty() && applied >= confirmed.getFirst().index) {
-            effects.readable(confirmed.removeFirst().token);
+            effects.readRejected(refusedReads.removeFirst());
+        } else if (!confirmed.isEmpty() && appliedIndex >= confirmed.getFirst().index) {
+            effects.readReady(confirmed.removeFirst().token);
         } else {
             return false;
         }
@@ -1145,7 +1174,7 @@
 
     private void save(RaftOutput effects) {
         saving = ++tickets;
-        savingUpTo = log.last();
+        savingUpTo = log.lastIndex();
         savingBallot = ballot;
         dirty = false;
         Snapshot install = unsavedSnapshot;
@@ -1154,12 +1183,14 @@
         long from = unsavedFrom;
         unsavedFrom = Long.MAX_VALUE;
         List<Entry> entries =
-                from > log.last() ? List.of() : log.from(from, Integer.MAX_VALUE, Long.MAX_VALUE);
-        effects.save(saving, ballot, from == Long.MAX_VALUE ? 0 : from, entries, install);
+                from > log.lastIndex()
+                        ? List.of()
+                        : log.from(from, Integer.MAX_VALUE, Long.MAX_VALUE);
+        effects.persist(saving, ballot, from == Long.MAX_VALUE ? 0 : from, entries, install);
     }
 
     private String name(long member) {
-        Member known = members().get(member);
+        Member known = membership().get(member);
         return known == null ? "member " + Long.toHexString(member) : known.name();
     }
 
@@ -1173,9 +1204,9 @@
                         .append(ballot)
                         .append(leader)
                         .append('|')
-                        .append(commit)
+                        .append(commitIndex)
                         .append(',')
-                        .append(applied)
+                        .append(appliedIndex)
                         .append(',')
                         .append(saved)
                         .append(',')
@@ -1183,8 +1214,8 @@
                         .append(dirty)
                         .append(given)
                         .append(held)
-                        .append(members());
-        for (long i = log.base(); i <= log.last(); i++) {
+                        .append(membership());
+        for (long i = log.baseIndex(); i <= log.lastIndex(); i++) {
             text.append(' ').append(log.term(i));
         }
         followers
--- a/src/main/java/rockshift/raft/RaftOutput.java
+++ b/src/main/java/rockshift/raft/RaftOutput.java
@@ -12,7 +12,8 @@
      *     0 if none changed
      * @param snapshot replaces all entries, before the others are written; null if there is none
      */
-    void save(long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot);
+    void persist(
+            long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot);
 
     void send(Message message);
 
@@ -23,10 +24,10 @@
     void restore(Snapshot snapshot);
 
     /** What is applied by now answers the read of that token. */
-    void readable(long token);
+    void readReady(long token);
 
     /** The read of that token can't be answered here: ask the leader. */
-    void unreadable(long token);
+    void readRejected(long token);
 
     void log(String line);
 }
--- a/src/main/java/rockshift/raft/SafetyRules.java
+++ b/src/main/java/rockshift/raft/SafetyRules.java
@@ -8,34 +8,34 @@
  */
 public class SafetyRules {
     /** A member gives one vote a term. */
-    protected boolean free(TermAndVote ballot, long candidate) {
-        return ballot.vote() == 0 || ballot.vote() == candidate;
+    protected boolean mayVoteFor(TermAndVote ballot, long candidate) {
+        return ballot.votedFor() == 0 || ballot.votedFor() == candidate;
     }
 
     /** A candidate's log ends no earlier than the voter's: so it holds all that is committed. */
-    protected boolean upToDate(long lastIndex, long lastTerm, long ownIndex, long ownTerm) {
+    protected boolean isLogUpToDate(long lastIndex, long lastTerm, long ownIndex, long ownTerm) {
         return lastTerm > ownTerm || lastTerm == ownTerm && lastIndex >= ownIndex;
     }
 
     /** More than half of the voters. */
-    protected boolean quorum(Membership members, LongPredicate agrees) {
-        return members.counted(agrees) >= needed(members);
+    protected boolean isQuorum(Membership members, LongPredicate agrees) {
+        return members.countVoters(agrees) >= quorumSize(members);
     }
 
-    protected long needed(Membership members) {
-        return members.voters() / 2 + 1;
+    protected long quorumSize(Membership members) {
+        return members.voterCount() / 2 + 1;
     }
 
     /**
      * A leader counts copies of its own term's entries only: older ones can be overwritten though
      * most hold them.
      */
-    protected boolean countable(long entryTerm, long term) {
+    protected boolean mayCommitByCounting(long entryTerm, long term) {
         return entryTerm == term;
     }
 
     /** The logs are the same up to an entry if they have the same term there. */
-    protected boolean same(long prevTerm, long ownTerm) {
+    protected boolean logsMatch(long prevTerm, long ownTerm) {
         return prevTerm == ownTerm;
     }
 
@@ -43,7 +43,7 @@
      * An entry that stands here already is kept, with all after it: an old message must not cut
      * what came later.
      */
-    protected boolean stands(long entryTerm, long ownTerm) {
+    protected boolean entriesMatch(long entryTerm, long ownTerm) {
         return entryTerm == ownTerm;
     }
 
@@ -51,50 +51,51 @@
      * Who has heard from a leader, or has just started, may have promised it a lease: no other gets
      * a vote.
      */
-    protected boolean loyal(long now, long heardAt, Timing timing) {
-        return now < heardAt + timing.election();
+    protected boolean honorsCurrentLeader(long now, long heardAt, Timing timing) {
+        return now < heardAt + timing.electionTimeoutTicks();
     }
 
     /** Until when no other leader can be, as most answered what was sent at a time. */
-    protected long lease(long sentAt, Timing timing) {
-        return sentAt + (long) (timing.election() * (1 - timing.drift()));
+    protected long leaseExpiry(long sentAt, Timing timing) {
+        return sentAt + (long) (timing.electionTimeoutTicks() * (1 - timing.maxClockDriftRatio()));
     }
 
     /**
      * Whether a leader that may once have handed over holds leases: who was told to campaign is not
      * bound by them.
      */
-    protected boolean leased(boolean handedOver) {
+    protected boolean mayHoldLease(boolean handedOver) {
         return !handedOver;
     }
 
     /** A read is answered once most have answered a round begun after it came. */
-    protected boolean confirmed(long roundOfQuorum, long roundOfRead) {
+    protected boolean isReadConfirmed(long roundOfQuorum, long roundOfRead) {
         return roundOfQuorum >= roundOfRead;
     }
 
     /** A new leader knows what is committed only by an entry of its own term. */
-    protected boolean knows(long commitTerm, long term) {
+    protected boolean knowsCommitIndex(long commitTerm, long term) {
         return commitTerm == term;
     }
 
     /** One change of members at a time, and the first of a term only on committed ground. */
-    protected boolean settled(long membersIndex, long commit, long commitTerm, long term) {
+    protected boolean mayChangeMembership(
+            long membersIndex, long commit, long commitTerm, long term) {
         return membersIndex <= commit && commitTerm == term;
     }
 
     /** Whether a promise waits until what it rests on is durable. */
-    protected boolean waits() {
+    protected boolean persistsBeforeSending() {
         return true;
     }
 
     /** Whether a candidate asks first whether it would win. */
-    protected boolean asksFirst() {
+    protected boolean usesPreVote() {
         return true;
     }
 
     /** A change of a session is new if its serial is beyond the last one applied. */
-    protected boolean isNew(long serial, long last) {
+    protected boolean isNewSerial(long serial, long last) {
         return serial > last;
     }
 }
--- a/src/main/java/rockshift/server/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/server/AgreedChangesReceiver.java
@@ -24,7 +24,7 @@
             listed.clear();
         }
         for (Endpoint entry : listing.entries()) {
-            String name = listing.names().get(entry.replica());
+            String name = listing.names().get(entry.replicaId());
             if (entry.health() == Endpoint.Health.GONE) {
                 listed.remove(name);
             } else {
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -92,7 +92,7 @@
                 queued,
                 now -> {
                     tables.joined(proxy, stream);
-                    logic.joined(now, proxy, zone, usualRate);
+                    logic.proxyJoined(now, proxy, zone, usualRate);
                 });
     }
 
@@ -102,7 +102,7 @@
                 now -> {
                     if (tables.current(proxy, stream)) {
                         tables.left(proxy);
-                        logic.left(now, proxy);
+                        logic.proxyLeft(now, proxy);
                     }
                 });
     }
@@ -112,7 +112,7 @@
                 queued,
                 now -> {
                     if (tables.current(proxy, stream)) {
-                        logic.caughtUp(now, proxy, serial);
+                        logic.proxyAcknowledged(now, proxy, serial);
                     }
                 });
     }
@@ -127,11 +127,12 @@
             long span,
             Double busy) {
         return offer(
-                queued, now -> logic.heard(now, zone, replica, count, failed, took, span, busy));
+                queued,
+                now -> logic.recordLoadReport(now, zone, replica, count, failed, took, span, busy));
     }
 
     boolean usage(AtomicInteger queued, int proxy, String type, int count, long span) {
-        return offer(queued, now -> logic.usage(now, proxy, type, count, span));
+        return offer(queued, now -> logic.recordUsage(now, proxy, type, count, span));
     }
 
     /** What staff agreed is never refused: it comes as it changes, whole. */
@@ -139,13 +140,13 @@
         queue.add(
                 now -> {
                     tables.agreed();
-                    logic.agreed(now, version, out, terms);
+                    logic.applyAgreedChanges(now, version, out, terms);
                     inForce.run();
                 });
     }
 
     void reach(ControlScope reach) {
-        queue.add(now -> logic.reach(now, reach));
+        queue.add(now -> logic.setControlScope(now, reach));
     }
 
     /** A list is never refused: it comes one at a time. */
@@ -154,7 +155,7 @@
         queue.add(
                 now -> {
                     tables.listed(entries, changes, names);
-                    logic.listed(now, entries, changes);
+                    logic.updateEndpoints(now, entries, changes);
                 });
     }
 
@@ -193,7 +194,7 @@
         inputs.clear();
         if (now >= wakeAt) {
             wakeAt = Long.MAX_VALUE;
-            guarded(() -> logic.woken(now));
+            guarded(() -> logic.timerFired(now));
         }
         guarded(this::decide);
         return now;
@@ -201,7 +202,7 @@
 
     private void decide() {
         try {
-            while (logic.decide(tables)) {
+            while (logic.decideNext(tables)) {
                 continue;
             }
         } finally {
--- a/src/main/java/rockshift/server/PublishedTables.java
+++ b/src/main/java/rockshift/server/PublishedTables.java
@@ -152,9 +152,9 @@
      */
     void listed(List<Endpoint> entries, boolean changes, Map<Long, String> called) {
         for (Endpoint entry : entries) {
-            boolean before = !changes || names.containsKey(entry.replica());
-            if (entry.health() != Endpoint.Health.READY || entry.started() > 0 && before) {
-                suspect.add(entry.replica());
+            boolean before = !changes || names.containsKey(entry.replicaId());
+            if (entry.health() != Endpoint.Health.READY || entry.startedAtTicks() > 0 && before) {
+                suspect.add(entry.replicaId());
             }
         }
         if (suspect.size() > MOST_SUSPECT) {
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public int line(int table, long replica, double weight) {
+    public int setTableEntry(int table, long replica, double weight) {
         Table to = changed(table);
         boolean enters = weight > 0 && !to.lines.containsKey(replica);
         to.newLines.put(replica, weight);
@@ -230,7 +230,7 @@
      * of each replica in its table that may ever have been shut out whether it may send there.
      */
     @Override
-    public int bind(int table, int proxy, ClassSet classes) {
+    public int bindProxy(int table, int proxy, ClassSet classes) {
         Seat seat = seats.get(proxy);
         if (seat == null) {
             return 0;
@@ -245,7 +245,7 @@
     }
 
     @Override
-    public int withdraw(long replica, boolean out, int proxy) {
+    public int notifyDraining(long replica, boolean out, int proxy) {
         if (out) {
             withdrawn.add(replica);
         } else {
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public void admit(int table, ClassSet classes, double level, int again) {
+    public void setAdmissionLevel(int table, ClassSet classes, double level, int again) {
         Table to = changed(table);
         Level admitted = new Level(classes, level, again);
         to.levels.put(classes, admitted);
@@ -266,18 +266,18 @@
     }
 
     @Override
-    public void mark(int serial) {
+    public void requestAcknowledgement(int serial) {
         this.serial = serial;
     }
 
     @Override
-    public void wake(long delay) {
+    public void wakeAfter(long delay) {
         waker.accept(delay);
     }
 
     /** A proxy that still keeps off it is told otherwise as soon as a table names it again. */
     @Override
-    public void forget(long replica) {
+    public void forgetReplica(long replica) {
         names.remove(replica);
         withdrawn.remove(replica);
         shut.values().forEach(kept -> kept.remove(replica));
@@ -344,7 +344,7 @@
     }
 
     @Override
-    public int messages(int proxy) {
+    public int messageCount(int proxy) {
         Seat seat = seats.get(proxy);
         int parts = 0;
         if (seat != null) {
--- a/src/main/java/rockshift/server/UpdateMessage.java
+++ b/src/main/java/rockshift/server/UpdateMessage.java
@@ -17,7 +17,8 @@
 
     /** How many messages so many parts take. */
     static int messages(int parts) {
-        return (parts + ProxyCommands.MOST_PARTS - 1) / ProxyCommands.MOST_PARTS;
+        return (parts + ProxyCommands.MAX_PARTS_PER_MESSAGE - 1)
+                / ProxyCommands.MAX_PARTS_PER_MESSAGE;
     }
 
     boolean isEmpty() {
@@ -46,7 +47,8 @@
     byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int i = 1; i < parts.size(); i++) {
-            parts.get(i - 1).write(i % ProxyCommands.MOST_PARTS == 0 ? List.of() : MORE, bytes);
+            parts.get(i - 1)
+                    .write(i % ProxyCommands.MAX_PARTS_PER_MESSAGE == 0 ? List.of() : MORE, bytes);
         }
         parts.get(parts.size() - 1).write(end, bytes);
         return bytes.toByteArray();
--- a/src/main/java/rockshift/testkit/FaultInjection.java
+++ b/src/main/java/rockshift/testkit/FaultInjection.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
+import rockshift.raft.ClientSessions;
 import rockshift.raft.SafetyRules;
-import rockshift.raft.Sessions;
 import rockshift.raft.TermAndVote;
 
 /**
@@ -26,7 +26,7 @@
     }
 
     /** The sessions as a member takes them from its own disk. */
-    public List<Sessions.Session> recovered(List<Sessions.Session> sessions) {
+    public List<ClientSessions.Session> recovered(List<ClientSessions.Session> sessions) {
         return sessions;
     }
 
--- a/src/main/java/rockshift/wire/RaftCodec.java
+++ b/src/main/java/rockshift/wire/RaftCodec.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import rockshift.raft.ClientSessions;
 import rockshift.raft.Entry;
 import rockshift.raft.Member;
 import rockshift.raft.Membership;
 import rockshift.raft.Message;
-import rockshift.raft.Sessions;
 import rockshift.raft.Snapshot;
 import rockshift.raft.TermAndVote;
 
@@ -47,7 +47,7 @@
         in.startArray();
         List<Member> all = new ArrayList<>();
         while (in.more()) {
-            if (all.size() >= Membership.MOST) {
+            if (all.size() >= Membership.MAX_MEMBERS) {
                 throw new IOException("no list of members");
             }
             long id = in.currentNumber();
@@ -73,7 +73,7 @@
                 session,
                 serial,
                 body,
-                kind == Entry.Kind.MEMBERS ? members : null);
+                kind == Entry.Kind.MEMBERSHIP ? members : null);
     }
 
     public static byte[] entry(Entry entry) throws IOException {
@@ -93,7 +93,7 @@
     }
 
     public static byte[] ballot(TermAndVote ballot) throws IOException {
-        return numbers(ballot.term(), ballot.vote());
+        return numbers(ballot.term(), ballot.votedFor());
     }
 
     public static byte[] numbers(long... numbers) throws IOException {
@@ -135,11 +135,12 @@
     }
 
     /** The data of a snapshot: the sessions, and the machine's own image. */
-    public static byte[] image(List<Sessions.Session> sessions, byte[] machine) throws IOException {
+    public static byte[] image(List<ClientSessions.Session> sessions, byte[] machine)
+            throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
         writer.add(sessions.size());
-        for (Sessions.Session session : sessions) {
+        for (ClientSessions.Session session : sessions) {
             writer.add(session.id(), session.serial());
             writer.binary(session.answer());
         }
@@ -148,12 +149,13 @@
         return writer.end();
     }
 
-    public static void restore(byte[] image, Sessions into) throws IOException {
+    public static void restore(byte[] image, ClientSessions into) throws IOException {
         CborReader reader = new CborReader(image, 0, image.length);
         reader.startArray();
-        List<Sessions.Session> sessions = new ArrayList<>();
-        for (int count = reader.whole(Sessions.MOST); count > 0; count--) {
-            sessions.add(new Sessions.Session(reader.number(), reader.number(), reader.bytes()));
+        List<ClientSessions.Session> sessions = new ArrayList<>();
+        for (int count = reader.whole(ClientSessions.MAX_SESSIONS); count > 0; count--) {
+            sessions.add(
+                    new ClientSessions.Session(reader.number(), reader.number(), reader.bytes()));
         }
         byte[] machine = reader.bytes();
         reader.end();
@@ -197,44 +199,55 @@
         CborWriter w = new CborWriter();
         w.startArray();
         int kind =
-                message instanceof Message.Ask
+                message instanceof Message.VoteRequest
                         ? 0
-                        : message instanceof Message.Vote
+                        : message instanceof Message.VoteResponse
                                 ? 1
-                                : message instanceof Message.Append
+                                : message instanceof Message.AppendRequest
                                         ? 2
-                                        : message instanceof Message.Appended
+                                        : message instanceof Message.AppendResponse
                                                 ? 3
-                                                : message instanceof Message.Piece
+                                                : message instanceof Message.SnapshotChunk
                                                         ? 4
-                                                        : message instanceof Message.Taken ? 5 : 6;
+                                                        : message
+                                                                        instanceof
+                                                                        Message
+                                                                                .SnapshotChunkResponse
+                                                                ? 5
+                                                                : 6;
         w.add(kind, message.from(), message.to(), message.term());
-        if (message instanceof Message.Ask m) {
-            w.add(m.lastIndex(), m.lastTerm()).flag(m.trial(), m.forced());
-        } else if (message instanceof Message.Vote m) {
-            w.flag(m.trial(), m.given());
-        } else if (message instanceof Message.Append m) {
+        if (message instanceof Message.VoteRequest m) {
+            w.add(m.lastIndex(), m.lastTerm()).flag(m.preVote(), m.leadershipTransfer());
+        } else if (message instanceof Message.VoteResponse m) {
+            w.flag(m.preVote(), m.granted());
+        } else if (message instanceof Message.AppendRequest m) {
             w.add(
                     m.prevIndex(),
                     m.prevTerm(),
-                    m.commit(),
+                    m.commitIndex(),
                     m.round(),
                     m.sentAt(),
                     m.entries().size());
             for (Entry entry : m.entries()) {
                 write(w, entry);
             }
-        } else if (message instanceof Message.Appended m) {
-            w.flag(m.ok())
-                    .add(m.match(), m.hintTerm(), m.refused(), m.round(), m.sentAt(), m.clock());
-        } else if (message instanceof Message.Piece m) {
-            w.add(m.index(), m.snapshotTerm());
+        } else if (message instanceof Message.AppendResponse m) {
+            w.flag(m.success())
+                    .add(
+                            m.matchIndex(),
+                            m.conflictTerm(),
+                            m.rejectedIndex(),
+                            m.round(),
+                            m.sentAt(),
+                            m.followerClock());
+        } else if (message instanceof Message.SnapshotChunk m) {
+            w.add(m.snapshotIndex(), m.snapshotTerm());
             write(w, m.members());
-            w.add(m.total(), m.checksum(), m.offset());
+            w.add(m.totalBytes(), m.checksum(), m.offset());
             w.binary(m.bytes());
             w.add(m.round(), m.sentAt());
-        } else if (message instanceof Message.Taken m) {
-            w.add(m.index(), m.offset(), m.round(), m.sentAt(), m.clock());
+        } else if (message instanceof Message.SnapshotChunkResponse m) {
+            w.add(m.snapshotIndex(), m.receivedBytes(), m.round(), m.sentAt(), m.followerClock());
         }
         w.endArray();
         return w.end();
@@ -250,21 +263,21 @@
         Message message =
                 switch (kind) {
                     case 0 ->
-                            new Message.Ask(
+                            new Message.VoteRequest(
                                     from, to, term, r.number(), r.number(), r.flag(), r.flag());
-                    case 1 -> new Message.Vote(from, to, term, r.flag(), r.flag());
+                    case 1 -> new Message.VoteResponse(from, to, term, r.flag(), r.flag());
                     case 2 -> {
                         long[] head = {r.number(), r.number(), r.number(), r.number(), r.number()};
                         List<Entry> entries = new ArrayList<>();
                         for (int count = r.whole(Integer.MAX_VALUE); count > 0; count--) {
                             entries.add(readEntry(r));
                         }
-                        yield new Message.Append(
+                        yield new Message.AppendRequest(
                                 from, to, term, head[0], head[1], head[2], head[3], head[4],
                                 entries);
                     }
                     case 3 ->
-                            new Message.Appended(
+                            new Message.AppendResponse(
                                     from,
                                     to,
                                     term,
@@ -276,7 +289,7 @@
                                     r.number(),
                                     r.number());
                     case 4 ->
-                            new Message.Piece(
+                            new Message.SnapshotChunk(
                                     from,
                                     to,
                                     term,
@@ -290,7 +303,7 @@
                                     r.number(),
                                     r.number());
                     case 5 ->
-                            new Message.Taken(
+                            new Message.SnapshotChunkResponse(
                                     from,
                                     to,
                                     term,
@@ -299,7 +312,7 @@
                                     r.number(),
                                     r.number(),
                                     r.number());
-                    default -> new Message.Campaign(from, to, term);
+                    default -> new Message.TimeoutNow(from, to, term);
                 };
         r.end();
         return message;
