--- a/src/main/java/rockshift/capacity/ChangeLoad.java
+++ b/src/main/java/rockshift/capacity/ChangeLoad.java
@@ -28,7 +28,6 @@
     private final List<String> members;
     private final int count;
     private final double millisBetween;
-    private final Scenario scenario;
     private final ScaleChecker checker;
     private final SplittableRandom random;
     private final Map<String, Change> held = new TreeMap<>();
@@ -37,7 +36,6 @@
 
     ChangeLoad(List<String> members, Scenario scenario, ScaleChecker checker) {
         this.members = members;
-        this.scenario = scenario;
         this.checker = checker;
         count = scenario.changes();
         millisBetween = scenario.millisBetweenChanges();
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -25,7 +25,7 @@
     /**
      * @param election tenths of a ms
      */
-    public Freshness(long election) {
+    Freshness(long election) {
         electionMs = election / TENTHS_PER_MILLI;
     }
 
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -275,7 +275,7 @@
         if (message instanceof DistributionMessage.SnapshotPart part) {
             take(part, now);
         } else if (message instanceof DistributionMessage.Difference difference) {
-            take(difference, now);
+            take(difference);
         } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
             take(heartbeat, now);
         } else if (message instanceof DistributionMessage.Notice notice) {
@@ -311,7 +311,7 @@
         effects.snapshot(whole.revision(), whole.items());
     }
 
-    private void take(DistributionMessage.Difference difference, long now) throws Refusal {
+    private void take(DistributionMessage.Difference difference) throws Refusal {
         if (assembly != null) {
             throw new Refusal(RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
         }
--- a/src/main/java/rockshift/distribution/wire/SubscriberPort.java
+++ b/src/main/java/rockshift/distribution/wire/SubscriberPort.java
@@ -40,7 +40,7 @@
 
         void connected(long connection);
 
-        public void received(long connection, DistributionMessage message);
+        void received(long connection, DistributionMessage message);
 
         void refused(long connection, RejectionReason reason, String place);
 
--- a/src/main/java/rockshift/distribution/wire/UpstreamPort.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamPort.java
@@ -72,7 +72,7 @@
                     });
         }
 
-        protected void failed(String why) {
+        void failed(String why) {
             // Never from within a step: a dial may fail as it is begun.
             reactor.execute(
                     () ->
--- a/src/main/java/rockshift/wire/Frames.java
+++ b/src/main/java/rockshift/wire/Frames.java
@@ -42,6 +42,7 @@
         }
     }
 
+    /** One frame as it came: what kind it is and what it carries. */
     public record Frame(byte kind, byte[] payload) {}
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
