--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -388,7 +388,7 @@
         }
         Snapshot first = log.found(sum >>> 1 | 1, founders);
         cluster = sum >>> 1 | 1;
-        engine.found(first.members());
+        engine.found(first.membership());
         LOG.info("cluster {} founded by {}", Long.toHexString(cluster), sorted.keySet());
     }
 
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -34,7 +34,7 @@
         if (message instanceof Message.AppendRequest append
                 && append.from() == raft.leader()
                 && announced == 0) {
-            announced = Math.max(1, append.commitIndex());
+            announced = Math.max(1, append.leaderCommitIndex());
             announcedAt = nowMs;
         }
     }
--- a/src/main/java/rockshift/raft/Entry.java
+++ b/src/main/java/rockshift/raft/Entry.java
@@ -32,7 +32,7 @@
     /** Bytes that an entry takes beside its body, for limits on flight and memory. */
     private static final int FRAME = 48;
 
-    static Entry start(long index, long term) {
+    static Entry noOp(long index, long term) {
         return new Entry(index, term, Kind.NO_OP, 0, 0, EMPTY, null);
     }
 
--- a/src/main/java/rockshift/raft/Progress.java
+++ b/src/main/java/rockshift/raft/FollowerProgress.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 
 /** What a leader knows of one other member, and how it sends to it. */
-final class Progress {
+final class FollowerProgress {
     /** One message at a time until the logs are known to meet; many in flight; or a snapshot. */
     enum Way {
         PROBE,
@@ -38,7 +38,7 @@
     long pieceAt;
     final ClockDriftMonitor clock = new ClockDriftMonitor();
 
-    Progress(long id, long next, long now) {
+    FollowerProgress(long id, long next, long now) {
         this.id = id;
         this.next = next;
         heardAt = now;
--- a/src/main/java/rockshift/raft/Log.java
+++ b/src/main/java/rockshift/raft/Log.java
@@ -65,7 +65,7 @@
     /**
      * Entries from an index on, up to so many and so many bytes; one at least where there is any.
      */
-    List<Entry> from(long index, int most, long mostBytes) {
+    List<Entry> entriesFrom(long index, int most, long mostBytes) {
         int first = (int) (index - baseIndex - 1);
         int end = first;
         long size = 0;
--- a/src/main/java/rockshift/raft/Membership.java
+++ b/src/main/java/rockshift/raft/Membership.java
@@ -57,7 +57,7 @@
     }
 
     /** The highest value that so many voters have reached. */
-    long reachedBy(long needed, ToLongFunction<Long> value) {
+    long valueReachedBy(long needed, ToLongFunction<Long> value) {
         long[] sorted =
                 byId.keySet().stream().filter(this::isVoter).mapToLong(value).sorted().toArray();
         return needed < 1 || sorted.length < needed
--- a/src/main/java/rockshift/raft/Message.java
+++ b/src/main/java/rockshift/raft/Message.java
@@ -25,8 +25,8 @@
             long from,
             long to,
             long term,
-            long lastIndex,
-            long lastTerm,
+            long lastLogIndex,
+            long lastLogTerm,
             boolean preVote,
             boolean leadershipTransfer)
             implements Message {}
@@ -39,17 +39,17 @@
      * Entries to follow those up to {@code prevIndex}, perhaps none.
      *
      * @param round rises with each time that the leader speaks to all; answers bring it back
-     * @param sentAt the leader's clock as it began the round
+     * @param sentAtTicks the leader's clock as it began the round
      */
     record AppendRequest(
             long from,
             long to,
             long term,
-            long prevIndex,
-            long prevTerm,
-            long commitIndex,
+            long prevLogIndex,
+            long prevLogTerm,
+            long leaderCommitIndex,
             long round,
-            long sentAt,
+            long sentAtTicks,
             List<Entry> entries)
             implements Message {}
 
@@ -60,7 +60,7 @@
      *     part
      * @param conflictTerm of a refusal, the follower's term there
      * @param rejectedIndex of a refusal, the index that was missing
-     * @param followerClock the follower's own clock
+     * @param followerClockTicks the follower's own clock
      */
     record AppendResponse(
             long from,
@@ -71,8 +71,8 @@
             long conflictTerm,
             long rejectedIndex,
             long round,
-            long sentAt,
-            long followerClock)
+            long sentAtTicks,
+            long followerClockTicks)
             implements Message {}
 
     /** A part of a snapshot, for a follower that lacks entries which the leader no longer has. */
@@ -82,13 +82,13 @@
             long term,
             long snapshotIndex,
             long snapshotTerm,
-            Membership members,
+            Membership membership,
             int totalBytes,
             int checksum,
             int offset,
             byte[] bytes,
             long round,
-            long sentAt)
+            long sentAtTicks)
             implements Message {}
 
     /** How much of a snapshot is held. */
@@ -99,8 +99,8 @@
             long snapshotIndex,
             int receivedBytes,
             long round,
-            long sentAt,
-            long followerClock)
+            long sentAtTicks,
+            long followerClockTicks)
             implements Message {}
 
     /** The leader hands over: campaign now. */
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -36,10 +36,10 @@
     private static final int PIECE = 64 << 10;
 
     /** Bytes of the largest snapshot that is taken in: a quarter of the smallest heap. */
-    public static final int LARGEST_SNAPSHOT = 16 << 20;
+    public static final int MAX_SNAPSHOT_BYTES = 16 << 20;
 
     /** Bytes of the largest change. */
-    public static final int LARGEST_CHANGE = 64 << 10;
+    public static final int MAX_CHANGE_BYTES = 64 << 10;
 
     /**
      * Entries and bytes that may wait to be committed: beyond it proposals are refused, not queued.
@@ -119,7 +119,7 @@
     private boolean diskWorks = true;
     private final ArrayDeque<Held> held = new ArrayDeque<>();
     // A leader's own.
-    private final LinkedHashMap<Long, Progress> followers = new LinkedHashMap<>();
+    private final LinkedHashMap<Long, FollowerProgress> followers = new LinkedHashMap<>();
     private long round;
     private long roundAt;
     private long wordAt;
@@ -158,7 +158,7 @@
         savingBallot = ballot;
         this.snapshot = snapshot;
         log = new Log(snapshot.index(), snapshot.term());
-        configs.put(snapshot.index(), snapshot.members());
+        configs.put(snapshot.index(), snapshot.membership());
         entries.forEach(this::take);
         commitIndex = snapshot.index();
         appliedIndex = snapshot.index();
@@ -336,7 +336,7 @@
                                 ? ProposalRejection.TRANSFERRING_LEADERSHIP
                                 : !diskWorks
                                         ? ProposalRejection.DISK_FAILED
-                                        : body.length > LARGEST_CHANGE
+                                        : body.length > MAX_CHANGE_BYTES
                                                 ? ProposalRejection.TOO_LARGE
                                                 : log.lastIndex() - commitIndex >= MOST_OPEN
                                                                 || openBytes() > MOST_OPEN_BYTES
@@ -361,7 +361,7 @@
     public ProposalRejection changeMembership(Member member, boolean remove) {
         Membership before = membership();
         Membership after = remove ? before.without(member.id()) : before.with(member);
-        Progress progress = followers.get(member.id());
+        FollowerProgress progress = followers.get(member.id());
         Member known = before.get(member.id());
         if (role != Role.LEADER) {
             return ProposalRejection.NOT_LEADER;
@@ -402,7 +402,7 @@
         return null;
     }
 
-    private void handOver(Progress progress) {
+    private void handOver(FollowerProgress progress) {
         if (handTo == progress.id && progress.match == log.lastIndex()) {
             post(new Message.TimeoutNow(id, progress.id, ballot.term()), 0);
         }
@@ -500,7 +500,10 @@
         }
         boolean fits =
                 rules.isLogUpToDate(
-                                ask.lastIndex(), ask.lastTerm(), log.lastIndex(), log.lastTerm())
+                                ask.lastLogIndex(),
+                                ask.lastLogTerm(),
+                                log.lastIndex(),
+                                log.lastTerm())
                         && diskWorks;
         if (ask.preVote()) {
             boolean yes = ask.term() > ballot.term() && fits;
@@ -584,7 +587,8 @@
         roundAt = now;
         for (Member member : membership().all()) {
             if (member.id() != id) {
-                followers.put(member.id(), new Progress(member.id(), log.lastIndex() + 1, now));
+                followers.put(
+                        member.id(), new FollowerProgress(member.id(), log.lastIndex() + 1, now));
             }
         }
         notes.add(
@@ -595,7 +599,7 @@
                         + " entries, "
                         + commitIndex
                         + " known agreed");
-        add(Entry.start(log.lastIndex() + 1, ballot.term()));
+        add(Entry.noOp(log.lastIndex() + 1, ballot.term()));
         if (configs.lastKey() == 0) {
             // Who founded the cluster is told to those that come in with an empty log, like
             // everything else.
@@ -633,8 +637,8 @@
 
     private void appended(Message.AppendRequest append) {
         List<Entry> entries = append.entries();
-        long prev = append.prevIndex();
-        long prevTerm = append.prevTerm();
+        long prev = append.prevLogIndex();
+        long prevTerm = append.prevLogTerm();
         int known = 0;
         // What a snapshot stands for is agreed, and so the same.
         while (prev < log.baseIndex() && known < entries.size()) {
@@ -655,9 +659,9 @@
                             false,
                             hint,
                             Math.max(0, log.term(hint)),
-                            append.prevIndex(),
+                            append.prevLogIndex(),
                             append.round(),
-                            append.sentAt(),
+                            append.sentAtTicks(),
                             now),
                     needs());
             return;
@@ -677,7 +681,7 @@
         commitIndex =
                 Math.max(
                         commitIndex,
-                        Math.min(append.commitIndex(), Math.min(last, log.lastIndex())));
+                        Math.min(append.leaderCommitIndex(), Math.min(last, log.lastIndex())));
         // A disk that is behind does not make the member seem out of reach: what is durable is told
         // at once.
         long ready = rules.persistsBeforeSending() ? Math.min(last, saved) : last;
@@ -697,7 +701,7 @@
                 0,
                 0,
                 append.round(),
-                append.sentAt(),
+                append.sentAtTicks(),
                 now);
     }
 
@@ -726,12 +730,12 @@
                             0,
                             0,
                             piece.round(),
-                            piece.sentAt(),
+                            piece.sentAtTicks(),
                             now),
                     needs());
             return;
         }
-        if (piece.totalBytes() > LARGEST_SNAPSHOT) {
+        if (piece.totalBytes() > MAX_SNAPSHOT_BYTES) {
             notes.add("a snapshot of " + piece.totalBytes() + " bytes is too large, left");
             return;
         }
@@ -764,7 +768,9 @@
             post(taken(piece, 0), 0);
             return;
         }
-        install(new Snapshot(piece.snapshotIndex(), piece.snapshotTerm(), piece.members(), data));
+        install(
+                new Snapshot(
+                        piece.snapshotIndex(), piece.snapshotTerm(), piece.membership(), data));
         notes.add(
                 "snapshot of entry " + piece.snapshotIndex() + " taken from " + name(piece.from()));
         post(taken(piece, piece.totalBytes()), needs());
@@ -778,7 +784,7 @@
                         0,
                         0,
                         piece.round(),
-                        piece.sentAt(),
+                        piece.sentAtTicks(),
                         now),
                 needs());
     }
@@ -791,7 +797,7 @@
                 piece.snapshotIndex(),
                 offset,
                 piece.round(),
-                piece.sentAt(),
+                piece.sentAtTicks(),
                 now);
     }
 
@@ -799,7 +805,7 @@
         snapshot = other;
         log.reset(other.index(), other.term());
         configs.clear();
-        configs.put(other.index(), other.members());
+        configs.put(other.index(), other.membership());
         commitIndex = other.index();
         saved = 0;
         savingUpTo = 0;
@@ -817,7 +823,7 @@
         for (Member member : membership().all()) {
             if (member.id() != id) {
                 followers.computeIfAbsent(
-                        member.id(), key -> new Progress(key, log.lastIndex(), now));
+                        member.id(), key -> new FollowerProgress(key, log.lastIndex(), now));
             }
         }
         return entry.index();
@@ -829,7 +835,7 @@
         roundAt = now;
         wordAt = now;
         tellFrom = commitIndex + 1;
-        for (Progress progress : followers.values()) {
+        for (FollowerProgress progress : followers.values()) {
             progress.probing = false;
             if (!send(progress)) {
                 word(progress);
@@ -839,12 +845,12 @@
     }
 
     /** Sends what a follower lacks, as far as its flight allows; false if that was nothing. */
-    private boolean send(Progress progress) {
+    private boolean send(FollowerProgress progress) {
         boolean any = false;
-        if (progress.way == Progress.Way.SNAPSHOT) {
+        if (progress.way == FollowerProgress.Way.SNAPSHOT) {
             return now >= progress.pieceAt + timing.heartbeatIntervalTicks() && piece(progress);
         }
-        while (progress.way == Progress.Way.REPLICATE
+        while (progress.way == FollowerProgress.Way.REPLICATE
                 ? progress.next <= log.lastIndex() && progress.flight.size() < FLIGHT
                 : !progress.probing) {
             if (progress.next <= log.baseIndex()) {
@@ -854,10 +860,10 @@
             List<Entry> entries =
                     progress.next > log.lastIndex()
                             ? List.of()
-                            : log.from(progress.next, timing.maxBatchEntries(), MOST_BYTES);
+                            : log.entriesFrom(progress.next, timing.maxBatchEntries(), MOST_BYTES);
             append(progress, entries);
             any = true;
-            if (progress.way == Progress.Way.PROBE) {
+            if (progress.way == FollowerProgress.Way.PROBE) {
                 progress.probing = true;
             } else {
                 progress.next += entries.size();
@@ -867,7 +873,7 @@
         return any;
     }
 
-    private void append(Progress progress, List<Entry> entries) {
+    private void append(FollowerProgress progress, List<Entry> entries) {
         post(
                 new Message.AppendRequest(
                         id,
@@ -883,8 +889,8 @@
     }
 
     /** A word without entries: it shows a follower that it lacks some, where a message was lost. */
-    private void word(Progress progress) {
-        if (progress.way == Progress.Way.SNAPSHOT) {
+    private void word(FollowerProgress progress) {
+        if (progress.way == FollowerProgress.Way.SNAPSHOT) {
             post(
                     new Message.AppendRequest(
                             id, progress.id, ballot.term(), 0, 0, 0, round, roundAt, List.of()),
@@ -894,7 +900,7 @@
         }
     }
 
-    private boolean piece(Progress progress) {
+    private boolean piece(FollowerProgress progress) {
         Snapshot sent = progress.sending;
         int end = Math.min(sent.data().length, progress.offset + PIECE);
         progress.pieceAt = now;
@@ -905,7 +911,7 @@
                         ballot.term(),
                         sent.index(),
                         sent.term(),
-                        sent.members(),
+                        sent.membership(),
                         sent.data().length,
                         progress.checksum,
                         progress.offset,
@@ -917,17 +923,17 @@
     }
 
     private void answered(Message.AppendResponse answer) {
-        Progress progress = followers.get(answer.from());
+        FollowerProgress progress = followers.get(answer.from());
         if (role != Role.LEADER || progress == null) {
             return;
         }
-        hear(progress, answer.round(), answer.sentAt(), answer.followerClock());
+        hear(progress, answer.round(), answer.sentAtTicks(), answer.followerClockTicks());
         if (!answer.success()) {
             boolean stale =
                     answer.rejectedIndex() <= progress.match
-                            || progress.way == Progress.Way.PROBE
+                            || progress.way == FollowerProgress.Way.PROBE
                                     && answer.rejectedIndex() != progress.next - 1;
-            if (!stale && progress.way != Progress.Way.SNAPSHOT) {
+            if (!stale && progress.way != FollowerProgress.Way.SNAPSHOT) {
                 long hint = Math.min(answer.matchIndex(), log.lastIndex());
                 while (hint > log.baseIndex() && log.term(hint) > answer.conflictTerm()) {
                     hint--;
@@ -940,9 +946,10 @@
                 progress.flight.removeFirst();
             }
             boolean met =
-                    progress.way == Progress.Way.PROBE && answer.matchIndex() >= progress.next - 1;
+                    progress.way == FollowerProgress.Way.PROBE
+                            && answer.matchIndex() >= progress.next - 1;
             boolean installed =
-                    progress.way == Progress.Way.SNAPSHOT
+                    progress.way == FollowerProgress.Way.SNAPSHOT
                             && progress.match >= progress.sending.index();
             if (met || installed) {
                 progress.replicate();
@@ -958,12 +965,12 @@
     }
 
     private void taken(Message.SnapshotChunkResponse taken) {
-        Progress progress = followers.get(taken.from());
+        FollowerProgress progress = followers.get(taken.from());
         if (role != Role.LEADER || progress == null) {
             return;
         }
-        hear(progress, taken.round(), taken.sentAt(), taken.followerClock());
-        if (progress.way == Progress.Way.SNAPSHOT
+        hear(progress, taken.round(), taken.sentAtTicks(), taken.followerClockTicks());
+        if (progress.way == FollowerProgress.Way.SNAPSHOT
                 && taken.snapshotIndex() == progress.sending.index()) {
             boolean moved = taken.receivedBytes() != progress.offset;
             progress.offset = Math.min(taken.receivedBytes(), progress.sending.data().length);
@@ -973,7 +980,7 @@
         }
     }
 
-    private void hear(Progress progress, long answeredRound, long sentAt, long clock) {
+    private void hear(FollowerProgress progress, long answeredRound, long sentAt, long clock) {
         progress.answered(now, answeredRound, sentAt, clock);
         if (progress.clock.driftRatio() > timing.maxClockDriftRatio() && !driftTold) {
             driftTold = true;
@@ -989,7 +996,7 @@
     private void confirm() {
         long of =
                 membership()
-                        .reachedBy(
+                        .valueReachedBy(
                                 rules.quorumSize(membership()),
                                 member ->
                                         member == id
@@ -1007,7 +1014,7 @@
     /** When most of the voters, this one with them, were last heard from. */
     private long contactAt() {
         return membership()
-                .reachedBy(
+                .valueReachedBy(
                         rules.quorumSize(membership()),
                         member ->
                                 member == id
@@ -1027,7 +1034,7 @@
         }
         long sentAt =
                 membership()
-                        .reachedBy(
+                        .valueReachedBy(
                                 rules.quorumSize(membership()),
                                 member ->
                                         member == id
@@ -1041,7 +1048,7 @@
     private void advance() {
         long reached =
                 membership()
-                        .reachedBy(
+                        .valueReachedBy(
                                 rules.quorumSize(membership()),
                                 member ->
                                         member == id
@@ -1074,11 +1081,11 @@
 
     private void admitJoining() {
         for (Member member : List.copyOf(membership().all())) {
-            Progress progress = followers.get(member.id());
+            FollowerProgress progress = followers.get(member.id());
             if (member.role() == Member.Role.JOINING
                     && progress != null
                     && progress.match + CLOSE >= commitIndex
-                    && progress.way == Progress.Way.REPLICATE
+                    && progress.way == FollowerProgress.Way.REPLICATE
                     && changeMembership(member.as(Member.Role.VOTER), false) == null) {
                 notes.add(member.name() + " has caught up and votes");
                 return;
@@ -1147,8 +1154,8 @@
 
     private boolean sendAll() {
         boolean any = false;
-        for (Progress progress : followers.values()) {
-            any |= progress.way != Progress.Way.SNAPSHOT && send(progress);
+        for (FollowerProgress progress : followers.values()) {
+            any |= progress.way != FollowerProgress.Way.SNAPSHOT && send(progress);
         }
         return any;
     }
@@ -1185,7 +1192,7 @@
         List<Entry> entries =
                 from > log.lastIndex()
                         ? List.of()
-                        : log.from(from, Integer.MAX_VALUE, Long.MAX_VALUE);
+                        : log.entriesFrom(from, Integer.MAX_VALUE, Long.MAX_VALUE);
         effects.persist(saving, ballot, from == Long.MAX_VALUE ? 0 : from, entries, install);
     }
 
--- a/src/main/java/rockshift/raft/RaftOutput.java
+++ b/src/main/java/rockshift/raft/RaftOutput.java
@@ -13,7 +13,11 @@
      * @param snapshot replaces all entries, before the others are written; null if there is none
      */
     void persist(
-            long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot);
+            long ticket,
+            TermAndVote termAndVote,
+            long from,
+            List<Entry> entries,
+            Snapshot snapshot);
 
     void send(Message message);
 
--- a/src/main/java/rockshift/wire/RaftCodec.java
+++ b/src/main/java/rockshift/wire/RaftCodec.java
@@ -119,7 +119,7 @@
         CborWriter writer = new CborWriter();
         writer.startArray();
         writer.add(snapshot.index(), snapshot.term());
-        write(writer, snapshot.members());
+        write(writer, snapshot.membership());
         writer.binary(snapshot.data());
         writer.endArray();
         return writer.end();
@@ -217,16 +217,16 @@
                                                                 : 6;
         w.add(kind, message.from(), message.to(), message.term());
         if (message instanceof Message.VoteRequest m) {
-            w.add(m.lastIndex(), m.lastTerm()).flag(m.preVote(), m.leadershipTransfer());
+            w.add(m.lastLogIndex(), m.lastLogTerm()).flag(m.preVote(), m.leadershipTransfer());
         } else if (message instanceof Message.VoteResponse m) {
             w.flag(m.preVote(), m.granted());
         } else if (message instanceof Message.AppendRequest m) {
             w.add(
-                    m.prevIndex(),
-                    m.prevTerm(),
-                    m.commitIndex(),
+                    m.prevLogIndex(),
+                    m.prevLogTerm(),
+                    m.leaderCommitIndex(),
                     m.round(),
-                    m.sentAt(),
+                    m.sentAtTicks(),
                     m.entries().size());
             for (Entry entry : m.entries()) {
                 write(w, entry);
@@ -238,16 +238,21 @@
                             m.conflictTerm(),
                             m.rejectedIndex(),
                             m.round(),
-                            m.sentAt(),
-                            m.followerClock());
+                            m.sentAtTicks(),
+                            m.followerClockTicks());
         } else if (message instanceof Message.SnapshotChunk m) {
             w.add(m.snapshotIndex(), m.snapshotTerm());
-            write(w, m.members());
+            write(w, m.membership());
             w.add(m.totalBytes(), m.checksum(), m.offset());
             w.binary(m.bytes());
-            w.add(m.round(), m.sentAt());
+            w.add(m.round(), m.sentAtTicks());
         } else if (message instanceof Message.SnapshotChunkResponse m) {
-            w.add(m.snapshotIndex(), m.receivedBytes(), m.round(), m.sentAt(), m.followerClock());
+            w.add(
+                    m.snapshotIndex(),
+                    m.receivedBytes(),
+                    m.round(),
+                    m.sentAtTicks(),
+                    m.followerClockTicks());
         }
         w.endArray();
         return w.end();
