--- a/src/main/java/rockshift/raft/ClientSessions.java
+++ b/src/main/java/rockshift/raft/ClientSessions.java
@@ -7,34 +7,41 @@
 import java.util.Map;
 
 /**
- * Applies agreed entries to a machine, each change of a session once however often it was proposed.
- * What a session was answered last is kept with it, and all of it is part of the snapshot. The same
- * entries leave the same state everywhere.
+ * Applies committed entries to a state machine, each change of a client session once however often
+ * it was proposed. The last answer of a session is kept with it, and all sessions are part of the
+ * snapshot. The same entries lead to the same state on every member.
  */
 public final class ClientSessions {
-    /**
-     * Sessions kept; one more drops the one that was unused longest, whose client must open
-     * another.
-     */
+    /** One more drops the session that was unused longest; its client must open another. */
     public static final int MAX_SESSIONS = 512;
 
-    /** What changes are applied to. It must come out the same on every member. */
+    /** What changes are applied to. The same changes must lead to the same state everywhere. */
     public interface StateMachine {
-        /** Applies a change; answers what its client is told. */
+        /** Applies a change, and returns the answer to its client. */
         byte[] apply(long index, byte[] change);
 
+        /** An image of the whole state. */
         byte[] snapshot();
 
+        /** Replaces the state by that of an image. */
         void restore(byte[] image);
     }
 
     /**
-     * How an entry ended: whether it took effect now, and what the client is told; a reason if it
-     * was refused.
+     * What came of an entry.
+     *
+     * @param applied whether it took effect now
+     * @param answer the answer to the client
+     * @param rejection why it was rejected, null if it was not
      */
     public record Outcome(boolean applied, byte[] answer, String rejection) {}
 
-    /** A client's session: its number, its last change and what that was answered. */
+    /**
+     * A client's session.
+     *
+     * @param serial the serial of its last change, 0 before the first
+     * @param answer the answer to that change
+     */
     public record Session(long id, long serial, byte[] answer) {
         @Override
         public boolean equals(Object other) {
@@ -50,63 +57,74 @@
         }
     }
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_ANSWER = {};
 
     private final SafetyRules rules;
     private final StateMachine stateMachine;
 
-    /** By use, oldest first. */
+    /** By id, the least recently used first. */
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
 
-    public ClientSessions(SafetyRules rules, StateMachine machine) {
+    /** No sessions yet, over a state machine in its first state. */
+    public ClientSessions(SafetyRules rules, StateMachine stateMachine) {
         this.rules = rules;
-        this.stateMachine = machine;
+        this.stateMachine = stateMachine;
     }
 
     /** Applies one committed entry, in the order of the log. */
     public Outcome apply(Entry entry) {
-        if (entry.kind() == Entry.Kind.OPEN_SESSION) {
-            if (!sessions.containsKey(entry.session())) {
-                put(new Session(entry.session(), 0, NOTHING));
-            }
-            while (sessions.size() > MAX_SESSIONS) {
-                sessions.remove(sessions.keySet().iterator().next());
-            }
-            return new Outcome(true, NOTHING, null);
-        } else if (entry.kind() != Entry.Kind.CHANGE) {
-            return new Outcome(false, NOTHING, null);
+        return switch (entry.kind()) {
+            case OPEN_SESSION -> openSession(entry.session());
+            case CHANGE -> applyChange(entry);
+            case NO_OP, MEMBERSHIP -> new Outcome(false, NO_ANSWER, null);
+        };
+    }
+
+    private Outcome openSession(long id) {
+        if (!sessions.containsKey(id)) {
+            put(new Session(id, 0, NO_ANSWER));
+        }
+        while (sessions.size() > MAX_SESSIONS) {
+            sessions.remove(sessions.keySet().iterator().next());
         }
+        return new Outcome(true, NO_ANSWER, null);
+    }
+
+    private Outcome applyChange(Entry entry) {
         Session session = sessions.get(entry.session());
         if (session == null) {
-            return new Outcome(false, NOTHING, "session-unknown");
-        } else if (!rules.isNewSerial(entry.serial(), session.serial)) {
+            return new Outcome(false, NO_ANSWER, "session-unknown");
+        }
+        if (!rules.isNewSerial(entry.serial(), session.serial)) {
             return entry.serial() == session.serial
                     ? new Outcome(false, session.answer, null)
-                    : new Outcome(false, NOTHING, "serial-past");
+                    : new Outcome(false, NO_ANSWER, "serial-past");
         }
         byte[] answer = stateMachine.apply(entry.index(), entry.body());
         put(new Session(entry.session(), entry.serial(), answer));
         return new Outcome(true, answer, null);
     }
 
+    /** Adds a session as the most recently used one. */
     private void put(Session session) {
         sessions.remove(session.id);
         sessions.put(session.id, session);
     }
 
-    /** The sessions, oldest use first. */
+    /** The sessions, the least recently used first. */
     public List<Session> sessions() {
         return new ArrayList<>(sessions.values());
     }
 
+    /** What changes are applied to. */
     public StateMachine stateMachine() {
         return stateMachine;
     }
 
-    /** Takes a snapshot's sessions and state in place of its own. */
-    public void restore(List<Session> kept, byte[] image) {
+    /** Replaces sessions and state by those of a snapshot. */
+    public void restore(List<Session> restored, byte[] image) {
         sessions.clear();
-        kept.forEach(this::put);
+        restored.forEach(this::put);
         stateMachine.restore(image);
     }
 }
--- a/src/main/java/rockshift/raft/Entry.java
+++ b/src/main/java/rockshift/raft/Entry.java
@@ -1,11 +1,14 @@
 package rockshift.raft;
 
 /**
- * One place of the log.
+ * One entry of the replicated log.
  *
- * @param session the client's session of a change; of an opening, the number that the client drew
- *     for it
+ * @param index its position, from 1 on
+ * @param term the term of the leader that appended it
+ * @param session the client session of a change; for {@link Kind#OPEN_SESSION}, the number that the
+ *     client drew for it
  * @param serial the number of a change within its session, from 1 on
+ * @param body the change itself, empty for the other kinds
  * @param members the membership that holds from this entry on; null but for {@link Kind#MEMBERSHIP}
  */
 public record Entry(
@@ -16,31 +19,36 @@
         long serial,
         byte[] body,
         Membership members) {
-    /**
-     * What an entry does: begin a leader's term, open a session, change what is agreed, change who
-     * agrees.
-     */
+    /** What an entry does. Its ordinal is stored on disk and sent between members. */
     public enum Kind {
+        /** Begins a leader's term. */
         NO_OP,
+        /** Opens a client session. */
         OPEN_SESSION,
+        /** Changes the agreed state. */
         CHANGE,
+        /** Changes the membership. */
         MEMBERSHIP
     }
 
     private static final byte[] EMPTY = {};
 
-    /** Bytes that an entry takes beside its body, for limits on flight and memory. */
-    private static final int FRAME = 48;
+    /** Bytes that an entry, or one member in it, takes beside its body; for limits only. */
+    private static final int OVERHEAD_BYTES = 48;
 
+    /** The entry with which a leader begins its term. */
     static Entry noOp(long index, long term) {
         return new Entry(index, term, Kind.NO_OP, 0, 0, EMPTY, null);
     }
 
+    /** An entry from which on a membership holds. */
     static Entry members(long index, long term, Membership members) {
         return new Entry(index, term, Kind.MEMBERSHIP, 0, 0, EMPTY, members);
     }
 
+    /** Bytes that this entry takes in memory or in a message, roughly. */
     public int size() {
-        return FRAME + body.length + (members == null ? 0 : FRAME * members.all().size());
+        int memberCount = members == null ? 0 : members.all().size();
+        return OVERHEAD_BYTES + body.length + OVERHEAD_BYTES * memberCount;
     }
 }
--- a/src/main/java/rockshift/raft/FollowerProgress.java
+++ b/src/main/java/rockshift/raft/FollowerProgress.java
@@ -1,77 +1,171 @@
 package rockshift.raft;
 
 import java.util.ArrayDeque;
+import java.util.List;
 
-/** What a leader knows of one other member, and how it sends to it. */
+/** What a leader knows of one other member's log, and how far it has sent to it. */
 final class FollowerProgress {
-    /** One message at a time until the logs are known to meet; many in flight; or a snapshot. */
-    enum Way {
+    /**
+     * Messages in flight to one follower: a few round trips of a slow link, and a bound on what is
+     * sent to one that is dead.
+     */
+    private static final int MAX_INFLIGHT_MESSAGES = 32;
+
+    /** How a leader sends to a follower. */
+    enum Mode {
+        /** One message at a time, until the logs are known to match somewhere. */
         PROBE,
+        /** Many messages in flight. */
         REPLICATE,
+        /**
+         * A snapshot in chunks, as the leader no longer has the entries that the follower lacks.
+         */
         SNAPSHOT
     }
 
-    final long id;
-    Way way = Way.PROBE;
-    long match;
-    long next;
+    private final long id;
+    private final ClockDriftMonitor clock = new ClockDriftMonitor();
+    private Mode mode = Mode.PROBE;
+    private long matchIndex;
+    private long nextIndex;
 
-    /** Last index of each message in flight. */
-    final ArrayDeque<Long> flight = new ArrayDeque<>();
+    /** The last index of each message in flight. */
+    private final ArrayDeque<Long> inflight = new ArrayDeque<>();
 
-    boolean probing;
-    long heardAt;
+    private boolean probeSent;
+    private SnapshotSender snapshotSender;
+    private long heardAtTicks;
 
-    /** The newest round that it answered, and when that was begun. */
-    long round;
+    /** The newest round that it answered, and when the newest answered round was begun. */
+    private long answeredRound;
 
-    long sentAt = Long.MIN_VALUE;
+    private long answeredRoundSentAtTicks = Long.MIN_VALUE;
 
-    /**
-     * While a snapshot is sent: which one and its checksum, up to where it is held, when a piece
-     * was sent last.
-     */
-    Snapshot sending;
+    FollowerProgress(long id, long nextIndex, long nowTicks) {
+        this.id = id;
+        this.nextIndex = nextIndex;
+        heardAtTicks = nowTicks;
+    }
 
-    int checksum;
-    int offset;
-    long pieceAt;
-    final ClockDriftMonitor clock = new ClockDriftMonitor();
+    long id() {
+        return id;
+    }
 
-    FollowerProgress(long id, long next, long now) {
-        this.id = id;
-        this.next = next;
-        heardAt = now;
+    Mode mode() {
+        return mode;
+    }
+
+    /** Up to here its log is known to be the leader's, and durable. */
+    long matchIndex() {
+        return matchIndex;
+    }
+
+    /** The next entry to send. */
+    long nextIndex() {
+        return nextIndex;
+    }
+
+    long heardAtTicks() {
+        return heardAtTicks;
+    }
+
+    long answeredRound() {
+        return answeredRound;
+    }
+
+    /** When the newest round that it answered was begun. */
+    long answeredRoundSentAtTicks() {
+        return answeredRoundSentAtTicks;
+    }
+
+    /** The share by which its clock is proven to run apart from the leader's. */
+    double clockDriftRatio() {
+        return clock.driftRatio();
+    }
+
+    /** The snapshot that is being sent; null but in {@link Mode#SNAPSHOT}. */
+    SnapshotSender snapshotSender() {
+        return snapshotSender;
+    }
+
+    /** An answer to a round came. */
+    void recordResponse(long nowTicks, long round, long sentAtTicks, long followerClockTicks) {
+        heardAtTicks = nowTicks;
+        answeredRound = Math.max(answeredRound, round);
+        answeredRoundSentAtTicks = Math.max(answeredRoundSentAtTicks, sentAtTicks);
+        clock.record(sentAtTicks, nowTicks, followerClockTicks);
+    }
+
+    /** Whether entries, or a probe, may be sent now. */
+    boolean canSendEntries(long lastIndex) {
+        return mode == Mode.REPLICATE
+                ? nextIndex <= lastIndex && inflight.size() < MAX_INFLIGHT_MESSAGES
+                : !probeSent;
+    }
+
+    /** Entries were sent from the next index on. */
+    void recordSent(List<Entry> entries) {
+        if (mode == Mode.PROBE) {
+            probeSent = true;
+        } else {
+            nextIndex += entries.size();
+            inflight.add(nextIndex - 1);
+        }
+    }
+
+    /** A new round begins, in which a probe may be sent again. */
+    void allowProbe() {
+        probeSent = false;
+    }
+
+    /** The follower's log matches up to an index. */
+    void recordMatch(long index) {
+        matchIndex = Math.max(matchIndex, index);
+        while (!inflight.isEmpty() && inflight.getFirst() <= matchIndex) {
+            inflight.removeFirst();
+        }
+        boolean probeMatched = mode == Mode.PROBE && index >= nextIndex - 1;
+        boolean snapshotInstalled =
+                mode == Mode.SNAPSHOT && matchIndex >= snapshotSender.snapshotIndex();
+        if (probeMatched || snapshotInstalled) {
+            startReplication();
+        }
+    }
+
+    /**
+     * Whether a rejection tells something new: it is no answer to what has been answered since, or
+     * to another probe than the current one.
+     */
+    boolean isRelevantRejection(long rejectedIndex) {
+        return rejectedIndex > matchIndex
+                && (mode != Mode.PROBE || rejectedIndex == nextIndex - 1)
+                && mode != Mode.SNAPSHOT;
     }
 
-    void answered(long now, long round, long sentAt, long clockThere) {
-        heardAt = now;
-        this.round = Math.max(this.round, round);
-        this.sentAt = Math.max(this.sentAt, sentAt);
-        clock.record(sentAt, now, clockThere);
+    /** Probes from an index on, but not below what is known to match. */
+    void startProbe(long index) {
+        mode = Mode.PROBE;
+        probeSent = false;
+        inflight.clear();
+        snapshotSender = null;
+        nextIndex = Math.max(matchIndex + 1, index);
     }
 
-    void probe(long from) {
-        way = Way.PROBE;
-        probing = false;
-        flight.clear();
-        sending = null;
-        next = Math.max(match + 1, from);
+    private void startReplication() {
+        mode = Mode.REPLICATE;
+        probeSent = false;
+        snapshotSender = null;
+        nextIndex = Math.max(nextIndex, matchIndex + 1);
     }
 
-    void replicate() {
-        way = Way.REPLICATE;
-        probing = false;
-        sending = null;
-        next = Math.max(next, match + 1);
+    void startSnapshot(Snapshot snapshot) {
+        mode = Mode.SNAPSHOT;
+        inflight.clear();
+        snapshotSender = new SnapshotSender(snapshot);
     }
 
-    void snapshot(Snapshot snapshot, int sum) {
-        way = Way.SNAPSHOT;
-        flight.clear();
-        sending = snapshot;
-        checksum = sum;
-        offset = 0;
-        pieceAt = Long.MIN_VALUE;
+    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    String fingerprint() {
+        return "" + id + mode + matchIndex + ',' + nextIndex + inflight + probeSent;
     }
 }
--- a/src/main/java/rockshift/raft/Log.java
+++ b/src/main/java/rockshift/raft/Log.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The entries that a member holds, above a base that a snapshot stands for. It knows nothing of
- * what is durable.
+ * The entries that a member holds in memory, above a base index up to which a snapshot stands for
+ * them. It knows nothing of what is durable or committed.
  */
 public final class Log {
     private final List<Entry> entries = new ArrayList<>();
@@ -13,19 +13,23 @@
     private long baseTerm;
     private long bytes;
 
+    /** An empty log above the last entry that a snapshot stands for. */
     public Log(long baseIndex, long baseTerm) {
         this.baseIndex = baseIndex;
         this.baseTerm = baseTerm;
     }
 
+    /** The last index that is no longer held; a snapshot stands for the entries up to it. */
     public long baseIndex() {
         return baseIndex;
     }
 
+    /** The index of the last entry, the base index if there is none. */
     public long lastIndex() {
         return baseIndex + entries.size();
     }
 
+    /** The term of the last entry. */
     public long lastTerm() {
         return term(lastIndex());
     }
@@ -43,10 +47,12 @@
         return index < baseIndex || index > lastIndex() ? -1 : get(index).term();
     }
 
+    /** The entry at an index, which must be held. */
     public Entry get(long index) {
         return entries.get((int) (index - baseIndex - 1));
     }
 
+    /** Appends an entry, which must follow the last one. */
     public void add(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
             throw new IllegalArgumentException("entry " + entry.index() + " after " + lastIndex());
@@ -55,23 +61,21 @@
         bytes += entry.size();
     }
 
-    /** Voids an entry and all after it. */
+    /** Removes an entry and all after it. */
     public void truncateFrom(long from) {
         while (lastIndex() >= from) {
             bytes -= entries.remove(entries.size() - 1).size();
         }
     }
 
-    /**
-     * Entries from an index on, up to so many and so many bytes; one at least where there is any.
-     */
-    List<Entry> entriesFrom(long index, int most, long mostBytes) {
+    /** Entries from an index on, within limits; at least one if there is any. */
+    List<Entry> entriesFrom(long index, int maxEntries, long maxBytes) {
         int first = (int) (index - baseIndex - 1);
         int end = first;
         long size = 0;
-        while (end < entries.size() && end - first < most) {
+        while (end < entries.size() && end - first < maxEntries) {
             size += entries.get(end).size();
-            if (size > mostBytes && end > first) {
+            if (size > maxBytes && end > first) {
                 break;
             }
             end++;
@@ -79,18 +83,18 @@
         return List.copyOf(entries.subList(first, end));
     }
 
-    /** Lets go of entries up to an index. */
+    /** Drops entries up to an index. */
     void compact(long upTo) {
         if (upTo > baseIndex) {
             baseTerm = term(upTo);
-            List<Entry> old = entries.subList(0, (int) (upTo - baseIndex));
-            bytes -= old.stream().mapToLong(Entry::size).sum();
-            old.clear();
+            List<Entry> dropped = entries.subList(0, (int) (upTo - baseIndex));
+            bytes -= dropped.stream().mapToLong(Entry::size).sum();
+            dropped.clear();
             baseIndex = upTo;
         }
     }
 
-    /** Begins anew above a snapshot. */
+    /** Drops all entries and starts again above a snapshot. */
     void reset(long index, long term) {
         entries.clear();
         bytes = 0;
--- a/src/main/java/rockshift/raft/Member.java
+++ b/src/main/java/rockshift/raft/Member.java
@@ -1,25 +1,25 @@
 package rockshift.raft;
 
 /**
- * One instance that takes part.
+ * One member of the cluster.
  *
- * @param id drawn when the instance's disk is first used and never used again, so that one wiped of
- *     its disk is another
+ * @param id drawn when the member's disk is first used and never used again, so that one whose disk
+ *     was wiped is another member
  * @param name what staff call it
- * @param address where the others reach it
+ * @param address where the other members reach it
  */
 public record Member(long id, String name, String address, Role role) {
-    /**
-     * What it does: votes, follows without a vote, or follows until it has caught up and then
-     * votes.
-     */
+    /** What a member does. The ordinal is stored on disk and sent between members. */
     public enum Role {
+        /** Votes, and counts towards a quorum. */
         VOTER,
+        /** Follows without a vote. */
         LEARNER,
+        /** Follows without a vote until it has caught up, and is then made a voter. */
         JOINING
     }
 
-    Member as(Role other) {
-        return new Member(id, name, address, other);
+    Member as(Role newRole) {
+        return new Member(id, name, address, newRole);
     }
 }
--- a/src/main/java/rockshift/raft/Membership.java
+++ b/src/main/java/rockshift/raft/Membership.java
@@ -5,25 +5,29 @@
 import java.util.function.LongPredicate;
 import java.util.function.ToLongFunction;
 
-/** Who takes part. It never changes; a change makes another that differs by one member. */
+/** The members of the cluster; immutable. A change makes another that differs by one member. */
 public final class Membership {
-    /** Members at most: five that vote, and a few that learn. */
+    /** Five voters, and a few learners. */
     public static final int MAX_MEMBERS = 9;
 
     private final TreeMap<Long, Member> byId = new TreeMap<>();
 
+    /** A membership of the given members, which have different ids. */
     public Membership(Collection<Member> members) {
         members.forEach(member -> byId.put(member.id(), member));
     }
 
+    /** All members, by rising id. */
     public Collection<Member> all() {
         return byId.values();
     }
 
+    /** The member of an id, null if there is none. */
     public Member get(long id) {
         return byId.get(id);
     }
 
+    /** The member that staff call so, null if there is none. */
     public Member byName(String name) {
         return byId.values().stream()
                 .filter(member -> member.name().equals(name))
@@ -31,15 +35,24 @@
                 .orElse(null);
     }
 
+    /** What staff call a member, or its number where it is none. */
+    String nameOf(long id) {
+        Member known = byId.get(id);
+        return known == null ? "member " + Long.toHexString(id) : known.name();
+    }
+
+    /** Whether an id is that of a member that votes. */
     public boolean isVoter(long id) {
         Member member = byId.get(id);
         return member != null && member.role() == Member.Role.VOTER;
     }
 
+    /** How many members vote. */
     public long voterCount() {
         return byId.keySet().stream().filter(this::isVoter).count();
     }
 
+    /** How many voters satisfy a condition. */
     public long countVoters(LongPredicate agrees) {
         return byId.keySet().stream().filter(id -> isVoter(id) && agrees.test(id)).count();
     }
@@ -56,13 +69,13 @@
         return other;
     }
 
-    /** The highest value that so many voters have reached. */
-    long valueReachedBy(long needed, ToLongFunction<Long> value) {
+    /** The highest value that at least {@code voters} voters have reached. */
+    long valueReachedBy(long voters, ToLongFunction<Long> value) {
         long[] sorted =
                 byId.keySet().stream().filter(this::isVoter).mapToLong(value).sorted().toArray();
-        return needed < 1 || sorted.length < needed
+        return voters < 1 || sorted.length < voters
                 ? Long.MIN_VALUE
-                : sorted[sorted.length - (int) needed];
+                : sorted[sorted.length - (int) voters];
     }
 
     @Override
--- a/src/main/java/rockshift/raft/RaftOutput.java
+++ b/src/main/java/rockshift/raft/RaftOutput.java
@@ -5,33 +5,35 @@
 /** What a host carries out for one {@link RaftNode}, in the order of the calls. */
 public interface RaftOutput {
     /**
-     * Makes durable what changed, and tells {@link RaftNode#saved} the ticket once it is. One is
-     * under way at a time.
+     * Makes durable what changed, and reports the ticket to {@link RaftNode#saved} once it is. One
+     * write is in progress at a time.
      *
-     * @param from the first index that the entries stand at: whatever stood from there on is void;
-     *     0 if none changed
-     * @param snapshot replaces all entries, before the others are written; null if there is none
+     * @param firstIndex the index of the first entry: whatever the log had from there on is void; 0
+     *     if no entry changed
+     * @param snapshot replaces all entries before the others are written; null if there is none
      */
     void persist(
             long ticket,
             TermAndVote termAndVote,
-            long from,
+            long firstIndex,
             List<Entry> entries,
             Snapshot snapshot);
 
+    /** Sends a message; it may be lost, delayed or doubled. */
     void send(Message message);
 
-    /** Applies a committed entry; each is named once in a process, in the order of the log. */
+    /** Applies a committed entry; each comes once in a process, in the order of the log. */
     void apply(Entry entry);
 
-    /** Takes a snapshot's state in place of what was applied. */
+    /** Replaces the applied state by a snapshot's. */
     void restore(Snapshot snapshot);
 
-    /** What is applied by now answers the read of that token. */
+    /** The state as applied now answers the read of that token. */
     void readReady(long token);
 
     /** The read of that token can't be answered here: ask the leader. */
     void readRejected(long token);
 
+    /** Writes a line to the log for staff. */
     void log(String line);
 }
--- /dev/null
+++ b/src/main/java/rockshift/raft/Replication.java
@@ -0,0 +1,277 @@
+package rockshift.raft;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.ToLongFunction;
+
+/**
+ * A leader's side of replication: what each follower has, what it is sent, and the rounds of
+ * heartbeats by which the leader learns that it leads still. Messages that are lost show at the
+ * next heartbeat, as each names the entry before it.
+ */
+final class Replication {
+    /** Bytes of entries in one message: a part of the largest frame, and little to send again. */
+    private static final int MAX_MESSAGE_BYTES = 128 << 10;
+
+    private final long id;
+    private final Timing timing;
+    private final SafetyRules rules;
+    private final ReplicatedLog log;
+    private final CommitTracker commits;
+    private final DurabilityTracker durability;
+    private final Outbox outbox;
+
+    /** By id, in the order in which they were added: messages go out in this order. */
+    private final Map<Long, FollowerProgress> followers = new LinkedHashMap<>();
+
+    /** Rises with each round and never falls, whatever the term. */
+    private long round;
+
+    private long roundStartTicks;
+
+    /** The lowest commit index of which followers have not been told. */
+    private long firstUnannouncedCommit;
+
+    Replication(
+            long id,
+            Timing timing,
+            SafetyRules rules,
+            ReplicatedLog log,
+            CommitTracker commits,
+            DurabilityTracker durability,
+            Outbox outbox) {
+        this.id = id;
+        this.timing = timing;
+        this.rules = rules;
+        this.log = log;
+        this.commits = commits;
+        this.durability = durability;
+        this.outbox = outbox;
+    }
+
+    // ---- followers ------------------------------------------------------------------------------
+
+    /** This member begins to lead: nothing is known of the followers' logs. */
+    void start(long nowTicks) {
+        followers.clear();
+        trackMembers(log.lastIndex() + 1, nowTicks);
+    }
+
+    /** This member leads no longer. */
+    void stop() {
+        followers.clear();
+    }
+
+    /** Begins to send to members that are not followers yet, from an index on. */
+    void trackMembers(long nextIndex, long nowTicks) {
+        for (Member member : log.membership().all()) {
+            if (member.id() != id) {
+                followers.computeIfAbsent(
+                        member.id(), key -> new FollowerProgress(key, nextIndex, nowTicks));
+            }
+        }
+    }
+
+    /** Tells those that are no longer members of it once, and sends them nothing more. */
+    void dropRemovedMembers() {
+        List<Long> removed = new ArrayList<>(followers.keySet());
+        removed.removeIf(member -> log.membership().get(member) != null);
+        for (long member : removed) {
+            sendHeartbeat(followers.remove(member));
+        }
+    }
+
+    /** A follower, null if there is none of that id. */
+    FollowerProgress follower(long member) {
+        return followers.get(member);
+    }
+
+    Collection<FollowerProgress> followers() {
+        return followers.values();
+    }
+
+    Map<Long, Long> matchIndexes() {
+        Map<Long, Long> matchIndexes = new TreeMap<>();
+        followers.forEach((member, follower) -> matchIndexes.put(member, follower.matchIndex()));
+        return matchIndexes;
+    }
+
+    /**
+     * The highest value that a quorum of voters has reached.
+     *
+     * @param own the leader's own value
+     * @param value a follower's value
+     * @param absent the value of a voter that is no follower
+     */
+    long quorumValue(long own, ToLongFunction<FollowerProgress> value, long absent) {
+        Membership members = log.membership();
+        return members.valueReachedBy(
+                rules.quorumSize(members),
+                member -> {
+                    FollowerProgress follower = followers.get(member);
+                    if (member == id) {
+                        return own;
+                    }
+                    return follower == null ? absent : value.applyAsLong(follower);
+                });
+    }
+
+    // ---- rounds ---------------------------------------------------------------------------------
+
+    long round() {
+        return round;
+    }
+
+    boolean isHeartbeatDue(long nowTicks) {
+        return nowTicks >= roundStartTicks + timing.heartbeatIntervalTicks();
+    }
+
+    /**
+     * Whether followers should hear at once of what was committed: nothing is on its way that would
+     * tell them later.
+     */
+    boolean hasCommitToAnnounce() {
+        return firstUnannouncedCommit <= commits.commitIndex()
+                && commits.commitIndex() == log.lastIndex();
+    }
+
+    /** Begins a round: each follower is sent entries, or a heartbeat if there are none to send. */
+    void startRound(long nowTicks) {
+        round++;
+        roundStartTicks = nowTicks;
+        firstUnannouncedCommit = commits.commitIndex() + 1;
+        for (FollowerProgress follower : followers.values()) {
+            follower.allowProbe();
+            if (!send(follower, nowTicks)) {
+                sendHeartbeat(follower);
+            }
+        }
+    }
+
+    // ---- sending --------------------------------------------------------------------------------
+
+    /** Sends each follower the entries that it lacks; false if there was nothing to send. */
+    boolean sendEntries(long nowTicks) {
+        boolean sent = false;
+        for (FollowerProgress follower : followers.values()) {
+            sent |= follower.mode() != FollowerProgress.Mode.SNAPSHOT && send(follower, nowTicks);
+        }
+        return sent;
+    }
+
+    /**
+     * Sends what a follower lacks, as far as its flow control allows; false if that was nothing.
+     */
+    boolean send(FollowerProgress follower, long nowTicks) {
+        if (follower.mode() == FollowerProgress.Mode.SNAPSHOT) {
+            boolean due =
+                    follower.snapshotSender()
+                            .isResendDue(nowTicks, timing.heartbeatIntervalTicks());
+            if (due) {
+                sendChunk(follower, nowTicks);
+            }
+            return due;
+        }
+        boolean sent = false;
+        while (follower.canSendEntries(log.lastIndex())) {
+            if (follower.nextIndex() <= log.baseIndex()) {
+                follower.startSnapshot(log.snapshot());
+                sendChunk(follower, nowTicks);
+                return true;
+            }
+            List<Entry> entries = entriesFrom(follower.nextIndex());
+            sendAppend(follower, entries);
+            follower.recordSent(entries);
+            sent = true;
+        }
+        return sent;
+    }
+
+    private List<Entry> entriesFrom(long index) {
+        return index > log.lastIndex()
+                ? List.of()
+                : log.entries().entriesFrom(index, timing.maxBatchEntries(), MAX_MESSAGE_BYTES);
+    }
+
+    private void sendAppend(FollowerProgress follower, List<Entry> entries) {
+        long previousIndex = follower.nextIndex() - 1;
+        outbox.send(
+                new Message.AppendRequest(
+                        id,
+                        follower.id(),
+                        durability.term(),
+                        previousIndex,
+                        log.term(previousIndex),
+                        commits.commitIndex(),
+                        round,
+                        roundStartTicks,
+                        entries));
+    }
+
+    /** Sends no entries: it shows a follower that it lacks some, where a message was lost. */
+    private void sendHeartbeat(FollowerProgress follower) {
+        if (follower.mode() == FollowerProgress.Mode.SNAPSHOT) {
+            // It has no entry that could be named as the one before.
+            outbox.send(
+                    new Message.AppendRequest(
+                            id,
+                            follower.id(),
+                            durability.term(),
+                            0,
+                            0,
+                            0,
+                            round,
+                            roundStartTicks,
+                            List.of()));
+        } else {
+            sendAppend(follower, List.of());
+        }
+    }
+
+    private void sendChunk(FollowerProgress follower, long nowTicks) {
+        outbox.send(
+                follower.snapshotSender()
+                        .nextChunk(
+                                id,
+                                follower.id(),
+                                durability.term(),
+                                round,
+                                roundStartTicks,
+                                nowTicks));
+    }
+
+    // ---- answers --------------------------------------------------------------------------------
+
+    /** A follower's log does not match where it was told: probes where it may. */
+    void handleRejection(FollowerProgress follower, Message.AppendResponse response) {
+        if (follower.isRelevantRejection(response.rejectedIndex())) {
+            long hint =
+                    log.lastIndexWithinTerm(
+                            Math.min(response.matchIndex(), log.lastIndex()),
+                            response.conflictTerm());
+            follower.startProbe(hint + 1);
+        }
+    }
+
+    /** A follower holds a part of a snapshot: sends the next chunk. */
+    void handleChunkResponse(
+            FollowerProgress follower, Message.SnapshotChunkResponse response, long nowTicks) {
+        SnapshotSender sender = follower.snapshotSender();
+        if (sender != null
+                && response.snapshotIndex() == sender.snapshotIndex()
+                && sender.recordReceived(response.receivedBytes())) {
+            sendChunk(follower, nowTicks);
+        }
+    }
+
+    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    String fingerprint() {
+        StringBuilder text = new StringBuilder();
+        followers.values().forEach(follower -> text.append(follower.fingerprint()));
+        return text.toString();
+    }
+}
--- a/src/main/java/rockshift/raft/SafetyRules.java
+++ b/src/main/java/rockshift/raft/SafetyRules.java
@@ -3,99 +3,106 @@
 import java.util.function.LongPredicate;
 
 /**
- * The conditions on which safety rests, each by itself, so that each can be read, and broken on
- * purpose to see that the checks find it. They hold no state.
+ * The conditions on which Raft's safety rests, one method each, so that each can be read by itself,
+ * and broken on purpose to show that the tests find it. They hold no state.
  */
 public class SafetyRules {
-    /** A member gives one vote a term. */
-    protected boolean mayVoteFor(TermAndVote ballot, long candidate) {
-        return ballot.votedFor() == 0 || ballot.votedFor() == candidate;
+    /** A member gives one vote a term; else two leaders could be elected in it. */
+    protected boolean mayVoteFor(TermAndVote termAndVote, long candidate) {
+        return termAndVote.votedFor() == 0 || termAndVote.votedFor() == candidate;
     }
 
-    /** A candidate's log ends no earlier than the voter's: so it holds all that is committed. */
+    /**
+     * A candidate's log ends no earlier than the voter's; so a leader holds all that is committed.
+     */
     protected boolean isLogUpToDate(long lastIndex, long lastTerm, long ownIndex, long ownTerm) {
         return lastTerm > ownTerm || lastTerm == ownTerm && lastIndex >= ownIndex;
     }
 
-    /** More than half of the voters. */
+    /** Whether those who agree are a majority of the voters. */
     protected boolean isQuorum(Membership members, LongPredicate agrees) {
         return members.countVoters(agrees) >= quorumSize(members);
     }
 
+    /** A majority: two quorums always share a voter. */
     protected long quorumSize(Membership members) {
         return members.voterCount() / 2 + 1;
     }
 
     /**
-     * A leader counts copies of its own term's entries only: older ones can be overwritten though
-     * most hold them.
+     * A leader counts copies of its own term's entries only: older ones can still be overwritten
+     * though a quorum holds them.
      */
     protected boolean mayCommitByCounting(long entryTerm, long term) {
         return entryTerm == term;
     }
 
-    /** The logs are the same up to an entry if they have the same term there. */
-    protected boolean logsMatch(long prevTerm, long ownTerm) {
-        return prevTerm == ownTerm;
+    /** Two logs are the same up to an index if they have the same term there. */
+    protected boolean logsMatch(long previousTerm, long ownTerm) {
+        return previousTerm == ownTerm;
     }
 
     /**
-     * An entry that stands here already is kept, with all after it: an old message must not cut
-     * what came later.
+     * An entry that is in the log already is kept with all after it; else a delayed message would
+     * truncate what was acknowledged later.
      */
     protected boolean entriesMatch(long entryTerm, long ownTerm) {
         return entryTerm == ownTerm;
     }
 
     /**
-     * Who has heard from a leader, or has just started, may have promised it a lease: no other gets
-     * a vote.
+     * A member that has heard from a leader, or has just started, votes for no other: it may have
+     * promised the leader a lease.
      */
-    protected boolean honorsCurrentLeader(long now, long heardAt, Timing timing) {
-        return now < heardAt + timing.electionTimeoutTicks();
+    protected boolean honorsCurrentLeader(long nowTicks, long leaderHeardAtTicks, Timing timing) {
+        return nowTicks < leaderHeardAtTicks + timing.electionTimeoutTicks();
     }
 
-    /** Until when no other leader can be, as most answered what was sent at a time. */
-    protected long leaseExpiry(long sentAt, Timing timing) {
-        return sentAt + (long) (timing.electionTimeoutTicks() * (1 - timing.maxClockDriftRatio()));
+    /** Until when no other member can be elected, if a quorum answered what was sent at a time. */
+    protected long leaseExpiry(long sentAtTicks, Timing timing) {
+        double safeShare = 1 - timing.maxClockDriftRatio();
+        return sentAtTicks + (long) (timing.electionTimeoutTicks() * safeShare);
     }
 
     /**
-     * Whether a leader that may once have handed over holds leases: who was told to campaign is not
-     * bound by them.
+     * A leader that may have told another to campaign holds no lease: the target of a transfer does
+     * not wait for it to end.
      */
-    protected boolean mayHoldLease(boolean handedOver) {
-        return !handedOver;
+    protected boolean mayHoldLease(boolean transferStartedInTerm) {
+        return !transferStartedInTerm;
     }
 
-    /** A read is answered once most have answered a round begun after it came. */
+    /** A read is answered once a quorum has answered a round that was begun after it came. */
     protected boolean isReadConfirmed(long roundOfQuorum, long roundOfRead) {
         return roundOfQuorum >= roundOfRead;
     }
 
-    /** A new leader knows what is committed only by an entry of its own term. */
+    /** A new leader knows what is committed only by a committed entry of its own term. */
     protected boolean knowsCommitIndex(long commitTerm, long term) {
         return commitTerm == term;
     }
 
-    /** One change of members at a time, and the first of a term only on committed ground. */
+    /**
+     * One membership change at a time, and the first of a term only after an entry of that term is
+     * committed.
+     */
     protected boolean mayChangeMembership(
-            long membersIndex, long commit, long commitTerm, long term) {
-        return membersIndex <= commit && commitTerm == term;
+            long membershipIndex, long commitIndex, long commitTerm, long term) {
+        return membershipIndex <= commitIndex && commitTerm == term;
     }
 
-    /** Whether a promise waits until what it rests on is durable. */
+    /** A promise is sent only when what it rests on is durable; else a crash would break it. */
     protected boolean persistsBeforeSending() {
         return true;
     }
 
-    /** Whether a candidate asks first whether it would win. */
+    /** Whether a candidate first asks whether it would win. */
     protected boolean usesPreVote() {
         return true;
     }
 
-    /** A change of a session is new if its serial is beyond the last one applied. */
-    protected boolean isNewSerial(long serial, long last) {
-        return serial > last;
+    /** A change of a session is applied if its serial is beyond the last one applied. */
+    protected boolean isNewSerial(long serial, long lastSerial) {
+        return serial > lastSerial;
     }
 }
--- /dev/null
+++ b/src/main/java/rockshift/raft/SnapshotSender.java
@@ -0,0 +1,61 @@
+package rockshift.raft;
+
+import java.util.Arrays;
+
+/**
+ * A snapshot on its way to one follower, chunk by chunk; each is sent once the last is answered.
+ */
+final class SnapshotSender {
+    private static final int CHUNK_BYTES = 64 << 10;
+    private static final long NEVER = Long.MIN_VALUE;
+
+    private final Snapshot snapshot;
+    private final int checksum;
+    private int receivedBytes;
+    private long chunkSentAtTicks = NEVER;
+
+    SnapshotSender(Snapshot snapshot) {
+        this.snapshot = snapshot;
+        checksum = Checksum.of(snapshot.data());
+    }
+
+    long snapshotIndex() {
+        return snapshot.index();
+    }
+
+    /** Whether the last chunk, or its answer, is taken to be lost. */
+    boolean isResendDue(long nowTicks, long resendIntervalTicks) {
+        return nowTicks >= chunkSentAtTicks + resendIntervalTicks;
+    }
+
+    /**
+     * The follower holds so many bytes.
+     *
+     * @return whether the next chunk should be sent now
+     */
+    boolean recordReceived(int bytes) {
+        boolean moved = bytes != receivedBytes;
+        receivedBytes = Math.min(bytes, snapshot.data().length);
+        return moved && receivedBytes < snapshot.data().length;
+    }
+
+    /** The chunk that follows what the follower holds, on its way from now on. */
+    Message.SnapshotChunk nextChunk(
+            long from, long to, long term, long round, long roundStartTicks, long nowTicks) {
+        int end = Math.min(snapshot.data().length, receivedBytes + CHUNK_BYTES);
+        chunkSentAtTicks = nowTicks;
+        return new Message.SnapshotChunk(
+                from,
+                to,
+                term,
+                snapshot.index(),
+                snapshot.term(),
+                snapshot.membership(),
+                snapshot.data().length,
+                checksum,
+                receivedBytes,
+                Arrays.copyOfRange(snapshot.data(), receivedBytes, end),
+                round,
+                roundStartTicks);
+    }
+}
--- a/src/main/java/rockshift/raft/TermAndVote.java
+++ b/src/main/java/rockshift/raft/TermAndVote.java
@@ -1,9 +1,12 @@
 package rockshift.raft;
 
 /**
- * What a member must never forget: the newest term that it knows, and whom it voted for in it (0:
- * nobody).
+ * What a member must never forget, or it could vote twice in a term.
+ *
+ * @param term the newest term that it knows
+ * @param votedFor the member that it voted for in that term, 0 if none
  */
 public record TermAndVote(long term, long votedFor) {
+    /** A member that has never heard of a term. */
     public static final TermAndVote NONE = new TermAndVote(0, 0);
 }
