--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import rockshift.cluster.Change;
 import rockshift.server.AgreedChangesReceiver;
+import rockshift.settings.SettingsParser;
 
 /** Hands what is agreed to the module of a governor, in the module's units. */
 final class AgreedInput {
@@ -34,8 +35,6 @@
                                 change.kind() == Change.Kind.DRAIN && change.started() > 0
                                         ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1
                                         : Long.MAX_VALUE));
-        Map<String, String> values = new HashMap<>();
-        terms.forEach((name, value) -> values.put(name, value.toString()));
-        receiver.agreed(version, until, values, inForce);
+        receiver.agreed(version, until, SettingsParser.overrides(terms), inForce);
     }
 }
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -6,7 +6,6 @@
 import java.util.DoubleSummaryStatistics;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -18,6 +17,8 @@
 import rockshift.model.ClassSet;
 import rockshift.model.ControlScope;
 import rockshift.model.Endpoint;
+import rockshift.settings.AdmissionMode;
+import rockshift.settings.PlannerSettings;
 
 /**
  * All decisions of one governor. The host calls an input method for each thing it learns, then
@@ -303,12 +304,12 @@
     /** Work that falls due: the next batch, or the end of a shunned replica's rest in one view. */
     private record Due(long at, boolean batch, long replica, boolean far) {}
 
-    public Planner(long now, long seed, Map<String, String> terms) {
-        super(now, terms);
+    public Planner(long now, long seed, PlannerSettings settings) {
+        super(now, settings);
         chance = new SplittableRandom(seed);
         homebound = new boolean[classes];
         for (int k = 0; k < classes; k++) {
-            homebound[k] = Boolean.parseBoolean(terms.get("class." + k + ".own.zone"));
+            homebound[k] = settings.classes().get(k).staysInZone();
         }
         head = number("message.head", 0);
         limit = number("channel.limit", Double.MAX_VALUE);
@@ -318,7 +319,7 @@
         channel = new ChannelPacer(head, pace, now);
         coldShare = number("cold.share", 0.1);
         warmAfter = number("warm.after", 300_000);
-        all = terms.getOrDefault("admission", "").equals("rate") ? ALL : 1;
+        all = settings.admissionMode() == AdmissionMode.RATE_PER_SECOND ? ALL : 1;
         level = new double[classes];
         Arrays.fill(level, 1);
         letIn = level.clone();
@@ -899,7 +900,7 @@
      * not busy refuses nothing.
      */
     private void setLevels() {
-        if (!terms.getOrDefault("admission", "").equals("share") || flowTime == 0) {
+        if (settings.admissionMode() != AdmissionMode.FRACTION || flowTime == 0) {
             return;
         }
         // A refused client comes again; taken for new demand, it would have ever more refused. How
--- a/src/main/java/rockshift/planner/PlannerState.java
+++ b/src/main/java/rockshift/planner/PlannerState.java
@@ -11,21 +11,23 @@
 import rockshift.model.ControlScope;
 import rockshift.model.Endpoint;
 import rockshift.settings.ClassNames;
+import rockshift.settings.ClassSettings;
+import rockshift.settings.PlannerSettings;
+import rockshift.settings.SettingOverrides;
 
 /**
  * What one governor knows: inputs write down what they tell, and {@link Planner} decides what
  * follows.
  */
 abstract class PlannerState {
-    final Map<String, String> terms;
+    /** The settings of the deployment; and with what controllers agreed to override since. */
+    private final PlannerSettings configured;
 
-    /**
-     * Terms that staff agreed to change since; and by replica, who is to be kept out if it started
-     * no later.
-     */
-    final TreeMap<String, String> agreedTerms = new TreeMap<>();
+    PlannerSettings settings;
 
+    /** By replica, who is to be kept out if it started no later. */
     final TreeMap<Long, Long> asked = new TreeMap<>();
+
     long agreedVersion;
     ControlScope setControlScope = ControlScope.FULL;
     final List<String> zones;
@@ -78,25 +80,65 @@
     /** The shortest promised time: answers that take longer are late. */
     final double promised;
 
-    PlannerState(long now, Map<String, String> terms) {
+    PlannerState(long now, PlannerSettings configured) {
         this.now = now;
-        this.terms = terms;
+        this.configured = configured;
+        settings = configured;
         fadedAt = now;
-        zones = Arrays.asList(terms.getOrDefault("zones", "").split(","));
-        // Sites with slices hand out tables of their own: none is laid there.
-        classes = number("slices", 0) > 0 ? 0 : (int) number("classes", 0);
-        classNames = ClassNames.of(terms);
+        zones = configured.zones();
+        // Deployments with shards hand out tables of their own: none is published there.
+        classes = configured.sharded() ? 0 : configured.classes().size();
+        classNames = configured.classNames();
         came = new double[classes];
         promised =
                 IntStream.range(0, classes)
-                        .mapToDouble(k -> number("class." + k + ".promised.time", Double.MAX_VALUE))
+                        .mapToDouble(k -> configured.classes().get(k).latencyObjectiveTicks())
                         .min()
                         .orElse(0);
     }
 
+    /** Settings by their former names, until each policy is handed what it reads. */
     final double number(String name, double otherwise) {
-        String value = agreedTerms.getOrDefault(name, terms.get(name));
-        return value == null || value.isEmpty() ? otherwise : Double.parseDouble(value);
+        if (name.startsWith("class.")) {
+            return numberOfClass(name.split("\\."), otherwise);
+        }
+        return switch (name) {
+            case "message.head" -> settings.messageOverheadEntries();
+            case "channel.limit" -> settings.channelQueueLimitEntries();
+            case "channel.pace" -> settings.channelEntriesPerSecond();
+            case "messages.limit" -> settings.messageQuota();
+            case "messages.span" -> settings.messageQuotaWindowTicks();
+            case "drain.grace" -> settings.drainGraceTicks();
+            case "cold.share" -> settings.initialSlowStartFraction();
+            case "warm.after" -> settings.slowStartTicks();
+            case "again.unset" -> settings.defaultRetryMode();
+            case "transit" -> settings.transitTicks();
+            case "transit.longest" -> settings.longestTransitTicks();
+            case "idle.close" -> settings.idleCloseTicks();
+            default -> numberOfDeployment(name, otherwise);
+        };
+    }
+
+    private double numberOfDeployment(String name, double otherwise) {
+        return switch (name) {
+            case "proxies" -> settings.expectedProxies();
+            case "governors" -> settings.controllerCount();
+            case "report.period" -> settings.reportPeriodTicks();
+            case "fall.multiple" -> settings.coldOverloadMultiple();
+            case "goal.worst.class" -> settings.worstClassWeight();
+            case "price.crossing" -> settings.zoneCrossingPrice();
+            case "price.orders" -> settings.commandPrice();
+            default -> otherwise;
+        };
+    }
+
+    private double numberOfClass(String[] steps, double otherwise) {
+        ClassSettings ofClass = settings.classes().get(Integer.parseInt(steps[1]));
+        return switch (steps[2]) {
+            case "benefit" -> ofClass.priorityWeight();
+            case "time" -> ofClass.timeoutTicks();
+            default -> otherwise;
+        };
     }
 
     /**
@@ -159,17 +201,17 @@
 
     /**
      * What staff agreed, as it stands since a version: replicas to keep out, each up to a last
-     * start, and changed terms. One that is older than what is known means nothing.
+     * start, and settings that replace the configured ones. One that is older than what is known
+     * means nothing.
      */
     public void applyAgreedChanges(
-            long now, long version, Map<Long, Long> out, Map<String, String> changed) {
+            long now, long version, Map<Long, Long> out, SettingOverrides overrides) {
         this.now = now;
         if (version > agreedVersion) {
             agreedVersion = version;
             asked.clear();
             asked.putAll(out);
-            agreedTerms.clear();
-            agreedTerms.putAll(changed);
+            settings = configured.withOverrides(overrides);
             urgent = true;
         }
     }
--- a/src/main/java/rockshift/server/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/server/AgreedChangesReceiver.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import rockshift.model.ControlScope;
 import rockshift.model.Endpoint;
+import rockshift.settings.SettingOverrides;
 
 /**
  * How what governors agree among themselves comes into one of them: by the same queue as all else
@@ -42,16 +43,16 @@
      * What stands agreed since a version: by replica's name, up to which start (tenths of a ms) it
      * is kept out.
      */
-    public void agreed(long version, Map<String, Long> out, Map<String, String> terms) {
-        agreed(version, out, terms, () -> {});
+    public void agreed(long version, Map<String, Long> out, SettingOverrides overrides) {
+        agreed(version, out, overrides, () -> {});
     }
 
     /** The same; runs a task on the module's thread once the module goes by it. */
     public void agreed(
-            long version, Map<String, Long> out, Map<String, String> terms, Runnable inForce) {
+            long version, Map<String, Long> out, SettingOverrides overrides, Runnable inForce) {
         Map<Long, Long> numbered = new HashMap<>();
         out.forEach((name, start) -> numbered.put(DiscoveryClient.number(name), start));
-        loop.agreed(version, numbered, terms, inForce);
+        loop.agreed(version, numbered, overrides, inForce);
     }
 
     public void reach(ControlScope reach) {
--- a/src/main/java/rockshift/server/ControllerConfiguration.java
+++ b/src/main/java/rockshift/server/ControllerConfiguration.java
@@ -16,7 +16,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import rockshift.settings.ClassNames;
-import rockshift.settings.SettingNames;
+import rockshift.settings.InvalidSettingException;
+import rockshift.settings.PlannerSettings;
+import rockshift.settings.SettingsParser;
 
 /**
  * What a governor is told in its file: where it is, where discovery is, what it may use, the list
@@ -30,7 +32,7 @@
         long seed,
         int descriptors,
         DiscoveryClient.Listing known,
-        Map<String, String> terms) {
+        PlannerSettings settings) {
     /** Descriptors where none are told: what is usual for a process. */
     private static final int USUAL_DESCRIPTORS = 1024;
 
@@ -56,7 +58,7 @@
         Long seed = null;
         int descriptors = USUAL_DESCRIPTORS;
         DiscoveryClient.Listing known = null;
-        SettingNames terms = new SettingNames();
+        SettingsParser settings = new SettingsParser();
         Map<String, JsonLocation> places = new HashMap<>();
         String field = "";
         try (JsonParser json = new JsonFactory().createParser(new File(file))) {
@@ -73,7 +75,7 @@
                     case "seed" -> seed = Long.parseUnsignedLong(json.getText(), 16);
                     case "known" -> known = DiscoveryClient.read(json);
                     case "limits" -> descriptors = sockets(json, descriptors);
-                    case "settings" -> flatten("", json, terms, places);
+                    case "settings" -> flatten("", json, settings, places);
                     default -> json.skipChildren();
                 }
             }
@@ -89,58 +91,49 @@
         require(file, "discovery", discovery);
         require(file, "seed", seed);
         require(file, "known", known);
-        checkSettings(file, terms.map(), places);
         return new ControllerConfiguration(
-                name, listen, discovery, seed, descriptors, known, terms.map());
+                name, listen, discovery, seed, descriptors, known, build(file, settings, places));
     }
 
-    /** Names the first of the terms that is missing or can't be used. */
-    private static void checkSettings(
-            String file, Map<String, String> terms, Map<String, JsonLocation> places)
+    /** The settings; an error names the field, and the place of a class name that is no use. */
+    private static PlannerSettings build(
+            String file, SettingsParser settings, Map<String, JsonLocation> places)
             throws InvalidFileException {
-        for (String needed : new String[] {"zones", "classes", "proxies"}) {
-            require(file, "settings (" + needed + ")", terms.get(needed));
-        }
         try {
-            for (int k = 0; k < Integer.parseInt(terms.get("classes")); k++) {
-                require(file, "settings (class." + k + ".name)", terms.get("class." + k + ".name"));
-            }
-            ClassNames.of(terms);
-            Double.parseDouble(terms.get("proxies"));
-        } catch (NumberFormatException wrong) {
-            throw new InvalidFileException(file + ": field settings: " + wrong.getMessage());
-        } catch (ClassNames.InvalidNameException wrong) {
-            JsonLocation place = places.get("classes." + wrong.number() + ".name");
-            throw new InvalidFileException(
-                    file
-                            + ": line "
-                            + place.getLineNr()
-                            + ", column "
-                            + place.getColumnNr()
-                            + ": field settings ("
-                            + wrong.field()
-                            + ") "
-                            + wrong.getMessage());
+            settings.requireDeployment();
+            return settings.build();
+        } catch (ClassNames.InvalidNameException invalid) {
+            JsonLocation place = places.get(SettingsParser.classNamePath(invalid.number()));
+            String line = "line " + place.getLineNr() + ", column " + place.getColumnNr();
+            throw new InvalidFileException(file + ": " + line + ": " + describe(invalid));
+        } catch (InvalidSettingException invalid) {
+            throw new InvalidFileException(file + ": " + describe(invalid));
         }
     }
 
+    private static String describe(InvalidSettingException invalid) {
+        return "field settings (" + invalid.field() + ") " + invalid.reason();
+    }
+
     /**
      * What is told of the channel that could not be kept if all proxies told were here, a line for
      * each field. The least that all of them can be sent is one line each, with its head and its
      * mark.
      */
     List<String> beyondChannel() {
-        double proxies = number("proxies", 0);
-        double least = proxies * (number("message.head", 0) + 2);
-        double limit = number("channel.limit", Double.MAX_VALUE);
-        double grace = number("drain.grace", Double.MAX_VALUE) / SECOND;
-        double takes = least / number("channel.pace", Double.MAX_VALUE);
+        double proxies = settings.expectedProxies();
+        double least = proxies * (settings.messageOverheadEntries() + 2);
+        double limit = settings.channelQueueLimitEntries();
+        double grace = Math.min(settings.drainGraceTicks(), Double.MAX_VALUE) / SECOND;
+        double rate = settings.channelEntriesPerSecond();
+        double takes = least / rate;
         List<String> lines = new ArrayList<>();
         if (least > limit) {
             lines.add(
                     String.format(
                             Locale.ROOT,
-                            "domain.backlog %.0f: one drain told to all %.0f proxies at once comes"
+                            SettingsParser.CHANNEL_QUEUE_LIMIT
+                                    + " %.0f: one drain told to all %.0f proxies at once comes"
                                     + " to %.0f lines",
                             limit,
                             proxies,
@@ -150,9 +143,10 @@
             lines.add(
                     String.format(
                             Locale.ROOT,
-                            "domain.channel_rate %.0f: one drain told to all %.0f proxies takes"
+                            SettingsParser.CHANNEL_RATE
+                                    + " %.0f: one drain told to all %.0f proxies takes"
                                     + " %.1f of the %.1f s that it is given",
-                            number("channel.pace", 0),
+                            rate == Double.MAX_VALUE ? 0 : rate,
                             proxies,
                             takes,
                             grace));
@@ -160,11 +154,6 @@
         return lines;
     }
 
-    private double number(String name, double otherwise) {
-        String value = terms.get(name);
-        return value == null || value.isEmpty() ? otherwise : Double.parseDouble(value);
-    }
-
     /**
      * The fields in which another file differs though they stand for as long as the process serves.
      */
@@ -173,7 +162,7 @@
                         name.equals(other.name) ? "" : "name",
                         listen.equals(other.listen) ? "" : "listen",
                         descriptors == other.descriptors ? "" : "limits",
-                        terms.equals(other.terms) ? "" : "settings")
+                        settings.equals(other.settings) ? "" : "settings")
                 .filter(field -> !field.isEmpty())
                 .collect(Collectors.joining(", "));
     }
@@ -213,13 +202,13 @@
      * Where a plain value stands is noted under its path.
      */
     private static void flatten(
-            String path, JsonParser json, SettingNames terms, Map<String, JsonLocation> places)
+            String path, JsonParser json, SettingsParser settings, Map<String, JsonLocation> places)
             throws IOException {
         if (json.currentToken() == JsonToken.START_OBJECT) {
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 String step = path.isEmpty() ? json.currentName() : path + "." + json.currentName();
                 json.nextToken();
-                flatten(step, json, terms, places);
+                flatten(step, json, settings, places);
             }
         } else if (json.currentToken() == JsonToken.START_ARRAY) {
             StringJoiner plain = new StringJoiner(",");
@@ -228,14 +217,14 @@
                 if (json.currentToken().isScalarValue()) {
                     plain.add(json.getText());
                 } else {
-                    flatten(path + "." + objects++, json, terms, places);
+                    flatten(path + "." + objects++, json, settings, places);
                 }
             }
-            terms.put(
+            settings.put(
                     objects > 0 ? path + ".count" : path,
                     objects > 0 ? Integer.toString(objects) : plain.toString());
         } else if (json.currentToken() != JsonToken.VALUE_NULL) {
-            terms.put(path, json.getText());
+            settings.put(path, json.getText());
             places.put(path, json.currentTokenLocation());
         }
     }
--- a/src/main/java/rockshift/server/ControllerServer.java
+++ b/src/main/java/rockshift/server/ControllerServer.java
@@ -48,12 +48,12 @@
     ControllerServer(ControllerConfiguration configuration, AgreedChangesSource source) {
         this.configuration = configuration;
         this.source = source;
-        loop = new EventLoop(configuration.seed(), configuration.terms());
+        loop = new EventLoop(configuration.seed(), configuration.settings());
         receiver = source == null ? null : new AgreedChangesReceiver(loop);
         DiscoveryClient.take(configuration.known(), loop);
         thread = new Thread(loop, "event-loop");
         discovery = new DiscoveryClient(configuration.discovery(), loop);
-        streams = new ProxyConnections(loop, configuration.terms(), configuration.descriptors());
+        streams = new ProxyConnections(loop, configuration.settings(), configuration.descriptors());
     }
 
     void start() throws IOException, InterruptedException {
@@ -175,9 +175,6 @@
         } catch (ControllerConfiguration.InvalidFileException wrong) {
             System.err.println(wrong.getMessage());
             return INVALID_USAGE;
-        } catch (NumberFormatException wrong) {
-            System.err.println(file + ": field settings: " + wrong.getMessage());
-            return INVALID_USAGE;
         } catch (IOException failure) {
             System.err.println(failure.getMessage());
             return FAILED;
--- a/src/main/java/rockshift/server/DiscoveryClient.java
+++ b/src/main/java/rockshift/server/DiscoveryClient.java
@@ -41,7 +41,6 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.model.Endpoint;
-import rockshift.settings.SettingNames;
 
 /**
  * The client of discovery: it keeps the list of replicas by watching where the file in force says
@@ -374,7 +373,7 @@
                 case "instanceId" -> id = text(json);
                 case "zone" -> zone = text(json);
                 case "machineType" -> kind = text(json);
-                case "lifecycle" -> health = SettingNames.health(text(json));
+                case "lifecycle" -> health = Endpoint.Health.fromWireName(text(json));
                 case "startedAtMs" ->
                         started = Math.round(json.getDoubleValue() * EventLoop.TENTHS_PER_MILLI);
                 default -> json.skipChildren();
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -13,7 +13,8 @@
 import rockshift.model.ControlScope;
 import rockshift.model.Endpoint;
 import rockshift.planner.Planner;
-import rockshift.settings.ClassNames;
+import rockshift.settings.PlannerSettings;
+import rockshift.settings.SettingOverrides;
 
 /**
  * The one thread that owns the module, and the one queue through which all else reaches it. A turn
@@ -56,10 +57,10 @@
     private long wakeAt = Long.MAX_VALUE;
     private volatile boolean closed;
 
-    EventLoop(long seed, Map<String, String> terms) {
-        logic = new Planner(now(), seed, terms);
-        tables = new PublishedTables(ClassNames.of(terms), delay -> wakeAt = now() + delay);
-        spacing = Long.parseLong(terms.getOrDefault("turn.spacing", "0"));
+    EventLoop(long seed, PlannerSettings settings) {
+        logic = new Planner(now(), seed, settings);
+        tables = new PublishedTables(settings.classNames(), delay -> wakeAt = now() + delay);
+        spacing = settings.turnSpacingTicks();
     }
 
     /**
@@ -136,11 +137,11 @@
     }
 
     /** What staff agreed is never refused: it comes as it changes, whole. */
-    void agreed(long version, Map<Long, Long> out, Map<String, String> terms, Runnable inForce) {
+    void agreed(long version, Map<Long, Long> out, SettingOverrides overrides, Runnable inForce) {
         queue.add(
                 now -> {
                     tables.agreed();
-                    logic.applyAgreedChanges(now, version, out, terms);
+                    logic.applyAgreedChanges(now, version, out, overrides);
                     inForce.run();
                 });
     }
--- a/src/main/java/rockshift/server/ProxyConnections.java
+++ b/src/main/java/rockshift/server/ProxyConnections.java
@@ -31,6 +31,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.settings.ClassNames;
+import rockshift.settings.PlannerSettings;
 
 /**
  * The listener and the connections of proxies, collectors and strangers: bytes in, bytes out, and
@@ -138,12 +139,12 @@
     private int counted;
     private final Map<String, Integer> unlogged = new TreeMap<>();
 
-    ProxyConnections(EventLoop loop, Map<String, String> terms, int descriptors) {
+    ProxyConnections(EventLoop loop, PlannerSettings settings, int descriptors) {
         this.loop = loop;
-        zones = Set.of(terms.get("zones").split(","));
-        classes = ClassNames.of(terms);
-        proxies = (int) Double.parseDouble(terms.get("proxies"));
-        loads = List.of(terms.getOrDefault("load.values", "").split(",")).contains(RespCodec.BUSY);
+        zones = Set.copyOf(settings.zones());
+        classes = settings.classNames();
+        proxies = settings.expectedProxies();
+        loads = settings.loadMetricNames().contains(RespCodec.BUSY);
         most = Math.max(1, descriptors - RESERVED);
         IOReactorConfig one =
                 IOReactorConfig.custom()
--- a/src/main/java/rockshift/settings/ClassNames.java
+++ b/src/main/java/rockshift/settings/ClassNames.java
@@ -1,6 +1,5 @@
 package rockshift.settings;
 
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -9,22 +8,19 @@
 
 /** The names of the request classes, by number: each has one, and no two the same. */
 public final class ClassNames {
-    /**
-     * What joins class names, lists and pairs on the proxies' streams; no name may hold any of
-     * them.
-     */
+    /** What the protocol joins class names, lists and pairs by: no name may hold any of them. */
     private static final String SEPARATORS = "+,:";
 
     private final List<String> names;
     private final Map<String, Integer> numbers = new HashMap<>();
 
-    /** A name that can't be used; the message tells why. */
-    public static final class InvalidNameException extends IllegalArgumentException {
+    /** A class name that cannot be used. */
+    public static final class InvalidNameException extends InvalidSettingException {
         private static final long serialVersionUID = 1L;
         private final int number;
 
-        InvalidNameException(int number, String why) {
-            super(why);
+        InvalidNameException(int number, String reason) {
+            super(ClassNames.field(number), reason);
             this.number = number;
         }
 
@@ -32,19 +28,12 @@
         public int number() {
             return number;
         }
-
-        /** How the terms call that name. */
-        public String field() {
-            return ClassNames.field(number);
-        }
     }
 
     private ClassNames(List<String> names) {
         this.names = names;
         for (int number = 0; number < names.size(); number++) {
-            if (names.get(number) != null) {
-                add(number, names.get(number));
-            }
+            add(number, names.get(number));
         }
     }
 
@@ -54,13 +43,8 @@
         }
         for (char separator : SEPARATORS.toCharArray()) {
             if (name.indexOf(separator) >= 0) {
-                throw new InvalidNameException(
-                        number,
-                        "'"
-                                + name
-                                + "' holds '"
-                                + separator
-                                + "', which the protocol separates by");
+                String reason = "' holds '" + separator + "', which the protocol separates by";
+                throw new InvalidNameException(number, "'" + name + reason);
             }
         }
         Integer before = numbers.putIfAbsent(name, number);
@@ -69,8 +53,8 @@
         }
     }
 
-    /** How the terms call the name of a class. */
-    private static String field(int number) {
+    /** How errors call the name of a class. */
+    static String field(int number) {
         return "class." + number + ".name";
     }
 
@@ -85,18 +69,13 @@
     }
 
     /**
-     * The names in the terms; a class that the terms leave without one can't be named.
+     * The names of classes, in the order of their numbers.
      *
      * @throws InvalidNameException for the first that is empty, repeats another or holds a
      *     separator of the protocol
      */
-    public static ClassNames of(Map<String, String> terms) {
-        String count = terms.getOrDefault("classes", "");
-        List<String> names = new ArrayList<>();
-        for (int number = 0; !count.isEmpty() && number < Integer.parseInt(count); number++) {
-            names.add(terms.get(field(number)));
-        }
-        return new ClassNames(names);
+    static ClassNames of(List<ClassSettings> classes) {
+        return new ClassNames(classes.stream().map(ClassSettings::name).toList());
     }
 
     /** Whether a class has this name. */
--- /dev/null
+++ b/src/main/java/rockshift/settings/ClassSettings.java
@@ -0,0 +1,79 @@
+package rockshift.settings;
+
+import static rockshift.settings.SettingChecks.requireNotNegative;
+
+import java.util.Objects;
+
+/**
+ * Settings of one class of requests. Times are in ticks of 100 microseconds.
+ *
+ * @param name name of the class at proxies and in reports
+ * @param latencyObjectiveTicks answers that take longer are late
+ * @param timeoutTicks how long a client waits for an answer, over all its attempts
+ * @param priorityWeight value of one answered request, relative to the other classes
+ * @param staysInZone whether requests may only go to replicas in the proxy's own zone
+ */
+public record ClassSettings(
+        String name,
+        double latencyObjectiveTicks,
+        long timeoutTicks,
+        double priorityWeight,
+        boolean staysInZone) {
+    /** Refuses a class without a name, and numbers that are negative or not a number. */
+    public ClassSettings {
+        Objects.requireNonNull(name, "name");
+        requireNotNegative("latencyObjectiveTicks", latencyObjectiveTicks);
+        requireNotNegative("timeoutTicks", timeoutTicks);
+        requireNotNegative("priorityWeight", priorityWeight);
+    }
+
+    /** Starts the settings of a class from their defaults. */
+    public static Builder named(String name) {
+        return new Builder().name(name);
+    }
+
+    /** Collects the settings of one class, each with its default. */
+    public static final class Builder {
+        private String name;
+        private double latencyObjectiveTicks = Double.MAX_VALUE;
+        private long timeoutTicks = 0;
+        private double priorityWeight = 1;
+        private boolean staysInZone = false;
+
+        /** Sets {@link ClassSettings#name}; it has no default. */
+        public Builder name(String value) {
+            name = value;
+            return this;
+        }
+
+        /** Sets {@link ClassSettings#latencyObjectiveTicks}; by default no answer is late. */
+        public Builder latencyObjectiveTicks(double value) {
+            latencyObjectiveTicks = value;
+            return this;
+        }
+
+        /** Sets {@link ClassSettings#timeoutTicks}. */
+        public Builder timeoutTicks(long value) {
+            timeoutTicks = value;
+            return this;
+        }
+
+        /** Sets {@link ClassSettings#priorityWeight}. */
+        public Builder priorityWeight(double value) {
+            priorityWeight = value;
+            return this;
+        }
+
+        /** Sets {@link ClassSettings#staysInZone}. */
+        public Builder staysInZone(boolean value) {
+            staysInZone = value;
+            return this;
+        }
+
+        /** The settings as they stand. */
+        public ClassSettings build() {
+            return new ClassSettings(
+                    name, latencyObjectiveTicks, timeoutTicks, priorityWeight, staysInZone);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/settings/SettingsParser.java
@@ -0,0 +1,276 @@
+package rockshift.settings;
+
+import static java.util.Map.entry;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalDouble;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.BiConsumer;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.IntStream;
+
+/**
+ * Builds {@link PlannerSettings} from the names and units that the simulator's wire and the
+ * configuration file share. Those names are known to this class alone. Paths that it does not know
+ * are passed over, as deployments add new ones.
+ */
+public final class SettingsParser {
+    /** Path of {@link PlannerSettings#channelQueueLimitEntries}. */
+    public static final String CHANNEL_QUEUE_LIMIT = "domain.backlog";
+
+    /** Path of {@link PlannerSettings#channelEntriesPerSecond}. */
+    public static final String CHANNEL_RATE = "domain.channel_rate";
+
+    private static final String ZONES = "dcs";
+    private static final String CLASS_COUNT = "classes.count";
+    private static final Pattern CLASS_SETTING = Pattern.compile("classes\\.(\\d{1,9})\\.(\\w+)");
+    private static final String CLASSES_IN_ZONE = "domain.class_own_zone";
+    private static final String EXPECTED_PROXIES = "domain.proxy_count";
+    private static final String MICROS_SUFFIX = "_us";
+    private static final int MICROS_PER_TICK = 100;
+
+    private static final Map<String, BiConsumer<PlannerSettings.Builder, Value>> SETTERS =
+            Map.ofEntries(
+                    entry(ZONES, (builder, value) -> builder.zones(value.list())),
+                    entry(
+                            "n_instances",
+                            (builder, value) -> builder.controllerCount(value.integer())),
+                    entry(
+                            EXPECTED_PROXIES,
+                            (builder, value) -> builder.expectedProxies(value.integer())),
+                    entry("domain.slices", (builder, value) -> builder.sharded(value.number() > 0)),
+                    entry(
+                            CHANNEL_RATE,
+                            (builder, value) -> builder.channelEntriesPerSecond(value.number())),
+                    entry(
+                            CHANNEL_QUEUE_LIMIT,
+                            (builder, value) -> builder.channelQueueLimitEntries(value.number())),
+                    entry(
+                            "domain.fixed_cost",
+                            (builder, value) -> builder.messageOverheadEntries(value.number())),
+                    entry(
+                            "domain.update_cap",
+                            (builder, value) -> builder.messageQuota(value.number())),
+                    entry(
+                            "domain.update_window_us",
+                            (builder, value) -> builder.messageQuotaWindowTicks(value.ticks())),
+                    entry(
+                            "domain.late_us",
+                            (builder, value) -> builder.transitTicks(value.ticks())),
+                    entry(
+                            "domain.worst_transit_us",
+                            (builder, value) -> builder.longestTransitTicks(value.ticks())),
+                    entry(
+                            "domain.cycle_us",
+                            (builder, value) -> builder.reportPeriodTicks(value.ticks())),
+                    entry(
+                            "domain.base_mode",
+                            (builder, value) -> builder.defaultRetryMode(value.integer())),
+                    entry(
+                            "domain.admission",
+                            (builder, value) -> builder.admissionMode(admissionMode(value.text()))),
+                    entry(
+                            "ceilings.idle_close_us",
+                            (builder, value) -> builder.idleCloseTicks(value.ticks())),
+                    entry(
+                            "invariants.drain_grace_us",
+                            (builder, value) -> builder.drainGraceTicks(value.ticks())),
+                    entry(
+                            "invariants.start_capacity",
+                            (builder, value) -> builder.initialSlowStartFraction(value.number())),
+                    entry(
+                            "invariants.warm_after_us",
+                            (builder, value) -> builder.slowStartTicks(value.ticks())),
+                    entry(
+                            "invariants.fall_multiple",
+                            (builder, value) -> builder.coldOverloadMultiple(value.number())),
+                    entry(
+                            "goal.worst_class",
+                            (builder, value) -> builder.worstClassWeight(value.number())),
+                    entry(
+                            "prices.cross_zone",
+                            (builder, value) -> builder.zoneCrossingPrice(value.number())),
+                    entry(
+                            "domain.push_price",
+                            (builder, value) -> builder.commandPrice(value.number())),
+                    entry(
+                            "report.names",
+                            (builder, value) -> builder.loadMetricNames(Set.copyOf(value.list()))),
+                    entry(
+                            "discovery",
+                            (builder, value) ->
+                                    builder.subscribesToDiscovery(
+                                            value.text().equals("subscribe"))),
+                    entry(
+                            "granularity_us",
+                            (builder, value) -> builder.turnSpacingTicks(value.ticks())));
+
+    private static final Map<String, BiConsumer<ClassSettings.Builder, Value>> CLASS_SETTERS =
+            Map.of(
+                    "name",
+                    (builder, value) -> builder.name(value.text()),
+                    "aim_us",
+                    (builder, value) -> builder.latencyObjectiveTicks(value.ticks()),
+                    "hard_limit_us",
+                    (builder, value) -> builder.timeoutTicks(value.ticks()),
+                    "worth",
+                    (builder, value) -> builder.priorityWeight(value.number()));
+
+    private final PlannerSettings.Builder settings = PlannerSettings.newBuilder();
+    private final TreeMap<Integer, ClassSettings.Builder> classes = new TreeMap<>();
+    private final Set<String> given = new HashSet<>();
+    private List<String> staysInZone = List.of();
+    private int classCount;
+
+    /** The path of a class's name. */
+    public static String classNamePath(int number) {
+        return "classes." + number + ".name";
+    }
+
+    /**
+     * Overrides by the names that the agreed log and the commands use; others are passed over.
+     *
+     * @throws InvalidSettingException for a value that cannot be used
+     */
+    public static SettingOverrides overrides(Map<String, Double> agreed) {
+        return new SettingOverrides(
+                optional(agreed.get("price.crossing")),
+                optional(agreed.get("price.orders")),
+                optional(agreed.get("goal.worst.class")));
+    }
+
+    /**
+     * Takes one plain value, or a list of plain values with commas between them, under its path,
+     * such as classes.0.name.
+     *
+     * @throws InvalidSettingException for a value that cannot be read
+     */
+    public void put(String path, String text) {
+        Value value = new Value(path, text);
+        Matcher ofClass = CLASS_SETTING.matcher(path);
+        boolean absent = text.isEmpty() && !value.isTime() && !ofClass.matches();
+        if (!absent || path.equals(ZONES)) {
+            given.add(path);
+        }
+        if (absent) {
+            return;
+        } else if (ofClass.matches()) {
+            putClassSetting(Integer.parseInt(ofClass.group(1)), ofClass.group(2), value);
+        } else if (path.equals(CLASS_COUNT)) {
+            classCount = value.count();
+        } else if (path.equals(CLASSES_IN_ZONE)) {
+            staysInZone = value.list();
+        } else if (SETTERS.containsKey(path)) {
+            SETTERS.get(path).accept(settings, value);
+        }
+    }
+
+    private void putClassSetting(int number, String name, Value value) {
+        if (CLASS_SETTERS.containsKey(name)) {
+            CLASS_SETTERS
+                    .get(name)
+                    .accept(
+                            classes.computeIfAbsent(number, added -> new ClassSettings.Builder()),
+                            value);
+        }
+    }
+
+    /**
+     * Checks that all was given which has no default in a deployment with sockets.
+     *
+     * @throws InvalidSettingException for the first that is missing
+     */
+    public void requireDeployment() {
+        require("zones", ZONES);
+        require("classes", CLASS_COUNT);
+        require("proxies", EXPECTED_PROXIES);
+    }
+
+    private void require(String field, String path) {
+        if (!given.contains(path)) {
+            throw new InvalidSettingException(field, "is missing");
+        }
+    }
+
+    /**
+     * The settings from all that was put in; the rest has its defaults.
+     *
+     * @throws InvalidSettingException for the first that cannot be used
+     */
+    public PlannerSettings build() {
+        return settings.classes(IntStream.range(0, classCount).mapToObj(this::build).toList())
+                .build();
+    }
+
+    private ClassSettings build(int number) {
+        require(ClassNames.field(number), classNamePath(number));
+        boolean stays =
+                number < staysInZone.size() && Boolean.parseBoolean(staysInZone.get(number));
+        return classes.get(number).staysInZone(stays).build();
+    }
+
+    private static AdmissionMode admissionMode(String word) {
+        return switch (word) {
+            case "fraction" -> AdmissionMode.FRACTION;
+            case "per_second" -> AdmissionMode.RATE_PER_SECOND;
+            default -> AdmissionMode.NONE;
+        };
+    }
+
+    private static OptionalDouble optional(Double value) {
+        return value == null ? OptionalDouble.empty() : OptionalDouble.of(value);
+    }
+
+    /** One value as text, with the path that errors name. */
+    private record Value(String path, String text) {
+        boolean isTime() {
+            return path.endsWith(MICROS_SUFFIX);
+        }
+
+        List<String> list() {
+            return List.of(text.split(","));
+        }
+
+        double number() {
+            return parse("a number from 0");
+        }
+
+        /** A number without what is behind its point. */
+        int integer() {
+            return (int) number();
+        }
+
+        int count() {
+            try {
+                return Integer.parseUnsignedInt(text);
+            } catch (NumberFormatException malformed) {
+                throw invalid("a whole number from 0");
+            }
+        }
+
+        /** A time in microseconds, rounded down to whole ticks. */
+        long ticks() {
+            return (long) (parse("a time in microseconds") / MICROS_PER_TICK);
+        }
+
+        private double parse(String expected) {
+            try {
+                double number = Double.parseDouble(text);
+                if (number >= 0) {
+                    return number;
+                }
+            } catch (NumberFormatException malformed) {
+                throw invalid(expected);
+            }
+            throw invalid(expected);
+        }
+
+        private InvalidSettingException invalid(String expected) {
+            return new InvalidSettingException(path, expected + ", not '" + text + "'");
+        }
+    }
+}
--- a/src/main/java/rockshift/simulation/SimulatorCodec.java
+++ b/src/main/java/rockshift/simulation/SimulatorCodec.java
@@ -8,7 +8,9 @@
 import rockshift.model.ClassSet;
 import rockshift.model.Endpoint;
 import rockshift.settings.ClassNames;
-import rockshift.settings.SettingNames;
+import rockshift.settings.InvalidSettingException;
+import rockshift.settings.PlannerSettings;
+import rockshift.settings.SettingsParser;
 
 /** The simulator's lines: their parts, its units and its names turned into ours. */
 final class SimulatorCodec {
@@ -106,7 +108,7 @@
         String zone = text("a zone");
         String kind = text("a kind");
         text("a cell");
-        Endpoint.Health health = SettingNames.health(text("a health"));
+        Endpoint.Health health = Endpoint.Health.fromWireName(text("a health"));
         if (health == null) {
             throw new Malformed(line, "Ready, Terminating or Gone");
         }
@@ -115,27 +117,24 @@
         return new Endpoint(replica, zone, kind, health, started);
     }
 
-    /** What an instance is told at its start fills the rest of the line. */
-    Map<String, String> terms() {
-        SettingNames terms = new SettingNames();
-        while (next < parts.length) {
-            String pair = parts[next++];
-            int cut = pair.indexOf('=');
-            if (cut >= 0) {
-                try {
-                    terms.put(pair.substring(0, cut), pair.substring(cut + 1));
-                } catch (IllegalArgumentException wrong) {
-                    throw new Malformed(line, wrong.getMessage());
+    /** The settings of an instance fill the rest of the line. */
+    PlannerSettings settings() {
+        SettingsParser parser = new SettingsParser();
+        try {
+            while (next < parts.length) {
+                String pair = parts[next++];
+                int cut = pair.indexOf('=');
+                if (cut >= 0) {
+                    parser.put(pair.substring(0, cut), pair.substring(cut + 1));
                 }
             }
-        }
-        try {
-            ClassNames.of(terms.map());
-        } catch (ClassNames.InvalidNameException wrong) {
+            return parser.build();
+        } catch (ClassNames.InvalidNameException invalid) {
             throw new Malformed(
-                    line, "class names of which " + wrong.field() + " " + wrong.getMessage());
+                    line, "class names of which " + invalid.field() + " " + invalid.reason());
+        } catch (InvalidSettingException invalid) {
+            throw new Malformed(line, invalid.getMessage());
         }
-        return terms.map();
     }
 
     /**
