--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -11,6 +11,7 @@
 import rockshift.raft.Membership;
 import rockshift.raft.Message;
 import rockshift.raft.ProposalRejection;
+import rockshift.raft.ProposalResult;
 import rockshift.raft.RaftNode;
 import rockshift.raft.RaftOutput;
 import rockshift.raft.SafetyRules;
@@ -159,12 +160,11 @@
             refuse(request, ProposalRejection.BUSY);
             return;
         }
-        ProposalRejection[] why = new ProposalRejection[1];
-        long index = raft.propose(kind, session, serial, body, why);
-        if (why[0] != null) {
-            refuse(request, why[0]);
+        ProposalResult result = raft.propose(kind, session, serial, body);
+        if (result.isAppended()) {
+            proposals.put(result.index(), new Waiting(request, raft.term()));
         } else {
-            proposals.put(index, new Waiting(request, raft.term()));
+            refuse(request, result.rejection());
         }
     }
 
--- a/src/main/java/rockshift/raft/Leadership.java
+++ b/src/main/java/rockshift/raft/Leadership.java
@@ -173,11 +173,10 @@
         return full ? ProposalRejection.BUSY : null;
     }
 
-    /** Appends an entry, which followers are sent at the next {@link #poll}; answers its index. */
-    long append(Entry entry, long nowTicks) {
+    /** Appends an entry, which followers are sent at the next {@link #poll}. */
+    void append(Entry entry, long nowTicks) {
         log.append(entry);
         replication.trackMembers(log.lastIndex(), nowTicks);
-        return entry.index();
     }
 
     /** Takes a read: its index is known at once under a lease, else after a round. */
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -246,18 +246,16 @@
         }
     }
 
-    /** Appends a change, if this member leads and has room for it; answers its index or why not. */
-    public long propose(
-            Entry.Kind kind, long session, long serial, byte[] body, ProposalRejection[] why) {
+    /** Appends a change, if this member leads and has room for it. */
+    public ProposalResult propose(Entry.Kind kind, long session, long serial, byte[] body) {
         ProposalRejection rejection =
                 isLeader() ? leadership.rejectionOf(body) : ProposalRejection.NOT_LEADER;
         if (rejection != null) {
-            why[0] = rejection;
-            return 0;
+            return ProposalResult.rejected(rejection);
         }
-        return leadership.append(
-                new Entry(log.lastIndex() + 1, term(), kind, session, serial, body, null),
-                nowTicks);
+        Entry entry = new Entry(log.lastIndex() + 1, term(), kind, session, serial, body, null);
+        leadership.append(entry, nowTicks);
+        return ProposalResult.appended(entry.index());
     }
 
     /** Adds a member, changes its role, or removes it; answers null, or why not. */
