--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -349,7 +349,7 @@
             if (hello == null || hello.cluster() == 0) {
                 foundTogether();
             } else if (hello.members().get(id) != null) {
-                log.found(hello.cluster(), List.of());
+                log.joinCluster(hello.cluster(), List.of());
                 cluster = hello.cluster();
                 LOG.info("part of cluster {} by {}", Long.toHexString(cluster), hello.name());
             } else {
@@ -386,7 +386,7 @@
             sum = sum * 31 + number;
             founders.add(new Member(number, each.getKey(), each.getValue(), Member.Role.VOTER));
         }
-        Snapshot first = log.found(sum >>> 1 | 1, founders);
+        Snapshot first = log.joinCluster(sum >>> 1 | 1, founders);
         cluster = sum >>> 1 | 1;
         engine.found(first.membership());
         LOG.info("cluster {} founded by {}", Long.toHexString(cluster), sorted.keySet());
@@ -485,7 +485,7 @@
 
     @Override
     public void keep(Snapshot snapshot) {
-        queue(() -> log.keep(snapshot), () -> engine.kept(snapshot));
+        queue(() -> log.saveSnapshot(snapshot), () -> engine.kept(snapshot));
     }
 
     // ---- what is agreed -------------------------------------------------------------------------
@@ -769,7 +769,7 @@
         int size = 0;
         for (String change : recent) {
             size += skip > 0 ? 0 : change.length();
-            if (skip-- <= 0 && size < Frames.LONGEST / 2) {
+            if (skip-- <= 0 && size < Frames.MAX_FRAME_BYTES / 2) {
                 json.writeRawValue(change);
             }
         }
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -97,7 +97,7 @@
                         rules,
                         chance,
                         now,
-                        disk.ballot(),
+                        disk.termAndVote(),
                         disk.snapshot(),
                         disk.entries());
         keptAt = disk.snapshot().index();
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -286,7 +286,8 @@
             }
             boolean subscribes = role == Role.SUBSCRIBER;
             if (subscribes != (frame.kind() == Frames.WATCH)) {
-                throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
+                throw new Frames.InvalidFrameException(
+                        "unexpected", "a frame of kind " + frame.kind());
             }
             switch (frame.kind()) {
                 case Frames.HELLO -> {
@@ -298,14 +299,16 @@
                 }
                 case Frames.MESSAGE -> {
                     if (other == null) {
-                        throw new Frames.Broken("unexpected", "a message before its sender's name");
+                        throw new Frames.InvalidFrameException(
+                                "unexpected", "a message before its sender's name");
                     }
                     handler.message(frame.payload(), other.cluster());
                 }
                 case Frames.CALL -> handler.call(this, frame.payload());
                 case Frames.WATCH -> subscribers.received(this, frame.payload());
                 default ->
-                        throw new Frames.Broken("unknown-kind", "a frame of kind " + frame.kind());
+                        throw new Frames.InvalidFrameException(
+                                "unknown-kind", "a frame of kind " + frame.kind());
             }
         }
 
--- a/src/main/java/rockshift/distribution/wire/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -153,7 +153,8 @@
         @Override
         protected void take(Frames.Frame frame) throws IOException {
             if (frame.kind() != Frames.WATCH) {
-                throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
+                throw new Frames.InvalidFrameException(
+                        "unexpected", "a frame of kind " + frame.kind());
             }
             downstream.received(this, frame.payload());
         }
--- a/src/main/java/rockshift/distribution/wire/UpstreamPort.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamPort.java
@@ -128,7 +128,8 @@
         @Override
         protected void take(Frames.Frame frame) throws IOException {
             if (frame.kind() != Frames.WATCH) {
-                throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
+                throw new Frames.InvalidFrameException(
+                        "unexpected", "a frame of kind " + frame.kind());
             }
             try {
                 DistributionMessage message = DistributionCodec.read(frame.payload());
--- a/src/main/java/rockshift/storage/FileDisk.java
+++ b/src/main/java/rockshift/storage/FileDisk.java
@@ -13,30 +13,34 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system, held by one process at a time. It must be used by one thread. */
+/**
+ * A folder of the file system, locked for one process at a time until it is closed. One thread uses
+ * it. The file that was written last is kept open, as most writes go to the same segment.
+ */
 public final class FileDisk implements Disk, AutoCloseable {
     private static final String LOCK = "lock";
 
     private final Path folder;
     private final FileChannel lock;
-    private String openName = "";
-    private FileChannel open;
+    private String openFileName = "";
+    private FileChannel openFile;
 
+    /** Creates the folder if it does not exist, and locks it. */
     public FileDisk(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
         lock =
                 FileChannel.open(
                         folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        FileLock held;
+        FileLock acquired;
         try {
-            held = lock.tryLock();
-        } catch (OverlappingFileLockException taken) {
-            held = null;
+            acquired = lock.tryLock();
+        } catch (OverlappingFileLockException alreadyLocked) {
+            acquired = null;
         }
-        if (held == null) {
+        if (acquired == null) {
             lock.close();
-            throw new IOException(folder + " is in use by another process");
+            throw new FolderInUseException(folder);
         }
     }
 
@@ -56,30 +60,30 @@
     }
 
     private FileChannel channel(String name) throws IOException {
-        if (!name.equals(openName) || open == null || !open.isOpen()) {
-            release();
-            open =
+        if (!name.equals(openFileName) || openFile == null || !openFile.isOpen()) {
+            closeOpenFile();
+            openFile =
                     FileChannel.open(
                             folder.resolve(name),
                             StandardOpenOption.CREATE,
                             StandardOpenOption.APPEND);
-            openName = name;
+            openFileName = name;
         }
-        return open;
+        return openFile;
     }
 
-    private void release() throws IOException {
-        if (open != null) {
-            open.close();
-            open = null;
+    private void closeOpenFile() throws IOException {
+        if (openFile != null) {
+            openFile.close();
+            openFile = null;
         }
     }
 
     @Override
     public long append(String name, byte[] bytes) throws IOException {
         FileChannel channel = channel(name);
-        for (ByteBuffer rest = ByteBuffer.wrap(bytes); rest.hasRemaining(); ) {
-            channel.write(rest);
+        for (ByteBuffer remaining = ByteBuffer.wrap(bytes); remaining.hasRemaining(); ) {
+            channel.write(remaining);
         }
         return channel.size();
     }
@@ -89,16 +93,16 @@
         channel(name).force(true);
     }
 
-    /** Makes durable which files there are. */
+    /** Makes durable which files exist. */
     private void syncFolder() throws IOException {
-        try (FileChannel self = FileChannel.open(folder, StandardOpenOption.READ)) {
-            self.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
     @Override
-    public void cut(String name, long size) throws IOException {
-        release();
+    public void truncate(String name, long size) throws IOException {
+        closeOpenFile();
         try (FileChannel channel =
                 FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
             channel.truncate(size);
@@ -108,7 +112,7 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        release();
+        closeOpenFile();
         Files.move(
                 folder.resolve(from),
                 folder.resolve(to),
@@ -119,10 +123,10 @@
 
     @Override
     public void delete(String name) throws IOException {
-        release();
+        closeOpenFile();
         try {
             Files.delete(folder.resolve(name));
-        } catch (NoSuchFileException gone) {
+        } catch (NoSuchFileException alreadyDeleted) {
             return;
         }
         syncFolder();
@@ -130,7 +134,7 @@
 
     @Override
     public void close() throws IOException {
-        release();
+        closeOpenFile();
         lock.close();
     }
 }
--- a/src/main/java/rockshift/testkit/SimulatedDisk.java
+++ b/src/main/java/rockshift/testkit/SimulatedDisk.java
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public void cut(String name, long size) throws IOException {
+    public void truncate(String name, long size) throws IOException {
         step();
         File file = file(name);
         byte[] kept = Arrays.copyOf(file.bytes.toByteArray(), (int) size);
--- a/src/main/java/rockshift/testkit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -101,7 +101,7 @@
     void found(List<Member> founders) throws IOException {
         DurableLog fresh = new DurableLog(disk, line -> cluster.tell("n%d %s", place, line));
         fresh.open(number);
-        fresh.found(1, founders);
+        fresh.joinCluster(1, founders);
     }
 
     void start() {
@@ -128,7 +128,7 @@
             }
             cluster.tell(
                     "n%d starts with %d entries, %s",
-                    place, engine.raft().log().lastIndex(), found.ballot());
+                    place, engine.raft().log().lastIndex(), found.termAndVote());
         } catch (UnrecoverableStorageException refused) {
             throw new HistoryChecker.Violation(
                     "recovery: n" + place + " refused its own disk: " + refused.getMessage());
@@ -357,7 +357,7 @@
         queue(
                 () -> {
                     try {
-                        log.keep(snapshot);
+                        log.saveSnapshot(snapshot);
                         enter(() -> engine.kept(snapshot));
                     } catch (SimulatedDisk.Crashed crashed) {
                         // It ends here.
--- a/src/main/java/rockshift/wire/FramedConnection.java
+++ b/src/main/java/rockshift/wire/FramedConnection.java
@@ -97,8 +97,8 @@
                     frame = frames.next()) {
                 take(frame);
             }
-        } catch (Frames.Broken broken) {
-            end(broken.code, broken.getMessage());
+        } catch (Frames.InvalidFrameException broken) {
+            end(broken.reasonCode, broken.getMessage());
         } catch (IOException spoilt) {
             end("malformed", spoilt.getMessage());
         }
--- a/src/main/java/rockshift/wire/Frames.java
+++ b/src/main/java/rockshift/wire/Frames.java
@@ -13,7 +13,7 @@
  */
 public final class Frames {
     /** Bytes of the longest frame: a message's entries or a snapshot's piece, and room. */
-    public static final int LONGEST = 1 << 20;
+    public static final int MAX_FRAME_BYTES = 1 << 20;
 
     /**
      * Told by a member's hello. 2: changes may name a service and a zone, which members of version
@@ -32,13 +32,13 @@
     private static final int HEAD = 8;
 
     /** A frame that can't be used; the code is the reason that the log gives. */
-    public static final class Broken extends IOException {
+    public static final class InvalidFrameException extends IOException {
         private static final long serialVersionUID = 1L;
-        final String code;
+        final String reasonCode;
 
-        public Broken(String code, String what) {
+        public InvalidFrameException(String code, String what) {
             super(what);
-            this.code = code;
+            this.reasonCode = code;
         }
     }
 
@@ -68,7 +68,8 @@
         if (held.capacity() - held.limit() < piece.remaining()) {
             int needed = held.remaining() + piece.remaining();
             ByteBuffer larger =
-                    ByteBuffer.allocate(Math.max(needed, Math.min(LONGEST + HEAD, 2 * needed)));
+                    ByteBuffer.allocate(
+                            Math.max(needed, Math.min(MAX_FRAME_BYTES + HEAD, 2 * needed)));
             larger.put(held).flip();
             held = larger;
         }
@@ -79,7 +80,7 @@
     }
 
     /** The next whole frame, or null. */
-    public Frame next() throws Broken {
+    public Frame next() throws InvalidFrameException {
         if (held.remaining() < HEAD) {
             return null;
         }
@@ -98,15 +99,15 @@
         return check(body, sum);
     }
 
-    private static void fits(int length) throws Broken {
-        if (length < 1 || length > LONGEST) {
-            throw new Broken("too-long", "a frame of " + length + " bytes");
+    private static void fits(int length) throws InvalidFrameException {
+        if (length < 1 || length > MAX_FRAME_BYTES) {
+            throw new InvalidFrameException("too-long", "a frame of " + length + " bytes");
         }
     }
 
-    private static Frame check(byte[] body, int sum) throws Broken {
+    private static Frame check(byte[] body, int sum) throws InvalidFrameException {
         if (sum != Checksum.of(body)) {
-            throw new Broken("garbled", "a frame whose checksum is wrong");
+            throw new InvalidFrameException("garbled", "a frame whose checksum is wrong");
         }
         return new Frame(body[0], Arrays.copyOfRange(body, 1, body.length));
     }
--- a/src/main/java/rockshift/wire/RaftCodec.java
+++ b/src/main/java/rockshift/wire/RaftCodec.java
@@ -92,7 +92,7 @@
         return entry;
     }
 
-    public static byte[] ballot(TermAndVote ballot) throws IOException {
+    public static byte[] termAndVote(TermAndVote ballot) throws IOException {
         return numbers(ballot.term(), ballot.votedFor());
     }
 
@@ -180,7 +180,7 @@
         reader.startArray();
         long version = reader.number();
         if (version != Frames.VERSION) {
-            throw new Frames.Broken(
+            throw new Frames.InvalidFrameException(
                     "version", "it speaks version " + version + ", this is " + Frames.VERSION);
         }
         Hello hello =
