--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -1,7 +1,7 @@
 package rockshift;
 
 import java.io.IOException;
-import rockshift.server.ControllerServer;
+import rockshift.server.ControllerProcess;
 import rockshift.server.ProcessSignals;
 import rockshift.simulation.SimulatorAdapter;
 
@@ -13,7 +13,7 @@
         String command = arguments.length == 1 ? arguments[0] : "";
         if (command.equals("serve")) {
             ProcessSignals signals = ProcessSignals.install();
-            int status = ControllerServer.run(System.getenv(), signals, null);
+            int status = ControllerProcess.run(System.getenv(), signals, null);
             signals.release();
             System.exit(status);
         } else if (command.equals("drill")) {
--- a/src/main/java/rockshift/capacity/FleetStandIn.java
+++ b/src/main/java/rockshift/capacity/FleetStandIn.java
@@ -16,6 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import rockshift.server.InvalidMessageException;
+import rockshift.server.MalformedStreamException;
 import rockshift.server.RespCodec;
 import rockshift.testkit.DiscoveryStandIn;
 
@@ -176,7 +178,7 @@
             Party party = (Party) key.attachment();
             try {
                 read(party);
-            } catch (IOException | RespCodec.Broken | RespCodec.Spoilt ended) {
+            } catch (IOException | MalformedStreamException | InvalidMessageException ended) {
                 again(party);
             }
         }
@@ -191,7 +193,8 @@
         }
     }
 
-    private void read(Party party) throws IOException, RespCodec.Broken, RespCodec.Spoilt {
+    private void read(Party party)
+            throws IOException, MalformedStreamException, InvalidMessageException {
         piece.clear();
         int count = party.channel.read(piece);
         if (count < 0) {
--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -36,6 +36,6 @@
                                         : Long.MAX_VALUE));
         Map<String, String> values = new HashMap<>();
         terms.forEach((name, value) -> values.put(name, value.toString()));
-        receiver.agreed(version, until, values, inForce);
+        receiver.applyAgreed(version, until, values, inForce);
     }
 }
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -46,7 +46,7 @@
 
     @Override
     public void reach(LocalController.Reach reach) {
-        receiver.reach(rockshift.model.ControlScope.valueOf(reach.name()));
+        receiver.setControlScope(rockshift.model.ControlScope.valueOf(reach.name()));
     }
 
     @Override
@@ -54,7 +54,7 @@
         if (change.kind() != Change.Kind.DRAIN && change.kind() != Change.Kind.HOLD) {
             return null;
         }
-        Map<String, Endpoint> listed = receiver.listed();
+        Map<String, Endpoint> listed = receiver.endpoints();
         if (!listed.containsKey(change.subject())) {
             return "unknown-replica: "
                     + change.subject()
@@ -73,13 +73,13 @@
 
     @Override
     public long started(String replica) {
-        Endpoint entry = receiver.listed().get(replica);
+        Endpoint entry = receiver.endpoints().get(replica);
         return entry == null ? 0 : entry.startedAtTicks() / TENTHS_PER_MILLI;
     }
 
     @Override
     public String zone(String replica) {
-        Endpoint entry = receiver.listed().get(replica);
+        Endpoint entry = receiver.endpoints().get(replica);
         return entry == null ? "" : entry.zone();
     }
 }
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -71,7 +71,7 @@
         public Integer call() throws Exception {
             ProcessSignals signals = ProcessSignals.install();
             try {
-                return rockshift.server.ControllerServer.run(
+                return rockshift.server.ControllerProcess.run(
                         System.getenv(), signals, operator == null ? null : source());
             } finally {
                 signals.release();
--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -37,7 +37,7 @@
                     RelayProcess relay =
                             new RelayProcess(settings, reactor, new SplittableRandom())) {
                 CountDownLatch told = new CountDownLatch(1);
-                signals.tell(listener(settings.name(), relay, told));
+                signals.setListener(listener(settings.name(), relay, told));
                 relay.start();
                 told.await();
             }
--- a/src/main/java/rockshift/server/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/server/AgreedChangesReceiver.java
@@ -6,55 +6,61 @@
 import rockshift.model.Endpoint;
 
 /**
- * How what governors agree among themselves comes into one of them: by the same queue as all else
- * that the module learns. It owns the view of the list that is needed before a change is asked for;
- * it decides nothing of what follows from one.
+ * Hands the changes that controllers agree on to this one's planner, through the event loop's queue
+ * like all other input. It also keeps the current list of replicas, which is needed before a change
+ * can be proposed. Any thread may call it.
  */
 public final class AgreedChangesReceiver {
     private final EventLoop loop;
-    private final Map<String, Endpoint> listed = new HashMap<>();
+
+    /** By name, guarded by this object's lock. */
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
 
     AgreedChangesReceiver(EventLoop loop) {
         this.loop = loop;
-        loop.listing = this::hear;
+        loop.setEndpointListener(this::endpointsListed);
     }
 
-    private synchronized void hear(DiscoveryClient.Listing listing) {
-        if (listing.whole()) {
-            listed.clear();
+    private synchronized void endpointsListed(EndpointList list) {
+        if (list.whole()) {
+            endpoints.clear();
         }
-        for (Endpoint entry : listing.entries()) {
-            String name = listing.names().get(entry.replicaId());
+        for (Endpoint entry : list.entries()) {
+            String name = list.names().get(entry.replicaId());
             if (entry.health() == Endpoint.Health.GONE) {
-                listed.remove(name);
+                endpoints.remove(name);
             } else {
-                listed.put(name, entry);
+                endpoints.put(name, entry);
             }
         }
     }
 
-    /** A copy of the list by the replicas' names, without those that are gone. */
-    public synchronized Map<String, Endpoint> listed() {
-        return new HashMap<>(listed);
+    /** A copy of the list of replicas by name, without those that are gone. */
+    public synchronized Map<String, Endpoint> endpoints() {
+        return new HashMap<>(endpoints);
     }
 
     /**
-     * What stands agreed since a version: by replica's name, up to which start (tenths of a ms) it
-     * is kept out.
+     * Applies what is agreed as of a version.
+     *
+     * @param drains by replica name, the latest start that is drained, in ticks of 100 us
      */
-    public void agreed(long version, Map<String, Long> out, Map<String, String> terms) {
-        agreed(version, out, terms, () -> {});
+    public void applyAgreed(long version, Map<String, Long> drains, Map<String, String> terms) {
+        applyAgreed(version, drains, terms, () -> {});
     }
 
-    /** The same; runs a task on the module's thread once the module goes by it. */
-    public void agreed(
-            long version, Map<String, Long> out, Map<String, String> terms, Runnable inForce) {
-        Map<Long, Long> numbered = new HashMap<>();
-        out.forEach((name, start) -> numbered.put(DiscoveryClient.number(name), start));
-        loop.agreed(version, numbered, terms, inForce);
+    /**
+     * The same, and runs a task on the event loop's thread once the planner goes by the changes.
+     */
+    public void applyAgreed(
+            long version, Map<String, Long> drains, Map<String, String> terms, Runnable onApplied) {
+        Map<Long, Long> drainsById = new HashMap<>();
+        drains.forEach((name, start) -> drainsById.put(ReplicaIds.idOf(name), start));
+        loop.submit(new PlannerEvent.AgreedChanges(version, drainsById, terms, onApplied));
     }
 
-    public void reach(ControlScope reach) {
-        loop.reach(reach);
+    /** Sets how far the planner may change tables. */
+    public void setControlScope(ControlScope scope) {
+        loop.submit(new PlannerEvent.ControlScopeChanged(scope));
     }
 }
--- a/src/main/java/rockshift/server/AgreedChangesSource.java
+++ b/src/main/java/rockshift/server/AgreedChangesSource.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /**
- * What runs in a governor's process and tells it of agreed changes: a member of the agreement, or a
- * subscriber of one. It hands them to an {@link AgreedChangesReceiver}.
+ * What runs beside a controller and tells it of agreed changes: a member of the cluster that agrees
+ * on them, or a subscriber of one.
  */
 public interface AgreedChangesSource {
-    /** Called before the governor serves; a failure keeps it from serving. */
+    /** Called before the controller serves; a failure keeps it from serving. */
     void begin(AgreedChangesReceiver receiver) throws IOException, InterruptedException;
 
     /** Called as the process is told to end. */
--- /dev/null
+++ b/src/main/java/rockshift/server/CloseReason.java
@@ -0,0 +1,33 @@
+package rockshift.server;
+
+/**
+ * Why a connection was closed, or why a message of an identified peer was dropped. The label is
+ * what the log says; docs/on-call.md has what to do about each.
+ */
+enum CloseReason {
+    PEER_CLOSED("peer-closed"),
+    RESET("reset"),
+    MALFORMED("malformed"),
+    TOO_LONG("too-long"),
+    UNKNOWN_KIND("unknown-kind"),
+    BAD_FIELD("bad-field"),
+    UNEXPECTED("unexpected"),
+    IDENTIFY_TIMEOUT("identify-timeout"),
+    REPLACED("replaced"),
+    SEND_BUFFER_FULL("send-buffer-full"),
+    OVERLOAD("overload"),
+    CONNECTION_LIMIT("connection-limit"),
+    FAILURE("failure"),
+    SHUTDOWN("shutdown");
+
+    private final String label;
+
+    CloseReason(String label) {
+        this.label = label;
+    }
+
+    @Override
+    public String toString() {
+        return label;
+    }
+}
--- a/src/main/java/rockshift/server/ControllerConfiguration.java
+++ b/src/main/java/rockshift/server/ControllerConfiguration.java
@@ -29,7 +29,7 @@
         InetSocketAddress discovery,
         long seed,
         int descriptors,
-        DiscoveryClient.Listing known,
+        EndpointList known,
         Map<String, String> terms) {
     /** Descriptors where none are told: what is usual for a process. */
     private static final int USUAL_DESCRIPTORS = 1024;
@@ -55,7 +55,7 @@
         InetSocketAddress discovery = null;
         Long seed = null;
         int descriptors = USUAL_DESCRIPTORS;
-        DiscoveryClient.Listing known = null;
+        EndpointList known = null;
         SettingNames terms = new SettingNames();
         Map<String, JsonLocation> places = new HashMap<>();
         String field = "";
@@ -71,7 +71,7 @@
                     case "listen" -> listen = address(json.getText());
                     case "discovery" -> discovery = address(json.getText());
                     case "seed" -> seed = Long.parseUnsignedLong(json.getText(), 16);
-                    case "known" -> known = DiscoveryClient.read(json);
+                    case "known" -> known = EndpointListReader.read(json);
                     case "limits" -> descriptors = sockets(json, descriptors);
                     case "settings" -> flatten("", json, terms, places);
                     default -> json.skipChildren();
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -7,161 +7,116 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
-import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rockshift.model.ControlScope;
-import rockshift.model.Endpoint;
 import rockshift.planner.Planner;
 import rockshift.settings.ClassNames;
 
 /**
- * The one thread that owns the module, and the one queue through which all else reaches it. A turn
- * takes in what is queued, pulls decisions until there is none, and sends what they ordered. It
- * must never wait for a socket, and nothing that one input does wrong may end it.
+ * The thread that owns the planner, and the queue through which everything else reaches it. A turn
+ * applies the queued events, asks the planner for decisions until there are none, and sends what
+ * they ordered.
+ *
+ * <p>{@link #offer}, {@link #submit}, {@link #now} and {@link #close} may be called by any thread;
+ * all else belongs to the thread that runs the loop. The loop waits for no socket, and no failure
+ * of one event ends it.
  */
 final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
+    /** Ticks of 100 us, the planner's unit of time, in a millisecond. */
+    static final int TICKS_PER_MILLI = 10;
+
     /**
-     * Entries of about 100 bytes that may wait before who has many must stop: a long pause brings
-     * less.
+     * Queued events, of some 100 bytes each, from which on a peer that has many of them is refused.
+     * A long pause of the process brings fewer.
      */
-    static final int MOST_WAITING = 20_000;
+    static final int QUEUE_CAPACITY = 20_000;
 
     /**
-     * Entries of one party that may wait then: those of all parties stay under a third of the heap.
+     * Events that each peer may have in a full queue; those of all peers together stay under a
+     * third of the heap.
      */
-    private static final int FAIR_SHARE = 200;
+    private static final int PER_PEER_QUEUE_QUOTA = 200;
+
+    /** How long the thread waits at most for an event. */
+    private static final long MAX_WAIT_TICKS = 10_000;
+
+    private static final long NANOS_PER_TICK = 100_000;
 
-    /** Tenths of a ms that the thread waits at most for something to do. */
-    private static final long LONGEST_PAUSE = 10_000;
+    /**
+     * An event in the queue.
+     *
+     * @param pending the counter of its peer's queued events, or null for events that are not a
+     *     peer's
+     */
+    private record QueuedEvent(PlannerEvent event, AtomicInteger pending) {}
 
-    private static final long NANOS_PER_TENTH = 100_000;
-    static final int TENTHS_PER_MILLI = 10;
+    /** Bounded by {@link #offer}; what {@link #submit} adds is bounded by its callers. */
+    private final LinkedBlockingQueue<QueuedEvent> queue = new LinkedBlockingQueue<>();
 
-    private final LinkedBlockingQueue<LongConsumer> queue = new LinkedBlockingQueue<>();
-    private final long startedAt = System.currentTimeMillis() * TENTHS_PER_MILLI;
+    private final long startedTicks = System.currentTimeMillis() * TICKS_PER_MILLI;
     private final long startedNanos = System.nanoTime();
-    private final Planner logic;
+    private final Planner planner;
     private final PublishedTables tables;
 
-    /** Tenths of a ms between two turns: what is told at start. */
-    private final long spacing;
+    /** The least time between the starts of two turns. */
+    private final long turnSpacingTicks;
 
-    /** Who else hears of the list, on the thread that brings it. */
-    volatile Consumer<DiscoveryClient.Listing> listing = list -> {};
+    private final List<QueuedEvent> inputs = new ArrayList<>();
+    private long wakeAtTicks = Long.MAX_VALUE;
 
-    private final List<LongConsumer> inputs = new ArrayList<>();
-    private long wakeAt = Long.MAX_VALUE;
+    /** Publishes the listener to the threads that bring lists of replicas. */
+    private volatile Consumer<EndpointList> endpointListener = list -> {};
+
+    /** Publishes to the loop's thread that no further turn may begin. */
     private volatile boolean closed;
 
     EventLoop(long seed, Map<String, String> terms) {
-        logic = new Planner(now(), seed, terms);
-        tables = new PublishedTables(ClassNames.of(terms), delay -> wakeAt = now() + delay);
-        spacing = Long.parseLong(terms.getOrDefault("turn.spacing", "0"));
+        planner = new Planner(now(), seed, terms);
+        tables = new PublishedTables(ClassNames.of(terms), delay -> wakeAtTicks = now() + delay);
+        turnSpacingTicks = Long.parseLong(terms.getOrDefault("turn.spacing", "0"));
     }
 
-    /**
-     * The module's clock: monotonic, and at Unix time as the process starts, so that starts fit in.
-     */
+    /** The planner's clock, in ticks: monotonic, and Unix time as the process starts. */
     long now() {
-        return startedAt + (System.nanoTime() - startedNanos) / NANOS_PER_TENTH;
+        return startedTicks + (System.nanoTime() - startedNanos) / NANOS_PER_TICK;
     }
 
-    /** Queues what a party told; false where too much waits and too much of that is the party's. */
-    private boolean offer(AtomicInteger queued, LongConsumer input) {
-        if (queue.size() >= MOST_WAITING && queued.get() >= FAIR_SHARE) {
-            return false;
-        }
-        queued.incrementAndGet();
-        return queue.add(
-                now -> {
-                    queued.decrementAndGet();
-                    input.accept(now);
-                });
-    }
-
-    boolean joined(
-            AtomicInteger queued,
-            int proxy,
-            String zone,
-            double usualRate,
-            PublishedTables.Stream stream) {
-        return offer(
-                queued,
-                now -> {
-                    tables.joined(proxy, stream);
-                    logic.proxyJoined(now, proxy, zone, usualRate);
-                });
-    }
-
-    /** An end is never refused; a stream that was replaced takes nobody with it. */
-    void left(int proxy, PublishedTables.Stream stream) {
-        queue.add(
-                now -> {
-                    if (tables.current(proxy, stream)) {
-                        tables.left(proxy);
-                        logic.proxyLeft(now, proxy);
-                    }
-                });
-    }
-
-    boolean applied(AtomicInteger queued, int proxy, int serial, PublishedTables.Stream stream) {
-        return offer(
-                queued,
-                now -> {
-                    if (tables.current(proxy, stream)) {
-                        logic.proxyAcknowledged(now, proxy, serial);
-                    }
-                });
+    /** Sets who else is handed each list of replicas, on the thread that brings it. */
+    void setEndpointListener(Consumer<EndpointList> listener) {
+        endpointListener = listener;
     }
 
-    boolean heard(
-            AtomicInteger queued,
-            String zone,
-            long replica,
-            int count,
-            int failed,
-            long took,
-            long span,
-            Double busy) {
-        return offer(
-                queued,
-                now -> logic.recordLoadReport(now, zone, replica, count, failed, took, span, busy));
-    }
-
-    boolean usage(AtomicInteger queued, int proxy, String type, int count, long span) {
-        return offer(queued, now -> logic.recordUsage(now, proxy, type, count, span));
-    }
-
-    /** What staff agreed is never refused: it comes as it changes, whole. */
-    void agreed(long version, Map<Long, Long> out, Map<String, String> terms, Runnable inForce) {
-        queue.add(
-                now -> {
-                    tables.agreed();
-                    logic.applyAgreedChanges(now, version, out, terms);
-                    inForce.run();
-                });
+    /**
+     * Queues a peer's event. The bound guards against one peer that floods the controller while the
+     * planner stands still: it alone is refused, and closed with {@code reason=overload}.
+     *
+     * @param pending the peer's count of events that are queued, kept by this loop
+     * @return false where the queue is full and the peer has used its quota
+     */
+    boolean offer(AtomicInteger pending, PlannerEvent event) {
+        if (queue.size() >= QUEUE_CAPACITY && pending.get() >= PER_PEER_QUEUE_QUOTA) {
+            return false;
+        }
+        pending.incrementAndGet();
+        return queue.add(new QueuedEvent(event, pending));
     }
 
-    void reach(ControlScope reach) {
-        queue.add(now -> logic.setControlScope(now, reach));
+    /** Queues an event that is never refused: its kind comes seldom, or once a connection. */
+    void submit(PlannerEvent event) {
+        queue.add(new QueuedEvent(event, null));
     }
 
-    /** A list is never refused: it comes one at a time. */
-    void listed(List<Endpoint> entries, boolean changes, Map<Long, String> names) {
-        listing.accept(new DiscoveryClient.Listing(0, !changes, entries, names));
-        queue.add(
-                now -> {
-                    tables.listed(entries, changes, names);
-                    logic.updateEndpoints(now, entries, changes);
-                });
+    /** Queues a list of replicas, after handing it to the listener. */
+    void submitEndpoints(EndpointList list) {
+        endpointListener.accept(list);
+        submit(new PlannerEvent.EndpointsListed(list));
     }
 
     /**
-     * Nothing more is decided than the turn in hand, whatever comes; interrupt the thread to have
-     * it end at once.
+     * Lets the turn in hand be the last. A thread that waits is not woken; interrupt it to have it
+     * end at once.
      */
     void close() {
         closed = true;
@@ -171,14 +126,10 @@
     public void run() {
         try {
             while (!closed) {
-                long pause = Math.max(0, Math.min(LONGEST_PAUSE, wakeAt - now()));
-                LongConsumer first = queue.poll(pause * NANOS_PER_TENTH, TimeUnit.NANOSECONDS);
-                if (first != null) {
-                    inputs.add(first);
-                }
+                awaitEvent();
                 if (!closed) {
-                    long rest = turn() + spacing - now();
-                    TimeUnit.NANOSECONDS.sleep(Math.max(0, rest) * NANOS_PER_TENTH);
+                    long idleTicks = turn() + turnSpacingTicks - now();
+                    TimeUnit.NANOSECONDS.sleep(Math.max(0, idleTicks) * NANOS_PER_TICK);
                 }
             }
         } catch (InterruptedException stopped) {
@@ -186,23 +137,42 @@
         }
     }
 
-    /** Takes in what is queued, decides and sends; answers when it began. */
+    private void awaitEvent() throws InterruptedException {
+        long waitTicks = Math.max(0, Math.min(MAX_WAIT_TICKS, wakeAtTicks - now()));
+        QueuedEvent first = queue.poll(waitTicks * NANOS_PER_TICK, TimeUnit.NANOSECONDS);
+        if (first != null) {
+            inputs.add(first);
+        }
+    }
+
+    /**
+     * Applies what is queued, decides and sends.
+     *
+     * @return when the turn began, in ticks
+     */
     long turn() {
         queue.drainTo(inputs);
         long now = now();
-        inputs.forEach(input -> guarded(() -> input.accept(now)));
+        inputs.forEach(input -> guarded(() -> apply(now, input)));
         inputs.clear();
-        if (now >= wakeAt) {
-            wakeAt = Long.MAX_VALUE;
-            guarded(() -> logic.timerFired(now));
+        if (now >= wakeAtTicks) {
+            wakeAtTicks = Long.MAX_VALUE;
+            guarded(() -> planner.timerFired(now));
         }
         guarded(this::decide);
         return now;
     }
 
+    private void apply(long now, QueuedEvent input) {
+        if (input.pending != null) {
+            input.pending.decrementAndGet();
+        }
+        input.event.apply(now, planner, tables);
+    }
+
     private void decide() {
         try {
-            while (logic.decideNext(tables)) {
+            while (planner.decideNext(tables)) {
                 continue;
             }
         } finally {
@@ -210,11 +180,11 @@
         }
     }
 
-    private static void guarded(Runnable work) {
+    private static void guarded(Runnable step) {
         try {
-            work.run();
+            step.run();
         } catch (RuntimeException failure) {
-            LOG.error("failure in the module", failure);
+            LOG.error("planner step failed", failure);
         }
     }
 }
--- a/src/main/java/rockshift/server/ProcessSignals.java
+++ b/src/main/java/rockshift/server/ProcessSignals.java
@@ -4,30 +4,36 @@
 import sun.misc.SignalHandler;
 
 /**
- * The signals that a governor's process gets, from its first instruction on: SIGHUP has the file
- * read again, SIGTERM ends it with status 0. It owns who is told of them, and what came before
- * anybody could be told: a reload is kept until then, an end is carried out at once. It must load
- * next to nothing, as whatever comes before it stands is left to the virtual machine, which ends
- * the process.
+ * The signals of a controller's process, from its first instruction on: SIGHUP reloads its file,
+ * SIGTERM ends it with status 0. Until a listener is set, a reload is kept for it, and an end is
+ * carried out at once.
+ *
+ * <p>Any thread may call it; its lock guards its fields and is not held while the listener works.
+ * It loads next to nothing, since a signal that comes before it is installed is left to the virtual
+ * machine, which ends the process.
  */
 public final class ProcessSignals {
-    /** Who is told of signals. */
+    /** Carries out what a signal asks for, on the signal's own thread. */
     public interface Listener {
+        /** SIGHUP: reads the file again. */
         void reload();
 
+        /** SIGTERM: ends what serves, before the process ends. */
         void stop() throws InterruptedException;
     }
 
     private Listener listener;
-    private boolean reloadKept;
+    private boolean reloadPending;
+
+    /** Whether the program ends by itself, with a status of its own. */
     private boolean exiting;
 
-    /** Whether whoever started the process had SIGHUP ignored, which nobody here can undo. */
+    /** Whether whoever started the process had SIGHUP ignored, which cannot be undone here. */
     private boolean hangupIgnored;
 
     /**
-     * Signals that come from now on come here. Anonymous classes, as the first lambda costs a tenth
-     * of the start.
+     * Installs the handlers. They are anonymous classes, since the first lambda costs a tenth of a
+     * start.
      */
     public static ProcessSignals install() {
         ProcessSignals signals = new ProcessSignals();
@@ -54,50 +60,52 @@
         return signals;
     }
 
-    boolean hangupIgnored() {
+    boolean isHangupIgnored() {
         return hangupIgnored;
     }
 
-    /** From now on the listener is told; first of a reload that was asked for before. */
-    public void tell(Listener told) {
+    /** Sets who carries out signals; hands on a reload that was asked for before. */
+    public void setListener(Listener newListener) {
         boolean reload;
         synchronized (this) {
-            listener = told;
-            reload = reloadKept;
-            reloadKept = false;
+            listener = newListener;
+            reload = reloadPending;
+            reloadPending = false;
         }
         if (reload) {
-            told.reload();
+            newListener.reload();
         }
     }
 
     void reload() {
-        Listener told;
+        Listener current;
         synchronized (this) {
-            told = listener;
-            reloadKept = told == null;
+            current = listener;
+            reloadPending = current == null;
         }
-        if (told != null) {
-            told.reload();
+        if (current != null) {
+            current.reload();
         }
     }
 
     /**
-     * Ends what serves; answers whether a signal is why, and not that the program ends by itself.
+     * Ends what serves.
+     *
+     * @return whether a signal is the reason, rather than the program's own end
      */
     boolean stop() {
-        Listener told;
+        Listener current;
         synchronized (this) {
             if (exiting) {
                 return false;
             }
-            told = listener;
+            current = listener;
         }
         try {
-            if (told != null) {
-                told.stop();
+            if (current != null) {
+                current.stop();
             }
-        } catch (InterruptedException hurried) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException failure) {
             // The process ends whatever could not be ended in order.
@@ -106,7 +114,7 @@
         return true;
     }
 
-    /** From now on the program ends by itself, with a status of its own. */
+    /** Notes that the program ends by itself from now on, with a status of its own. */
     public synchronized void release() {
         exiting = true;
     }
--- a/src/main/java/rockshift/server/RespCodec.java
+++ b/src/main/java/rockshift/server/RespCodec.java
@@ -7,325 +7,349 @@
 import java.util.List;
 
 /**
- * The codec of the streams: RESP2 arrays of bulk strings, put together from bytes that come in
- * pieces, and the words in them. It owns the bytes of one connection's unfinished message and
- * nothing else. It must never wait, never keep more than one message may hold, and never act on
- * what a message says.
+ * The codec of proxy and collector connections: RESP2 arrays of bulk strings, read from bytes that
+ * arrive in pieces, and the words of the protocol in them. A message is its kind, then names
+ * alternating with values.
+ *
+ * <p>One codec belongs to one connection and one thread. Between calls it holds the bytes of a
+ * partial message, of at most {@link #MAX_MESSAGE_BYTES}. The current message is read in place:
+ * some hundred load reports arrive a second, and most of their fields are read once.
  */
 public final class RespCodec {
-    /** Bytes: the longest message that the protocol allows. */
-    static final int LONGEST = 1 << 20;
+    /** The longest message that the protocol allows. */
+    static final int MAX_MESSAGE_BYTES = 1 << 20;
 
     /** Bytes kept for each connection while it is quiet; most messages fit. */
-    static final int USUAL = 1 << 11;
+    static final int INITIAL_BUFFER_BYTES = 1 << 11;
 
-    /**
-     * The largest figure that is taken: no rate, time in ms or count comes near, and no sum
-     * overflows.
-     */
-    private static final double LARGEST = 1e9;
+    /** Length of the array of bounds while a connection is quiet: that of 32 strings. */
+    private static final int INITIAL_BOUNDS = 64;
+
+    /** The largest number that is accepted: no rate, time in ms or count comes near. */
+    private static final double MAX_NUMBER = 1e9;
 
-    /** Starts and ends kept for each connection: twice the strings of the longest usual message. */
-    private static final int FEW = 64;
+    /** Digits of the longest count or length that a message could hold. */
+    private static final int MAX_LENGTH_DIGITS = 7;
 
-    /** Digits of the longest count or length; more are no number that a message could hold. */
-    private static final int DIGITS = 7;
+    /** In place of a count or length that is not there yet. */
+    private static final int UNKNOWN = -1;
 
     // Kinds of messages.
     static final String PING = "ping";
     static final String PONG = "pong";
     static final String COLLECTOR = "collector";
     static final String JOINED = "joined";
-    static final String HEARD = "heard";
+    static final String LOAD_REPORT = "heard";
     static final String USAGE = "usage";
     static final String APPLIED = "applied";
     static final String UPDATE = "update";
-    // Names of what comes.
+    // Fields of messages to the controller.
     static final String PROXY = "sidecar";
     static final String ZONE = "az";
-    static final String USUAL_RATE = "share";
+    static final String REQUEST_RATE = "share";
     static final String REPLICA = "host";
     static final String COUNT = "n";
     static final String FAILED = "bad";
     static final String MEAN_TIME = "avg";
-    static final String SPAN = "window";
+    static final String WINDOW = "window";
     static final String LOAD = "report";
-    static final String BUSY = "util";
+    static final String UTILIZATION = "util";
     static final String CLASS = "kind";
     static final String SERIAL = "version";
-    static final String DELAY = "lag_ms";
-    // Names of what goes.
+    static final String APPLY_DELAY = "lag_ms";
+    // Fields of messages to proxies.
     static final String CLASSES = "classes";
-    static final String WHOLE = "whole";
-    static final String LINES = "lines";
-    static final String LEVEL = "level";
-    static final String AGAIN = "retry";
-    static final String OUT = "out";
-    static final String BACK = "back";
-    static final String MARK = "ticket";
-    static final String MORE = "more";
-
-    /**
-     * Bytes that are no message: nothing after them can be read either. The code names the reason.
-     */
-    public static final class Broken extends Exception {
-        private static final long serialVersionUID = 1L;
-        final String code;
-
-        Broken(String code, String what) {
-            super(what);
-            this.code = code;
-        }
-    }
-
-    /**
-     * A message that can be read and not be used; the next one may be good. It keeps no trace: many
-     * may come.
-     */
-    public static final class Spoilt extends Exception {
-        private static final long serialVersionUID = 1L;
-        final String code;
-
-        Spoilt(String code, String what) {
-            super(what, null, false, false);
-            this.code = code;
-        }
-    }
-
-    private byte[] bytes = new byte[USUAL];
+    static final String WHOLE_TABLE = "whole";
+    static final String ENTRIES = "lines";
+    static final String ADMISSION_LEVEL = "level";
+    static final String RETRY_MODE = "retry";
+    static final String EXCLUDED = "out";
+    static final String READMITTED = "back";
+    static final String ACKNOWLEDGE = "ticket";
+    static final String MORE_PARTS = "more";
+
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int end;
 
-    /** Where the message begins, and how far it was read. */
-    private int begin;
+    /** Where the current message begins in the buffer, and up to where it is parsed. */
+    private int messageStart;
 
-    private int at;
+    private int position;
 
-    /**
-     * Strings that the message has, or -1 before that is known; the length of the next one, or -1.
-     */
-    private int strings = -1;
+    /** Strings of the current message, and the length of the next one, or {@link #UNKNOWN}. */
+    private int stringCount = UNKNOWN;
 
-    private int length = -1;
+    private int nextLength = UNKNOWN;
 
-    /** Start and end of each string read. */
-    private int[] cuts = new int[FEW];
+    /** Start and end in the buffer of each string that is parsed. */
+    private int[] bounds = new int[INITIAL_BOUNDS];
 
-    private int read;
+    private int parsedStrings;
 
-    /** Takes over bytes that came. */
-    public void feed(ByteBuffer came) {
-        if (begin > 0 && end + came.remaining() > bytes.length) {
+    /** Adds bytes that were received. */
+    public void feed(ByteBuffer received) {
+        int count = received.remaining();
+        if (messageStart > 0 && end + count > buffer.length) {
             compact();
         }
-        if (end + came.remaining() > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, end + came.remaining()));
+        if (end + count > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, end + count));
         }
-        int count = came.remaining();
-        came.get(bytes, end, count);
+        received.get(buffer, end, count);
         end += count;
     }
 
     private void compact() {
-        System.arraycopy(bytes, begin, bytes, 0, end - begin);
-        for (int i = 0; i < 2 * read; i++) {
-            cuts[i] -= begin;
+        System.arraycopy(buffer, messageStart, buffer, 0, end - messageStart);
+        for (int i = 0; i < 2 * parsedStrings; i++) {
+            bounds[i] -= messageStart;
         }
-        at -= begin;
-        end -= begin;
-        begin = 0;
+        position -= messageStart;
+        end -= messageStart;
+        messageStart = 0;
     }
 
-    /** Bytes held, used or not. */
-    int held() {
-        return bytes.length + Integer.BYTES * (cuts.length - FEW);
+    /** Bytes held beyond what every quiet connection holds. */
+    int excessBytes() {
+        return buffer.length
+                - INITIAL_BUFFER_BYTES
+                + Integer.BYTES * (bounds.length - INITIAL_BOUNDS);
     }
 
-    /** Whether one more whole message was read; its strings are valid until the next call. */
-    public boolean next() throws Broken {
-        if (strings >= 0 && read == strings) {
-            begin = at;
-            read = 0;
-            strings = -1;
-        }
-        if (begin == end && begin > 0) {
-            begin = end = at = 0;
-            bytes = bytes.length > USUAL ? new byte[USUAL] : bytes;
-            cuts = cuts.length > FEW ? new int[FEW] : cuts;
-        }
-        if (strings < 0) {
-            strings = number('*');
-            if (strings == 0) {
-                throw new Broken("malformed", "a message without a kind");
+    /**
+     * Moves on to the next message.
+     *
+     * @return whether it is there whole; its strings are valid until the next call
+     */
+    public boolean next() throws MalformedStreamException {
+        releaseCurrentMessage();
+        if (stringCount == UNKNOWN) {
+            stringCount = parseLength('*');
+            if (stringCount == 0) {
+                throw malformed("a message without a kind");
             }
         }
-        while (strings > 0 && read < strings && text()) {
+        while (stringCount > 0 && parsedStrings < stringCount && parseString()) {
             continue;
         }
-        if (end - begin > LONGEST && read != strings || at - begin > LONGEST) {
-            throw new Broken("too-long", "a message of over " + LONGEST + " bytes");
+        boolean complete = stringCount > 0 && parsedStrings == stringCount;
+        int partialBytes = end - messageStart;
+        if (!complete && partialBytes > MAX_MESSAGE_BYTES
+                || position - messageStart > MAX_MESSAGE_BYTES) {
+            throw tooLong("a message of over " + MAX_MESSAGE_BYTES + " bytes");
         }
-        return strings > 0 && read == strings;
+        return complete;
     }
 
-    private boolean text() throws Broken {
-        if (length < 0) {
-            length = number('$');
-            if (length > LONGEST) {
-                throw new Broken("too-long", "a string of " + length + " bytes");
+    /** Forgets a message that was complete, and gives back memory that only it needed. */
+    private void releaseCurrentMessage() {
+        if (stringCount >= 0 && parsedStrings == stringCount) {
+            messageStart = position;
+            parsedStrings = 0;
+            stringCount = UNKNOWN;
+        }
+        if (messageStart == end && messageStart > 0) {
+            messageStart = 0;
+            end = 0;
+            position = 0;
+            if (buffer.length > INITIAL_BUFFER_BYTES) {
+                buffer = new byte[INITIAL_BUFFER_BYTES];
+            }
+            if (bounds.length > INITIAL_BOUNDS) {
+                bounds = new int[INITIAL_BOUNDS];
             }
         }
-        if (length < 0 || end - at < length + 2) {
+    }
+
+    private boolean parseString() throws MalformedStreamException {
+        if (nextLength == UNKNOWN) {
+            nextLength = parseLength('$');
+            if (nextLength > MAX_MESSAGE_BYTES) {
+                throw tooLong("a string of " + nextLength + " bytes");
+            }
+        }
+        if (nextLength == UNKNOWN || end - position < nextLength + 2) {
             return false;
         }
-        if (bytes[at + length] != '\r' || bytes[at + length + 1] != '\n') {
-            throw new Broken("malformed", "a string that ends where its length says");
+        int stringEnd = position + nextLength;
+        if (buffer[stringEnd] != '\r' || buffer[stringEnd + 1] != '\n') {
+            throw malformed("a string that ends where its length says");
         }
-        if (2 * read + 2 > cuts.length) {
-            cuts = Arrays.copyOf(cuts, 2 * cuts.length);
+        if (2 * parsedStrings + 2 > bounds.length) {
+            bounds = Arrays.copyOf(bounds, 2 * bounds.length);
         }
-        cuts[2 * read] = at;
-        cuts[2 * read + 1] = at + length;
-        read++;
-        at += length + 2;
-        length = -1;
+        bounds[2 * parsedStrings] = position;
+        bounds[2 * parsedStrings + 1] = stringEnd;
+        parsedStrings++;
+        position = stringEnd + 2;
+        nextLength = UNKNOWN;
         return true;
     }
 
-    /** A count or length with its sign, or -1 while it is not all there. */
-    private int number(char sign) throws Broken {
+    /** Parses a count or length after its prefix; {@link #UNKNOWN} while it is not all there. */
+    private int parseLength(char prefix) throws MalformedStreamException {
+        if (position == end) {
+            return UNKNOWN;
+        }
+        if (buffer[position] != prefix) {
+            throw malformed("an array of bulk strings");
+        }
+        int firstDigit = position + 1;
+        int next = firstDigit;
         int value = 0;
-        for (int i = at; i < end; i++) {
-            byte b = bytes[i];
-            if (i == at) {
-                if (b != sign) {
-                    throw new Broken("malformed", "an array of bulk strings");
-                }
-            } else if (b >= '0' && b <= '9' && i <= at + DIGITS) {
-                value = value * 10 + b - '0';
-            } else if (b != '\r' || i == at + 1) {
-                throw new Broken("malformed", "a count or length");
-            } else if (i + 1 < end) {
-                if (bytes[i + 1] != '\n') {
-                    throw new Broken("malformed", "a count or length and an end of line");
-                }
-                at = i + 2;
-                return value;
-            } else {
-                return -1;
-            }
+        while (next < end && next < firstDigit + MAX_LENGTH_DIGITS && isDigit(buffer[next])) {
+            value = value * 10 + buffer[next] - '0';
+            next++;
+        }
+        if (next == end) {
+            return UNKNOWN;
+        }
+        if (buffer[next] != '\r' || next == firstDigit) {
+            throw malformed("a count or length");
+        }
+        if (next + 1 == end) {
+            return UNKNOWN;
+        }
+        if (buffer[next + 1] != '\n') {
+            throw malformed("a count or length and an end of line");
         }
-        return -1;
+        position = next + 2;
+        return value;
+    }
+
+    private static boolean isDigit(byte character) {
+        return character >= '0' && character <= '9';
     }
 
-    private String string(int i) {
-        return new String(
-                bytes, cuts[2 * i], cuts[2 * i + 1] - cuts[2 * i], StandardCharsets.UTF_8);
+    private static MalformedStreamException malformed(String expected) {
+        return new MalformedStreamException(CloseReason.MALFORMED, "expected " + expected);
     }
 
+    private static MalformedStreamException tooLong(String found) {
+        return new MalformedStreamException(CloseReason.TOO_LONG, found);
+    }
+
+    private static InvalidMessageException badField(String detail) {
+        return new InvalidMessageException(CloseReason.BAD_FIELD, detail);
+    }
+
+    private String string(int index) {
+        int start = bounds[2 * index];
+        return new String(buffer, start, bounds[2 * index + 1] - start, StandardCharsets.UTF_8);
+    }
+
+    /** The kind of the current message. */
     public String kind() {
         return string(0);
     }
 
-    /** Whether each name has a value. */
-    void complete() throws Spoilt {
-        if (strings % 2 == 0) {
-            throw new Spoilt("bad-field", kind() + " with a name that has no value");
+    /** Refuses a message in which a name has no value. */
+    void requireFieldPairs() throws InvalidMessageException {
+        if (stringCount % 2 == 0) {
+            throw badField(kind() + " with a name that has no value");
         }
     }
 
-    /** A field's value, or null where the message has none. */
+    /** A field's value, or null where the message does not have the field. */
     private String find(String name) {
-        for (int i = 1; i + 1 < strings; i += 2) {
-            if (is(i, name)) {
+        for (int i = 1; i + 1 < stringCount; i += 2) {
+            if (equalsString(i, name)) {
                 return string(i + 1);
             }
         }
         return null;
     }
 
-    /** Compares in place: a message may bring very many names. */
-    private boolean is(int i, String name) {
-        boolean same = cuts[2 * i + 1] - cuts[2 * i] == name.length();
-        for (int k = 0; same && k < name.length(); k++) {
-            same = bytes[cuts[2 * i] + k] == name.charAt(k);
+    /** Compares in place, since a message may have very many names. */
+    private boolean equalsString(int index, String name) {
+        int start = bounds[2 * index];
+        boolean same = bounds[2 * index + 1] - start == name.length();
+        for (int i = 0; same && i < name.length(); i++) {
+            same = buffer[start + i] == name.charAt(i);
         }
         return same;
     }
 
+    /** Whether the current message has a field. */
     public boolean has(String name) {
         return find(name) != null;
     }
 
-    public String text(String name) throws Spoilt {
+    /** A field's value in the current message. */
+    public String text(String name) throws InvalidMessageException {
         String value = find(name);
         if (value == null) {
-            throw new Spoilt("bad-field", kind() + " without " + name);
+            throw badField(kind() + " without " + name);
         }
         return value;
     }
 
-    /** A number that is neither below 0 nor beyond all use. */
-    double number(String name) throws Spoilt {
-        return amount(name, text(name));
+    /** A field's value as a number between 0 and {@link #MAX_NUMBER}. */
+    double number(String name) throws InvalidMessageException {
+        return parseNumber(name, text(name));
     }
 
-    int whole(String name) throws Spoilt {
+    /** A field's value as a whole number. */
+    int wholeNumber(String name) throws InvalidMessageException {
         double value = number(name);
         if (value != (int) value) {
-            throw new Spoilt("bad-field", name + " as a whole number, not " + value);
+            throw badField(name + " as a whole number, not " + value);
         }
         return (int) value;
     }
 
-    /** One value of a list of pairs, or null where the message or the list has none. */
-    Double paired(String name, String key) throws Spoilt {
+    /**
+     * The number that a key has in a field's list of {@code key:value} pairs, or null where the
+     * message does not have the field or the list not the key.
+     */
+    Double pairedNumber(String name, String key) throws InvalidMessageException {
         String list = find(name);
         if (list == null) {
             return null;
         }
         for (String pair : list.split(",")) {
             if (pair.startsWith(key + ":")) {
-                return amount(key, pair.substring(key.length() + 1));
+                return parseNumber(key, pair.substring(key.length() + 1));
             }
         }
         return null;
     }
 
-    private static double amount(String name, String text) throws Spoilt {
+    private static double parseNumber(String name, String text) throws InvalidMessageException {
         try {
             double value = Double.parseDouble(text);
-            if (value >= 0 && value <= LARGEST) {
+            if (value >= 0 && value <= MAX_NUMBER) {
                 return value;
             }
-        } catch (NumberFormatException wrong) {
-            // Told below, with what is no number that can be used.
+        } catch (NumberFormatException notANumber) {
+            // Reported below, like a number out of range.
         }
-        throw new Spoilt("bad-field", name + " as a number, not '" + text + "'");
+        throw badField(name + " as a number, not '" + text + "'");
     }
 
     /** The bytes of one message. */
     public static byte[] message(List<String> strings) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(head(strings.size()));
-        out.writeBytes(strings(strings));
-        return out.toByteArray();
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        bytes.writeBytes(arrayHeader(strings.size()));
+        bytes.writeBytes(bulkStrings(strings));
+        return bytes.toByteArray();
     }
 
     /** The bytes that begin a message of so many strings. */
-    static byte[] head(int strings) {
-        return ascii("*" + strings + "\r\n");
+    static byte[] arrayHeader(int stringCount) {
+        return ascii("*" + stringCount + "\r\n");
     }
 
-    /** The bytes of strings in a message. */
-    static byte[] strings(List<String> strings) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
+    /** The bytes of strings within a message. */
+    static byte[] bulkStrings(List<String> strings) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (String string : strings) {
             byte[] text = string.getBytes(StandardCharsets.UTF_8);
-            out.writeBytes(ascii("$" + text.length + "\r\n"));
-            out.writeBytes(text);
-            out.writeBytes(ascii("\r\n"));
+            bytes.writeBytes(ascii("$" + text.length + "\r\n"));
+            bytes.writeBytes(text);
+            bytes.writeBytes(ascii("\r\n"));
         }
-        return out.toByteArray();
+        return bytes.toByteArray();
     }
 
     private static byte[] ascii(String text) {
--- a/src/main/java/rockshift/server/UpdateMessage.java
+++ b/src/main/java/rockshift/server/UpdateMessage.java
@@ -6,17 +6,18 @@
 import rockshift.planner.ProxyCommands;
 
 /**
- * What one proxy is sent in one turn: parts, and at the end what concerns all its tables. Where the
- * parts are too many for one message of the protocol, they become several, one after the other.
+ * What one proxy is sent in one turn: parts, and after the last of them what concerns all its
+ * tables. Parts beyond the protocol's limit for a message become further messages. Used by the
+ * event loop's thread.
  */
 final class UpdateMessage {
-    private static final List<String> MORE = List.of(RespCodec.MORE, "1");
+    private static final List<String> MORE_PARTS = List.of(RespCodec.MORE_PARTS, "1");
 
     private final List<UpdatePart> parts = new ArrayList<>();
-    private final List<String> end = new ArrayList<>();
+    private final List<String> trailer = new ArrayList<>();
 
     /** How many messages so many parts take. */
-    static int messages(int parts) {
+    static int messageCount(int parts) {
         return (parts + ProxyCommands.MAX_PARTS_PER_MESSAGE - 1)
                 / ProxyCommands.MAX_PARTS_PER_MESSAGE;
     }
@@ -29,28 +30,29 @@
         parts.add(part);
     }
 
-    /** Tells replicas that the proxy is to keep off. */
-    void out(String replicas) {
-        end.addAll(List.of(RespCodec.OUT, replicas));
+    /** Names replicas, joined by commas, that the proxy may not send to from now on. */
+    void exclude(String replicas) {
+        trailer.addAll(List.of(RespCodec.EXCLUDED, replicas));
     }
 
-    /** Tells replicas that the proxy may send to again. */
-    void back(String replicas) {
-        end.addAll(List.of(RespCodec.BACK, replicas));
+    /** Names replicas, joined by commas, that the proxy may send to again. */
+    void readmit(String replicas) {
+        trailer.addAll(List.of(RespCodec.READMITTED, replicas));
     }
 
-    void mark(int serial) {
-        end.addAll(List.of(RespCodec.MARK, Integer.toString(serial)));
+    /** Asks the proxy to acknowledge the message with a serial number. */
+    void requestAcknowledgement(int serial) {
+        trailer.addAll(List.of(RespCodec.ACKNOWLEDGE, Integer.toString(serial)));
     }
 
-    /** The bytes of the messages. All parts of one but its last say that more follows. */
+    /** The bytes of the messages. All parts of one but its last say that more follow. */
     byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int i = 1; i < parts.size(); i++) {
-            parts.get(i - 1)
-                    .write(i % ProxyCommands.MAX_PARTS_PER_MESSAGE == 0 ? List.of() : MORE, bytes);
+            boolean endsMessage = i % ProxyCommands.MAX_PARTS_PER_MESSAGE == 0;
+            parts.get(i - 1).write(endsMessage ? List.of() : MORE_PARTS, bytes);
         }
-        parts.get(parts.size() - 1).write(end, bytes);
+        parts.get(parts.size() - 1).write(trailer, bytes);
         return bytes.toByteArray();
     }
 }
--- a/src/main/java/rockshift/server/UpdatePart.java
+++ b/src/main/java/rockshift/server/UpdatePart.java
@@ -10,62 +10,60 @@
 import rockshift.settings.ClassNames;
 
 /**
- * One part of an update, in the words of the protocol. It is encoded once but for the number of its
- * words, so that all proxies that are told the same can share it.
+ * One part of an update, encoded but for its array header: all proxies that are sent the same part
+ * share the bytes. Immutable.
  */
 final class UpdatePart {
-    private final int words;
+    private final int stringCount;
     private final byte[] encoded;
 
-    private UpdatePart(List<String> words) {
-        this.words = words.size();
-        encoded = RespCodec.strings(words);
+    private UpdatePart(List<String> strings) {
+        stringCount = strings.size();
+        encoded = RespCodec.bulkStrings(strings);
     }
 
-    /** Writes the part with further words at its end. */
-    void write(List<String> further, ByteArrayOutputStream into) {
-        into.writeBytes(RespCodec.head(words + further.size()));
+    /** Writes the part with further strings at its end. */
+    void write(List<String> trailer, ByteArrayOutputStream into) {
+        into.writeBytes(RespCodec.arrayHeader(stringCount + trailer.size()));
         into.writeBytes(encoded);
-        into.writeBytes(RespCodec.strings(further));
+        into.writeBytes(RespCodec.bulkStrings(trailer));
     }
 
-    /** Puts the words of a part together. */
+    /** Collects the fields of a part. */
     static final class Builder {
-        private final List<String> words = new ArrayList<>(List.of(RespCodec.UPDATE));
+        private final List<String> strings = new ArrayList<>(List.of(RespCodec.UPDATE));
 
-        /** A part that is meant for some classes. */
+        /** Begins a part that is meant for some classes. */
         Builder(ClassNames classNames, ClassSet classes) {
             if (!classes.isAll()) {
-                words.addAll(List.of(RespCodec.CLASSES, classNames.joined(classes)));
+                strings.addAll(List.of(RespCodec.CLASSES, classNames.joined(classes)));
             }
         }
 
-        /** Tells a table's lines: all that it has, or those that changed. */
-        Builder lines(boolean whole, Map<Long, Double> lines, Map<Long, String> names) {
+        /** Adds a table's entries: all that it has, or those that changed. */
+        Builder entries(boolean whole, Map<Long, Double> weights, Map<Long, String> names) {
             if (whole) {
-                words.addAll(List.of(RespCodec.WHOLE, "1"));
+                strings.addAll(List.of(RespCodec.WHOLE_TABLE, "1"));
             }
             StringJoiner list = new StringJoiner(",");
-            lines.forEach((replica, weight) -> list.add(names.get(replica) + ":" + plain(weight)));
-            words.addAll(List.of(RespCodec.LINES, list.toString()));
+            weights.forEach(
+                    (replica, weight) -> list.add(names.get(replica) + ":" + decimal(weight)));
+            strings.addAll(List.of(RespCodec.ENTRIES, list.toString()));
             return this;
         }
 
-        Builder level(double level, int again) {
-            words.addAll(
-                    List.of(
-                            RespCodec.LEVEL,
-                            plain(level),
-                            RespCodec.AGAIN,
-                            Integer.toString(again)));
+        Builder admissionLevel(double level, int retryMode) {
+            strings.addAll(List.of(RespCodec.ADMISSION_LEVEL, decimal(level)));
+            strings.addAll(List.of(RespCodec.RETRY_MODE, Integer.toString(retryMode)));
             return this;
         }
 
         UpdatePart build() {
-            return new UpdatePart(words);
+            return new UpdatePart(strings);
         }
 
-        private static String plain(double number) {
+        /** Without an exponent, which the protocol does not have. */
+        private static String decimal(double number) {
             return BigDecimal.valueOf(number).toPlainString();
         }
     }
