--- /dev/null
+++ b/src/test/java/rockshift/server/ConnectionLimitsTest.java
@@ -0,0 +1,175 @@
+package rockshift.server;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import com.sun.management.UnixOperatingSystemMXBean;
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+
+/** Connections that are idle, too many, or more than the controller can serve. */
+class ConnectionLimitsTest extends ControllerFixture {
+    /** Some peers ping and stay, some send a byte now and then; each held a descriptor all day. */
+    @Test
+    void connectionThatDoesNotIdentifyInTimeIsClosed() throws Exception {
+        ControllerServer controller = startController();
+        Peer proxy = proxy(controller, 3);
+        proxy.receive();
+        Peer silent = new Peer(controller);
+        Peer half = new Peer(controller);
+        half.socket.getOutputStream().write("*5\r\n$6\r\njoi".getBytes(StandardCharsets.US_ASCII));
+        Peer asking = new Peer(controller);
+        assertThatThrownBy(
+                        () -> {
+                            while (true) {
+                                asking.assertAnswered();
+                            }
+                        })
+                .isInstanceOfAny(IOException.class, AssertionError.class);
+        silent.awaitClosed();
+        half.awaitClosed();
+        proxy.assertAnswered();
+        assertThat(loggedLines("reason=identify-timeout")).hasSize(3);
+    }
+
+    /** Connects again and again, as a proxy does, until the controller answers. */
+    private void connectUntilAnswered(ControllerServer controller) {
+        await(
+                "an answer",
+                () -> {
+                    try (Peer peer = proxy(controller, 4)) {
+                        peer.assertAnswered();
+                        return true;
+                    } catch (IOException | MalformedStreamException | AssertionError notTaken) {
+                        return false;
+                    }
+                });
+    }
+
+    /**
+     * Idle connections took all descriptors, and no proxy could join. The oldest idle ones are
+     * closed for those that come; who has just connected may have sent its first message already,
+     * and is left the time to have it read.
+     */
+    @Test
+    void idleUnidentifiedConnectionsMakeRoomForProxies() throws Exception {
+        ControllerServer controller = startController(48 + 4, entry("s-1", "Ready", 0));
+        Peer proxy = proxy(controller, 3);
+        proxy.receive();
+        List<Peer> idle = new ArrayList<>();
+        for (int i = 0; i < 4; i++) {
+            idle.add(new Peer(controller));
+        }
+        idle.get(3).awaitClosed();
+        connectUntilAnswered(controller);
+        idle.get(0).awaitClosed();
+        proxy.assertAnswered();
+        awaitLog("reason=connection-limit");
+    }
+
+    /**
+     * Very many connections came at once. The listener accepted more than there were descriptors
+     * before the reactor had closed any, and died.
+     */
+    @Test
+    void burstOfUnidentifiedConnectionsStaysWithinTheDescriptorLimit() throws Exception {
+        ControllerServer controller = startController(48 + 4, entry("s-1", "Ready", 0));
+        UnixOperatingSystemMXBean system =
+                (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+        long before = system.getOpenFileDescriptorCount();
+        long highest = 0;
+        for (int i = 1; i <= 500; i++) {
+            new Peer(controller);
+            highest = Math.max(highest, system.getOpenFileDescriptorCount() - before - i);
+        }
+        assertThat(highest)
+                .as("the controller's ends of the connections")
+                .isPositive()
+                .isLessThan(4 + 48);
+        connectUntilAnswered(controller);
+    }
+
+    /**
+     * A machine that vanishes ends no connection. Each time its peer reconnected, one more stayed
+     * open.
+     */
+    @Test
+    void reconnectClosesThePeersPreviousConnection() throws Exception {
+        ControllerServer controller = startController();
+        for (String message :
+                List.of("joined sidecar 3 az east share 21.5 standing 1", "collector az east")) {
+            Peer gone = new Peer(controller).send(message);
+            gone.assertAnswered();
+            Peer fresh = new Peer(controller).send(message);
+            gone.awaitClosed();
+            fresh.assertAnswered();
+        }
+        awaitLog("closed connection peer=collector-east ");
+        assertThat(loggedLines("reason=replaced")).hasSize(2);
+    }
+
+    /**
+     * The planner stands still and one peer floods the queue. Only that peer may lose its
+     * connection.
+     */
+    @Test
+    void fullQueueRefusesOnlyPeersBeyondTheirQuota() {
+        EventLoop loop = new EventLoop(7, Map.of("zones", "east", "classes", "0"));
+        PlannerEvent report =
+                new PlannerEvent.LoadReported(new LoadReport("east", 1, 1, 0, 1, 1, null));
+        PlannerEvent join =
+                new PlannerEvent.ProxyJoined(new ProxyJoin(1, "east", 1), message -> {});
+        AtomicInteger flood = new AtomicInteger();
+        while (loop.offer(flood, report)) {
+            assertThat(flood.get()).isLessThanOrEqualTo(EventLoop.QUEUE_CAPACITY);
+        }
+        assertThat(loop.offer(new AtomicInteger(), join)).isTrue();
+        assertThat(loop.offer(flood, report)).isFalse();
+    }
+
+    @Test
+    void peerThatReadsNoAnswersIsClosed() throws Exception {
+        ControllerServer controller = startController();
+        Peer peer = new Peer(controller);
+        byte[] ping = RespCodec.message(List.of("ping"));
+        ByteBuffer many = ByteBuffer.allocate(ping.length * 5000);
+        while (many.hasRemaining()) {
+            many.put(ping);
+        }
+        assertThatThrownBy(
+                        () -> {
+                            for (int i = 0; i < 5000; i++) {
+                                peer.socket.getOutputStream().write(many.array());
+                            }
+                        })
+                .as("350 MB of questions")
+                .isInstanceOf(IOException.class);
+        awaitLog("reason=send-buffer-full");
+        new Peer(controller).assertAnswered();
+    }
+
+    /**
+     * Each connection may hold a partial message of a mebibyte. Many together would fill the heap.
+     */
+    @Test
+    void partialMessagesAreBoundedTogether() throws Exception {
+        ControllerServer controller = startController();
+        byte[] long1 = RespCodec.message(List.of("heard", "host", "x".repeat(900_000)));
+        for (int i = 0; i < 60; i++) {
+            try {
+                new Peer(controller).socket.getOutputStream().write(long1, 0, 850_000);
+            } catch (IOException ended) {
+                continue;
+            }
+        }
+        awaitLog("reason=overload");
+        new Peer(controller).assertAnswered();
+    }
+}
--- /dev/null
+++ b/src/test/java/rockshift/server/ControllerDiscoveryTest.java
@@ -0,0 +1,78 @@
+package rockshift.server;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** How discovery's list reaches the tables of proxies. */
+class ControllerDiscoveryTest extends ControllerFixture {
+    @Test
+    void wholeListIsFollowedByWatchesOfNewerVersions() throws Exception {
+        Peer proxy = proxy(startController(), 3);
+        proxy.receive("ticket", "");
+        discovery.enqueue(list(41, true, entry("s-1", "Ready", 0), entry("s-3", "Ready", 0)));
+        assertThat(proxy.receive("lines", "s-2:0.0").get("lines"))
+                .as("not on the list")
+                .contains("s-3:");
+        discovery.enqueue(list(43, false, entry("s-1", "Gone", 0)));
+        proxy.receive("lines", "s-1:0.0");
+        discovery.enqueue(list(43, false));
+        discovery.enqueue(list(44, false));
+        await("a third watch", () -> discovery.calls.size() == 4);
+        assertThat(discovery.calls)
+                .containsExactly(
+                        "GET /discovery/hosts HTTP/1.1",
+                        "GET /discovery/hosts?index=41&wait=1000 HTTP/1.1",
+                        "GET /discovery/hosts?index=43&wait=1000 HTTP/1.1",
+                        "GET /discovery/hosts?index=44&wait=1000 HTTP/1.1");
+    }
+
+    /**
+     * A watch fell silent and hid a release for 22 s, while the grace of the replicas that drained
+     * was 3 s.
+     */
+    @Test
+    void silentWatchIsRetriedWithinTheDrainGrace() throws Exception {
+        Peer proxy = proxy(startController(), 3);
+        proxy.receive("ticket", "");
+        discovery.enqueue(list(41, true, entry("s-1", "Ready", 0), entry("s-2", "Ready", 0)));
+        discovery.answers.add(FakeDiscovery.NO_ANSWER);
+        await("the watch is silent", () -> discovery.calls.size() == 2);
+        long since = System.nanoTime();
+        discovery.enqueue(list(42, false, entry("s-1", "Terminating", 0)));
+        proxy.receive("lines", "s-1:0.0");
+        assertThat(System.nanoTime() - since).isLessThan(TimeUnit.SECONDS.toNanos(3));
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                "nonsense",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
+                "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"half",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"a\":1,,}",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9999999999\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\n\r\nhalf"
+            })
+    void unreadableAnswerKeepsTheListAndIsRetried(String answer) throws Exception {
+        Peer proxy = proxy(startController(), 3);
+        proxy.receive("ticket", "");
+        discovery.answers.add(answer);
+        awaitLog("discovery call failed ");
+        discovery.enqueue(
+                list(
+                        41,
+                        true,
+                        entry("s-1", "Ready", 0),
+                        entry("s-2", "Ready", 0),
+                        entry("s-3", "Ready", 0)));
+        assertThat(proxy.receive("lines", "s-3:").get("lines"))
+                .as("nothing was lost")
+                .doesNotContain(":0.0,");
+    }
+}
--- /dev/null
+++ b/src/test/java/rockshift/server/FakeDiscovery.java
@@ -0,0 +1,149 @@
+package rockshift.server;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.LinkedBlockingDeque;
+import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * A stand-in for discovery's agent: answers one call after another with the answers that a test has
+ * enqueued. A call that finds none is held; a watch is held as long as it asks, and then answered
+ * that nothing changed. An answer for a call that its caller gave up goes to the next call.
+ */
+final class FakeDiscovery implements AutoCloseable {
+    /** In place of an answer: the call is held for ever, and its connection stays up. */
+    static final String NO_ANSWER = "";
+
+    final LinkedBlockingDeque<String> answers = new LinkedBlockingDeque<>();
+
+    /** The calls, each that is repeated once. */
+    final Set<String> calls = Collections.synchronizedSet(new LinkedHashSet<>());
+
+    private final List<Socket> silent = Collections.synchronizedList(new ArrayList<>());
+    private final ServerSocket listener;
+
+    FakeDiscovery() {
+        try {
+            listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        } catch (IOException failure) {
+            throw new AssertionError(failure);
+        }
+        Thread thread = new Thread(this::answerConnections, "discovery");
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private void answerConnections() {
+        while (!listener.isClosed()) {
+            Socket socket = null;
+            try {
+                socket = listener.accept();
+                while (answerCall(socket)) {
+                    continue;
+                }
+            } catch (IOException ended) {
+                // The controller connects again, or the test is over.
+            } catch (InterruptedException ended) {
+                return;
+            } finally {
+                if (!silent.contains(socket)) {
+                    closeQuietly(socket);
+                }
+            }
+        }
+    }
+
+    /** Answers one call; false where that was the connection's last. */
+    private boolean answerCall(Socket socket) throws IOException, InterruptedException {
+        String call = readRequestLine(socket);
+        if (call == null) {
+            return false;
+        }
+        calls.add(call);
+        String answer = answer(call);
+        if (answer.equals(NO_ANSWER)) {
+            silent.add(socket);
+            return false;
+        }
+        if (isClosedByCaller(socket)) {
+            answers.addFirst(answer);
+            return false;
+        }
+        socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+        return answer.startsWith("HTTP/1.1 200") && !answer.endsWith("half");
+    }
+
+    private String answer(String call) throws InterruptedException {
+        Matcher watch = Pattern.compile("index=(\\d+)&wait=(\\d+)").matcher(call);
+        if (!watch.find()) {
+            return answers.take();
+        }
+        String answer = answers.poll(Long.parseLong(watch.group(2)), TimeUnit.MILLISECONDS);
+        return answer == null
+                ? http(ControllerFixture.list(Integer.parseInt(watch.group(1)), false))
+                : answer;
+    }
+
+    private static boolean isClosedByCaller(Socket socket) throws IOException {
+        try {
+            socket.setSoTimeout(1);
+            return socket.getInputStream().read() < 0;
+        } catch (SocketTimeoutException waits) {
+            return false;
+        } finally {
+            socket.setSoTimeout(0);
+        }
+    }
+
+    int port() {
+        return listener.getLocalPort();
+    }
+
+    /** The first line of a call, or null at the connection's end. */
+    static String readRequestLine(Socket socket) throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (head.indexOf("\r\n\r\n") < 0) {
+            int next = socket.getInputStream().read();
+            if (next < 0) {
+                return null;
+            }
+            head.append((char) next);
+        }
+        return head.substring(0, head.indexOf("\r\n"));
+    }
+
+    void enqueue(String body) {
+        answers.add(http(body));
+    }
+
+    static String http(String body) {
+        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    private static void closeQuietly(Socket socket) {
+        try {
+            if (socket != null) {
+                socket.close();
+            }
+        } catch (IOException gone) {
+            // As it should be.
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        listener.close();
+        silent.forEach(FakeDiscovery::closeQuietly);
+    }
+}
