--- a/src/main/java/rockshift/capacity/HollowController.java
+++ b/src/main/java/rockshift/capacity/HollowController.java
@@ -87,7 +87,7 @@
     }
 
     synchronized boolean holdsSomething() {
-        return !client.held().isNone();
+        return !client.revision().isNone();
     }
 
     /** Hands the checker how old what is held may be, as the client tells it. */
--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void cutOff(long ageMillis) {
+    public void stale(long ageMillis) {
         LOG.warn(
                 "cut off from what is agreed: what is held, revision {}, is {} ms old and stays in"
                         + " force",
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void back(long afterMillis) {
+    public void freshAgain(long afterMillis) {
         LOG.info(
                 "what is agreed is up to date again after {} ms, revision {}",
                 afterMillis,
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -64,7 +64,7 @@
                 timing,
                 compaction,
                 minority,
-                DistributionSettings.USUAL_SUBSCRIBERS);
+                DistributionSettings.DEFAULT_SUBSCRIBERS);
     }
 
     /** Reads the block, and refuses what it does not know. */
@@ -105,9 +105,9 @@
         int subscribers =
                 cluster.whole(
                         "subscribers",
-                        DistributionSettings.USUAL_SUBSCRIBERS,
+                        DistributionSettings.DEFAULT_SUBSCRIBERS,
                         1,
-                        DistributionSettings.MOST_SUBSCRIBERS);
+                        DistributionSettings.MAX_SUBSCRIBERS);
         cluster.end();
         return new ClusterSettings(
                 name,
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -16,14 +16,14 @@
 import rockshift.distribution.Item;
 import rockshift.distribution.Limits;
 import rockshift.distribution.Publisher;
-import rockshift.distribution.Refusal;
+import rockshift.distribution.RejectionException;
 import rockshift.distribution.RejectionReason;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Scope;
 import rockshift.distribution.Summary;
 import rockshift.distribution.Update;
 import rockshift.distribution.wire.DistributionSettings;
-import rockshift.distribution.wire.SubscriberPort;
+import rockshift.distribution.wire.DownstreamConnections;
 import rockshift.raft.Message;
 import rockshift.raft.RaftNode;
 
@@ -32,7 +32,7 @@
  * thread of its own, so that the agreement waits for none of it. The member's thread hands in what
  * is agreed; subscribers' messages come from the connections.
  */
-final class DistributionService implements SubscriberPort.Owner, AutoCloseable {
+final class DistributionService implements DownstreamConnections.Owner, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
 
     /**
@@ -48,7 +48,7 @@
     private static final long JOIN_MS = 500;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final SubscriberPort port;
+    private final DownstreamConnections port;
     // Used by the publisher's thread alone.
     private final ConfigurationStore store;
     private final Publisher publisher;
@@ -86,7 +86,7 @@
     DistributionService(int subscribers, long election, RandomGenerator random) {
         Limits limits = DistributionSettings.limits(subscribers);
         freshness = new Freshness(election);
-        port = new SubscriberPort(subscribers, this);
+        port = new DownstreamConnections(subscribers, this);
         store = new ConfigurationStore(limits.sizes());
         publisher = new Publisher(store, Scope.all(), limits, random, port);
         thread.setDaemon(true);
@@ -96,7 +96,7 @@
         thread.start();
     }
 
-    SubscriberPort port() {
+    DownstreamConnections port() {
         return port;
     }
 
@@ -171,7 +171,7 @@
     }
 
     private interface StoreStep {
-        void run() throws Refusal;
+        void run() throws RejectionException;
     }
 
     private void handOver(StoreStep step) {
@@ -182,11 +182,11 @@
                     try {
                         step.run();
                         changed = true;
-                    } catch (Refusal refused) {
+                    } catch (RejectionException refused) {
                         LOG.error(
                                 "what was agreed can't be published: {} {}",
                                 refused.reason().code(),
-                                refused.place());
+                                refused.detail());
                     }
                 });
     }
@@ -263,8 +263,8 @@
     }
 
     @Override
-    public void refused(long connection, RejectionReason reason, String place) {
-        publisher.refused(connection, reason, place, now());
+    public void undecodable(long connection, RejectionReason reason, String place) {
+        publisher.undecodable(connection, reason, place, now());
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -20,7 +20,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.config.Section;
-import rockshift.distribution.wire.SubscriberPort;
+import rockshift.distribution.wire.DownstreamConnections;
 import rockshift.wire.FramedConnection;
 import rockshift.wire.Frames;
 import rockshift.wire.RaftCodec;
@@ -80,7 +80,7 @@
     private final RandomGenerator chance;
     private final DefaultListeningIOReactor reactor;
     private final Map<String, Dialled> dialled = new ConcurrentHashMap<>();
-    private final SubscriberPort subscribers;
+    private final DownstreamConnections subscribers;
     // Used by the reactor's thread alone.
     private final ByteBuffer readBuffer = ByteBuffer.allocate(PIECE);
     private final int[] taken = new int[Role.values().length];
@@ -94,7 +94,7 @@
         boolean complained;
     }
 
-    Links(Handler handler, SubscriberPort subscribers, RandomGenerator chance) {
+    Links(Handler handler, DownstreamConnections subscribers, RandomGenerator chance) {
         this.handler = handler;
         this.subscribers = subscribers;
         this.chance = chance;
--- a/src/main/java/rockshift/distribution/ConfigurationStore.java
+++ b/src/main/java/rockshift/distribution/ConfigurationStore.java
@@ -22,7 +22,7 @@
     private final TreeMap<String, HeldItem> items = new TreeMap<>();
     private final Map<String, TreeMap<String, HeldItem>> byService = new HashMap<>();
     private final Map<String, TreeMap<String, HeldItem>> byZone = new HashMap<>();
-    private final History history;
+    private final UpdateHistory history;
     private Revision current = Revision.NONE;
     private long digest;
     private long generation;
@@ -30,7 +30,7 @@
     /** A store that holds nothing; {@link #reset} gives it its first state. */
     public ConfigurationStore(Limits.Sizes sizes) {
         this.sizes = sizes;
-        this.history = new History(sizes);
+        this.history = new UpdateHistory(sizes);
     }
 
     /** What the state is at; {@link Revision#NONE} before the first reset. */
@@ -52,10 +52,10 @@
      * Takes a whole state. Of the same cluster it must not be older; its differences to what was
      * held go into the history.
      */
-    public void reset(Revision revision, Collection<Item> whole) throws Refusal {
+    public void reset(Revision revision, Collection<Item> whole) throws RejectionException {
         boolean continues = !current.isNone() && current.sameCluster(revision);
         if (continues && revision.number() < current.number()) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "revision: " + revision + " is older than " + current);
         }
@@ -67,7 +67,8 @@
             generation++;
         } else if (!differences.isEmpty()) {
             List<Change> changes = differences.stream().map(this::put).toList();
-            history.add(new History.Step(current.number(), revision.number(), false, changes));
+            history.add(
+                    new UpdateHistory.Segment(current.number(), revision.number(), false, changes));
         }
         current = revision;
     }
@@ -76,20 +77,21 @@
      * Takes all updates of the revisions after the current one up to this; none where nothing here
      * changed. All or none is taken.
      */
-    public void apply(Revision revision, List<Update> updates) throws Refusal {
+    public void apply(Revision revision, List<Update> updates) throws RejectionException {
         if (current.isNone() || !current.sameCluster(revision)) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.OTHER_CLUSTER,
                     "revision: " + revision + " does not follow " + current);
         } else if (revision.number() <= current.number()) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "revision: " + revision + " does not follow " + current);
         }
         check(revision, updates);
         if (!updates.isEmpty()) {
             List<Change> changes = updates.stream().map(this::put).toList();
-            history.add(new History.Step(current.number(), revision.number(), true, changes));
+            history.add(
+                    new UpdateHistory.Segment(current.number(), revision.number(), true, changes));
         }
         current = revision;
     }
@@ -147,17 +149,17 @@
         return byZone.containsKey(zone);
     }
 
-    private Map<String, Item> checkedState(Collection<Item> whole) throws Refusal {
-        if (whole.size() > sizes.stateItems()) {
-            throw new Refusal(
+    private Map<String, Item> checkedState(Collection<Item> whole) throws RejectionException {
+        if (whole.size() > sizes.maxStateItems()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "items: " + whole.size() + " of " + sizes.stateItems());
+                    "items: " + whole.size() + " of " + sizes.maxStateItems());
         }
         Map<String, Item> next = new LinkedHashMap<>();
         for (Item item : whole) {
             sizes.check(item, "items[" + next.size() + "]");
             if (next.put(item.key(), item) != null) {
-                throw new Refusal(
+                throw new RejectionException(
                         RejectionReason.MALFORMED, "items: '" + item.key() + "' comes twice");
             }
         }
@@ -180,14 +182,14 @@
         return differences;
     }
 
-    private void check(Revision revision, List<Update> updates) throws Refusal {
+    private void check(Revision revision, List<Update> updates) throws RejectionException {
         Map<String, Boolean> present = new HashMap<>();
         int count = items.size();
         for (int index = 0; index < updates.size(); index++) {
             Update update = updates.get(index);
             String place = "updates[" + index + "]";
             if (update.revision() <= current.number() || update.revision() > revision.number()) {
-                throw new Refusal(
+                throw new RejectionException(
                         RejectionReason.OUT_OF_ORDER,
                         place
                                 + ".revision: "
@@ -203,10 +205,10 @@
             present.put(key, !update.deleted());
             count += (update.deleted() ? 0 : 1) - (before ? 1 : 0);
         }
-        if (count > sizes.stateItems()) {
-            throw new Refusal(
+        if (count > sizes.maxStateItems()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "updates: more than " + sizes.stateItems() + " items");
+                    "updates: more than " + sizes.maxStateItems() + " items");
         }
     }
 
--- a/src/main/java/rockshift/distribution/DistributionMessage.java
+++ b/src/main/java/rockshift/distribution/DistributionMessage.java
@@ -99,25 +99,25 @@
     }
 
     /** Publisher to subscriber: worth knowing, while the subscription goes on. */
-    record Notice(long scopeEpoch, RejectionReason reason, String place)
+    record Notice(long scopeEpoch, RejectionReason reason, String detail)
             implements DistributionMessage {
         public Notice {
             Objects.requireNonNull(reason);
-            Objects.requireNonNull(place);
+            Objects.requireNonNull(detail);
         }
     }
 
     /**
      * Publisher to subscriber: the last message of a connection.
      *
-     * @param place the field, and what is wrong there
+     * @param detail the field, and what is wrong there
      * @param retryAfterMillis when to come back; 0 leaves it to the subscriber
      */
-    record Rejected(long scopeEpoch, RejectionReason reason, String place, long retryAfterMillis)
+    record Rejected(long scopeEpoch, RejectionReason reason, String detail, long retryAfterMillis)
             implements DistributionMessage {
         public Rejected {
             Objects.requireNonNull(reason);
-            Objects.requireNonNull(place);
+            Objects.requireNonNull(detail);
         }
     }
 }
--- a/src/main/java/rockshift/distribution/Limits.java
+++ b/src/main/java/rockshift/distribution/Limits.java
@@ -23,62 +23,64 @@
     /**
      * Intervals and deadlines, in milliseconds.
      *
-     * @param heartbeat between two heartbeats to a subscriber
-     * @param silence after which either side ends a connection, also one that never subscribed
-     * @param connect for a connection to come about; then the next upstream is tried
-     * @param backOff before the first reconnection, doubled each time, with jitter
-     * @param mostBackOff where doubling ends
-     * @param stale age from which a subscriber tries another upstream
-     * @param staleRetry how long it stays where it is once all upstreams were found stale
-     * @param acknowledge least time between two acknowledgements that only carry a new summary
-     * @param snapshot for a subscriber to take a snapshot; then it is closed as slow
-     * @param remember how long a lost subscriber counts as unreachable
+     * @param heartbeatIntervalMillis between two heartbeats to a subscriber
+     * @param silenceTimeoutMillis after which either side ends a connection, also one that never
+     *     subscribed
+     * @param connectTimeoutMillis for a connection to come about; then the next upstream is tried
+     * @param initialBackoffMillis before the first reconnection, doubled each time, with jitter
+     * @param maxBackoffMillis where doubling ends
+     * @param staleThresholdMillis age from which a subscriber tries another upstream
+     * @param staleRetryMillis how long it stays where it is once all upstreams were found stale
+     * @param acknowledgeIntervalMillis least time between two acknowledgements that only carry a
+     *     new summary
+     * @param snapshotTimeoutMillis for a subscriber to take a snapshot; then it is closed as slow
+     * @param lostSubscriberRetentionMillis how long a lost subscriber counts as unreachable
      */
     public record Timing(
-            long heartbeat,
-            long silence,
-            long connect,
-            long backOff,
-            long mostBackOff,
-            long stale,
-            long staleRetry,
-            long acknowledge,
-            long snapshot,
-            long remember) {}
+            long heartbeatIntervalMillis,
+            long silenceTimeoutMillis,
+            long connectTimeoutMillis,
+            long initialBackoffMillis,
+            long maxBackoffMillis,
+            long staleThresholdMillis,
+            long staleRetryMillis,
+            long acknowledgeIntervalMillis,
+            long snapshotTimeoutMillis,
+            long lostSubscriberRetentionMillis) {}
 
     /**
      * What a message, a state and a history may hold.
      *
-     * @param itemBytes of one item; a larger one is refused
-     * @param stateItems items of a state; more are refused, what was held stays
-     * @param historyUpdates updates kept to resume from; the oldest go first
-     * @param historyBytes bytes of these; the oldest go first
-     * @param partItems items in a part of a snapshot
-     * @param partBytes bytes after which a part ends
-     * @param differenceUpdates updates in a difference; a larger one is sent as a snapshot
-     * @param differenceBytes bytes of these; likewise
-     * @param scopeNames services and zones in a scope; more are refused
-     * @param nameLength of a subscriber's name, a service or a zone
+     * @param maxItemBytes of one item; a larger one is refused
+     * @param maxStateItems items of a state; more are refused, what was held stays
+     * @param maxHistoryUpdates updates kept to resume from; the oldest go first
+     * @param maxHistoryBytes bytes of these; the oldest go first
+     * @param maxPartItems items in a part of a snapshot
+     * @param maxPartBytes bytes after which a part ends
+     * @param maxDifferenceUpdates updates in a difference; a larger one is sent as a snapshot
+     * @param maxDifferenceBytes bytes of these; likewise
+     * @param maxScopeNames services and zones in a scope; more are refused
+     * @param maxNameLength of a subscriber's name, a service or a zone
      */
     public record Sizes(
-            int itemBytes,
-            int stateItems,
-            int historyUpdates,
-            long historyBytes,
-            int partItems,
-            int partBytes,
-            int differenceUpdates,
-            int differenceBytes,
-            int scopeNames,
-            int nameLength) {
+            int maxItemBytes,
+            int maxStateItems,
+            int maxHistoryUpdates,
+            long maxHistoryBytes,
+            int maxPartItems,
+            int maxPartBytes,
+            int maxDifferenceUpdates,
+            int maxDifferenceBytes,
+            int maxScopeNames,
+            int maxNameLength) {
         /** Refuses an item that is too large, or without a key. */
-        void check(Item item, String place) throws Refusal {
+        void check(Item item, String detail) throws RejectionException {
             if (item.key().isEmpty()) {
-                throw new Refusal(RejectionReason.MALFORMED, place + ".key: empty");
-            } else if (item.bytes() > itemBytes) {
-                throw new Refusal(
+                throw new RejectionException(RejectionReason.MALFORMED, detail + ".key: empty");
+            } else if (item.bytes() > maxItemBytes) {
+                throw new RejectionException(
                         RejectionReason.TOO_LARGE,
-                        place + ": " + item.bytes() + " of " + itemBytes + " bytes");
+                        detail + ": " + item.bytes() + " of " + maxItemBytes + " bytes");
             }
         }
     }
@@ -86,18 +88,20 @@
     /**
      * What one publisher takes on at a time.
      *
-     * @param connections open ones; the next is refused as busy
-     * @param subscriptionsEachSecond the next is refused as busy, with a time to come back
-     * @param snapshotsAtOnce a new subscription over it is refused as busy; one that goes on waits
-     * @param window differences not acknowledged to a subscriber; further changes are coalesced
-     * @param snapshotWindow parts not acknowledged to a subscriber
-     * @param mostRetryMillis the latest time to come back that is told
+     * @param maxConnections open ones; the next is refused as busy
+     * @param subscriptionsPerSecond the next is refused as busy, with a time to come back
+     * @param maxConcurrentSnapshots a new subscription over it is refused as busy; one that goes on
+     *     waits
+     * @param maxUnacknowledgedDifferences differences not acknowledged to a subscriber; further
+     *     changes are coalesced
+     * @param maxUnacknowledgedParts parts not acknowledged to a subscriber
+     * @param maxRetryMillis the latest time to come back that is told
      */
     public record Admission(
-            int connections,
-            int subscriptionsEachSecond,
-            int snapshotsAtOnce,
-            int window,
-            int snapshotWindow,
-            long mostRetryMillis) {}
+            int maxConnections,
+            int subscriptionsPerSecond,
+            int maxConcurrentSnapshots,
+            int maxUnacknowledgedDifferences,
+            int maxUnacknowledgedParts,
+            long maxRetryMillis) {}
 }
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -39,9 +39,9 @@
     private final Limits limits;
     private final RandomGenerator random;
     private final Effects effects;
-    private final AdmissionControl admission;
-    private final ForceTally tally;
-    private final Rejections rejections = new Rejections();
+    private final SubscriptionRateLimiter admission;
+    private final SummaryAggregator tally;
+    private final RejectionCounters rejectionCounts = new RejectionCounters();
     private final SubscriptionIndex index = new SubscriptionIndex();
     private final Map<Long, Subscription> connections = new HashMap<>();
     private final Map<String, Subscription> byName = new HashMap<>();
@@ -71,75 +71,76 @@
         this.limits = limits;
         this.random = random;
         this.effects = effects;
-        this.admission = new AdmissionControl(limits.admission(), random);
-        this.tally = new ForceTally(limits.admission().connections());
+        this.admission = new SubscriptionRateLimiter(limits.admission(), random);
+        this.tally = new SummaryAggregator(limits.admission().maxConnections());
         this.published = store.current();
         this.generation = store.generation();
     }
 
     /** A connection came up. */
-    public void connected(long connection, long now) {
-        if (connections.size() >= limits.admission().connections()) {
-            rejections.count(RejectionReason.BUSY);
-            String place = "connections: " + connections.size();
+    public void connected(long connection, long nowMillis) {
+        if (connections.size() >= limits.admission().maxConnections()) {
+            rejectionCounts.count(RejectionReason.BUSY);
+            String detail = "connections: " + connections.size();
             effects.send(
                     connection,
                     new DistributionMessage.Rejected(
-                            0, RejectionReason.BUSY, place, admission.retryAfter(now)));
-            effects.close(connection, RejectionReason.BUSY, place);
+                            0, RejectionReason.BUSY, detail, admission.retryAfter(nowMillis)));
+            effects.close(connection, RejectionReason.BUSY, detail);
             return;
         }
-        Subscription subscription = new Subscription(connection, now);
+        Subscription subscription = new Subscription(connection, nowMillis);
         connections.put(connection, subscription);
         schedule(subscription);
     }
 
     /** A connection has ended. Unknown ones are ignored. */
-    public void disconnected(long connection, long now) {
+    public void disconnected(long connection, long nowMillis) {
         Subscription subscription = connections.get(connection);
         if (subscription != null) {
-            forget(subscription, now);
+            forget(subscription, nowMillis);
         }
     }
 
     /** A message came. Those of connections already closed are ignored. */
-    public void received(long connection, DistributionMessage message, long now) {
+    public void received(long connection, DistributionMessage message, long nowMillis) {
         Subscription subscription = connections.get(connection);
         if (subscription == null) {
             return;
         }
         try {
             if (message instanceof DistributionMessage.Subscribe subscribe) {
-                subscribe(subscription, subscribe, now);
+                subscribe(subscription, subscribe, nowMillis);
             } else if (message instanceof DistributionMessage.Acknowledge acknowledge) {
-                acknowledge(subscription, acknowledge, now);
+                acknowledge(subscription, acknowledge, nowMillis);
             } else {
-                throw new Refusal(
+                throw new RejectionException(
                         RejectionReason.MALFORMED,
                         "a publisher takes no " + message.getClass().getSimpleName());
             }
-        } catch (Refusal refusal) {
-            reject(subscription, refusal.reason(), refusal.place(), 0, now);
+        } catch (RejectionException refusal) {
+            reject(subscription, refusal.reason(), refusal.detail(), 0, nowMillis);
         }
     }
 
     /** The host could not read what came: counts it, tells the subscriber, ends the connection. */
-    public void refused(long connection, RejectionReason reason, String place, long now) {
+    public void undecodable(
+            long connection, RejectionReason reason, String detail, long nowMillis) {
         Subscription subscription = connections.get(connection);
         if (subscription != null) {
-            reject(subscription, reason, place, 0, now);
+            reject(subscription, reason, detail, 0, nowMillis);
         }
     }
 
     /** The store has changed. To be called after each change, before anything else. */
-    public void published(long now) {
+    public void published(long nowMillis) {
         if (store.generation() != generation) {
             generation = store.generation();
             index.all().forEach(each -> each.requireSnapshot(freshAt));
             freshAt = NEVER;
-            index.all().forEach(each -> flush(each, now));
+            index.all().forEach(each -> flush(each, nowMillis));
         } else {
-            concerned().forEach(each -> flush(each, now));
+            concerned().forEach(each -> flush(each, nowMillis));
         }
         published = store.current();
     }
@@ -156,14 +157,14 @@
      * Does what is due: heartbeats, silent connections, changes that waited. To be called every 50
      * ms or so.
      */
-    public void tick(long now) {
-        tally.forget(now);
-        while (!timers.isEmpty() && timers.first().dueAt() <= now) {
+    public void tick(long nowMillis) {
+        tally.forget(nowMillis);
+        while (!timers.isEmpty() && timers.first().dueAt() <= nowMillis) {
             Subscription due = timers.pollFirst();
-            if (now - due.heardAt() >= limits.timing().silence()) {
-                close(due, RejectionReason.SILENT, (now - due.heardAt()) + " ms", now);
-            } else if (due.heartbeatAt() <= now) {
-                beat(due, now);
+            if (nowMillis - due.heardAt() >= limits.timing().silenceTimeoutMillis()) {
+                close(due, RejectionReason.SILENT, (nowMillis - due.heardAt()) + " ms", nowMillis);
+            } else if (due.heartbeatAt() <= nowMillis) {
+                beat(due, nowMillis);
             } else {
                 schedule(due);
             }
@@ -176,8 +177,8 @@
     }
 
     /** How often each reason was given. */
-    public Map<RejectionReason, Long> rejections() {
-        return rejections.counts();
+    public Map<RejectionReason, Long> rejectionCounts() {
+        return rejectionCounts.counts();
     }
 
     /** Connections open, subscribed or not. */
@@ -186,17 +187,17 @@
     }
 
     private void subscribe(
-            Subscription subscription, DistributionMessage.Subscribe message, long now)
-            throws Refusal {
-        RequestCheck.check(message, subscription, served, limits);
-        if (refusedForNow(subscription, message, now)) {
+            Subscription subscription, DistributionMessage.Subscribe message, long nowMillis)
+            throws RejectionException {
+        RequestValidator.check(message, subscription, served, limits);
+        if (refusedForNow(subscription, message, nowMillis)) {
             return;
         }
-        subscription.heard(now);
+        subscription.heard(nowMillis);
         subscription.echo(message.sentMillis());
         boolean begins = !subscription.subscribed();
         if (begins) {
-            takeOver(message.subscriber(), now);
+            takeOver(message.subscriber(), nowMillis);
         } else {
             index.remove(subscription);
             endTransfer(subscription);
@@ -205,38 +206,38 @@
         byName.put(message.subscriber(), subscription);
         index.add(subscription);
         noticeUnmatched(subscription);
-        begin(subscription, message.held(), now);
+        begin(subscription, message.held(), nowMillis);
         timers.remove(subscription);
-        beat(subscription, now);
+        beat(subscription, nowMillis);
         if (begins) {
-            stagger(subscription, now);
+            stagger(subscription, nowMillis);
         }
     }
 
     /** Refuses a subscription that may be taken later, or elsewhere. */
     private boolean refusedForNow(
-            Subscription subscription, DistributionMessage.Subscribe message, long now)
-            throws Refusal {
+            Subscription subscription, DistributionMessage.Subscribe message, long nowMillis)
+            throws RejectionException {
         Revision held = message.held();
         Revision current = store.current();
         RejectionReason reason = null;
-        String place = "held: " + held + ", here " + current;
+        String detail = "held: " + held + ", here " + current;
         if (current.isNone()) {
             reason = RejectionReason.STALE_UPSTREAM;
         } else if (!held.isNone() && !held.sameCluster(current)) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER, place);
+            throw new RejectionException(RejectionReason.OTHER_CLUSTER, detail);
         } else if (held.number() > current.number()) {
             reason = RejectionReason.FUTURE_REVISION;
         } else if (!subscription.subscribed()) {
             boolean snapshot = held.isNone() || held.number() < store.compactedThrough().number();
-            if (snapshot && transfers >= limits.admission().snapshotsAtOnce()) {
+            if (snapshot && transfers >= limits.admission().maxConcurrentSnapshots()) {
                 reason = RejectionReason.BUSY;
-                place = "snapshots: " + transfers;
-            } else if (!admission.admit(now)) {
+                detail = "snapshots: " + transfers;
+            } else if (!admission.admit(nowMillis)) {
                 reason = RejectionReason.BUSY;
-                place =
+                detail =
                         "subscriptions: "
-                                + limits.admission().subscriptionsEachSecond()
+                                + limits.admission().subscriptionsPerSecond()
                                 + " a second";
             }
         }
@@ -245,10 +246,11 @@
         }
         long retryAfter =
                 reason == RejectionReason.BUSY
-                        ? admission.retryAfter(now)
+                        ? admission.retryAfter(nowMillis)
                         : random.nextLong(
-                                limits.timing().backOff(), 2 * limits.timing().backOff() + 1);
-        reject(subscription, reason, place, retryAfter, now);
+                                limits.timing().initialBackoffMillis(),
+                                2 * limits.timing().initialBackoffMillis() + 1);
+        reject(subscription, reason, detail, retryAfter, nowMillis);
         return true;
     }
 
@@ -257,30 +259,30 @@
      * it is not, two go by one name, and the earlier is told to stay away for long, so that they do
      * not drive each other out all the time.
      */
-    private void takeOver(String name, long now) {
+    private void takeOver(String name, long nowMillis) {
         Subscription earlier = byName.get(name);
         if (earlier != null) {
             reject(
                     earlier,
                     RejectionReason.REPLACED,
                     "subscriber: " + name,
-                    limits.timing().mostBackOff(),
-                    now);
+                    limits.timing().maxBackoffMillis(),
+                    nowMillis);
         }
     }
 
     private void noticeUnmatched(Subscription subscription) {
         Scope scope = subscription.scope();
-        String place = firstUnknown("services", scope.services(), store::knowsService);
-        if (place == null) {
-            place = firstUnknown("zones", scope.zones(), store::knowsZone);
+        String detail = firstUnknown("services", scope.services(), store::knowsService);
+        if (detail == null) {
+            detail = firstUnknown("zones", scope.zones(), store::knowsZone);
         }
-        if (place != null && !scope.everything()) {
-            rejections.count(RejectionReason.MATCHES_NOTHING);
+        if (detail != null && !scope.everything()) {
+            rejectionCounts.count(RejectionReason.MATCHES_NOTHING);
             effects.send(
                     subscription.connection(),
                     new DistributionMessage.Notice(
-                            subscription.scopeEpoch(), RejectionReason.MATCHES_NOTHING, place));
+                            subscription.scopeEpoch(), RejectionReason.MATCHES_NOTHING, detail));
         }
     }
 
@@ -293,12 +295,12 @@
                 .orElse(null);
     }
 
-    private void begin(Subscription subscription, Revision held, long now) {
+    private void begin(Subscription subscription, Revision held, long nowMillis) {
         Optional<ConfigurationStore.Delta> delta =
                 held.isNone() ? Optional.empty() : store.deltaSince(held, subscription.scope());
         if (delta.isEmpty() || tooLarge(delta.get())) {
             subscription.requireSnapshot(freshAt);
-            flush(subscription, now);
+            flush(subscription, nowMillis);
             return;
         }
         long digest = store.digest(subscription.scope());
@@ -312,20 +314,20 @@
     }
 
     private void acknowledge(
-            Subscription subscription, DistributionMessage.Acknowledge message, long now)
-            throws Refusal {
-        RequestCheck.checkSubscribed(message, subscription);
-        subscription.heard(now);
+            Subscription subscription, DistributionMessage.Acknowledge message, long nowMillis)
+            throws RejectionException {
+        RequestValidator.checkSubscribed(message, subscription);
+        subscription.heard(nowMillis);
         subscription.echo(message.sentMillis());
         if (message.scopeEpoch() < subscription.scopeEpoch()) {
             return;
         }
-        RequestCheck.check(message, subscription, store.current());
+        RequestValidator.check(message, subscription, store.current());
         if (subscription.transfer() != null) {
             subscription.transfer().taken(message.snapshotParts());
         }
         subscription.acknowledge(message);
-        flush(subscription, now);
+        flush(subscription, nowMillis);
         account(subscription);
     }
 
@@ -351,26 +353,27 @@
      * Sends what the subscription may be sent now; what it may not is coalesced with what comes
      * later.
      */
-    private void flush(Subscription subscription, long now) {
+    private void flush(Subscription subscription, long nowMillis) {
         if (subscription.transfer() != null) {
             continueTransfer(subscription);
         }
         if (subscription.transfer() == null && subscription.outdated()) {
             if (subscription.needsSnapshot()) {
-                startTransfer(subscription, now);
-            } else if (subscription.unacknowledged() < limits.admission().window()) {
-                bringUpToDate(subscription, now);
+                startTransfer(subscription, nowMillis);
+            } else if (subscription.unacknowledged()
+                    < limits.admission().maxUnacknowledgedDifferences()) {
+                bringUpToDate(subscription, nowMillis);
             }
         }
         account(subscription);
     }
 
-    private void bringUpToDate(Subscription subscription, long now) {
+    private void bringUpToDate(Subscription subscription, long nowMillis) {
         Revision from = new Revision(store.current().cluster(), subscription.unchangedThrough());
         Optional<ConfigurationStore.Delta> delta = store.deltaSince(from, subscription.scope());
         if (delta.isEmpty() || tooLarge(delta.get())) {
             subscription.requireSnapshot(freshAt);
-            startTransfer(subscription, now);
+            startTransfer(subscription, nowMillis);
         } else if (delta.get().updates().isEmpty()) {
             subscription.unchangedAfterAll(store.current().number());
         } else {
@@ -394,12 +397,13 @@
     }
 
     private boolean tooLarge(ConfigurationStore.Delta delta) {
-        return delta.updates().size() > limits.sizes().differenceUpdates()
-                || delta.bytes() > limits.sizes().differenceBytes();
+        return delta.updates().size() > limits.sizes().maxDifferenceUpdates()
+                || delta.bytes() > limits.sizes().maxDifferenceBytes();
     }
 
-    private void startTransfer(Subscription subscription, long now) {
-        if (transfers >= limits.admission().snapshotsAtOnce() || !subscription.mayStartTransfer()) {
+    private void startTransfer(Subscription subscription, long nowMillis) {
+        if (transfers >= limits.admission().maxConcurrentSnapshots()
+                || !subscription.mayStartTransfer()) {
             return;
         }
         transfers++;
@@ -410,13 +414,13 @@
                         store.digest(scope),
                         store.snapshot(scope),
                         limits.sizes(),
-                        now));
+                        nowMillis));
         continueTransfer(subscription);
     }
 
     private void continueTransfer(Subscription subscription) {
         SnapshotTransfer transfer = subscription.transfer();
-        while (transfer.mayContinue(limits.admission().snapshotWindow())) {
+        while (transfer.mayContinue(limits.admission().maxUnacknowledgedParts())) {
             effects.send(subscription.connection(), transfer.next(subscription.scopeEpoch()));
         }
         if (transfer.complete()) {
@@ -431,17 +435,18 @@
         }
     }
 
-    private void beat(Subscription subscription, long now) {
+    private void beat(Subscription subscription, long nowMillis) {
         SnapshotTransfer transfer = subscription.transfer();
-        if (transfer != null && now - transfer.startedAt() > limits.timing().snapshot()) {
+        if (transfer != null
+                && nowMillis - transfer.startedAt() > limits.timing().snapshotTimeoutMillis()) {
             close(
                     subscription,
                     RejectionReason.SLOW,
-                    "snapshot: " + (now - transfer.startedAt()) + " ms",
-                    now);
+                    "snapshot: " + (nowMillis - transfer.startedAt()) + " ms",
+                    nowMillis);
             return;
         }
-        flush(subscription, now);
+        flush(subscription, nowMillis);
         if (!subscription.told().isNone() && !subscription.outdated()) {
             subscription.tellUnchanged(store.current());
         }
@@ -451,56 +456,57 @@
                         subscription.scopeEpoch(),
                         subscription.told(),
                         subscription.digest(),
-                        staleMillis(subscription, now),
+                        staleMillis(subscription, nowMillis),
                         subscription.echoMillis()));
-        subscription.heartbeatAt(now + limits.timing().heartbeat());
+        subscription.heartbeatAt(nowMillis + limits.timing().heartbeatIntervalMillis());
         schedule(subscription);
     }
 
-    private long staleMillis(Subscription subscription, long now) {
+    private long staleMillis(Subscription subscription, long nowMillis) {
         long at = subscription.freshAt(freshAt);
-        return at < now - MOST_STALE_MILLIS ? MOST_STALE_MILLIS : Math.max(0, now - at);
+        return at < nowMillis - MOST_STALE_MILLIS ? MOST_STALE_MILLIS : Math.max(0, nowMillis - at);
     }
 
     /** Spreads the heartbeats of those who came at once. */
-    private void stagger(Subscription subscription, long now) {
-        long interval = limits.timing().heartbeat();
+    private void stagger(Subscription subscription, long nowMillis) {
+        long interval = limits.timing().heartbeatIntervalMillis();
         timers.remove(subscription);
-        subscription.heartbeatAt(now + random.nextLong(interval / 2, interval + 1));
+        subscription.heartbeatAt(nowMillis + random.nextLong(interval / 2, interval + 1));
         schedule(subscription);
     }
 
     private void schedule(Subscription subscription) {
-        long silentAt = subscription.heardAt() + limits.timing().silence();
+        long silentAt = subscription.heardAt() + limits.timing().silenceTimeoutMillis();
         subscription.dueAt(Math.min(subscription.heartbeatAt(), silentAt));
         timers.add(subscription);
     }
 
     private void account(Subscription subscription) {
-        ForceTally.Share before = subscription.replaceShare();
+        SummaryAggregator.Contribution before = subscription.replaceShare();
         tally.replace(before, subscription.share());
     }
 
     private void reject(
             Subscription subscription,
             RejectionReason reason,
-            String place,
+            String detail,
             long retryAfter,
-            long now) {
+            long nowMillis) {
         effects.send(
                 subscription.connection(),
                 new DistributionMessage.Rejected(
-                        subscription.scopeEpoch(), reason, place, retryAfter));
-        close(subscription, reason, place, now);
+                        subscription.scopeEpoch(), reason, detail, retryAfter));
+        close(subscription, reason, detail, nowMillis);
     }
 
-    private void close(Subscription subscription, RejectionReason reason, String place, long now) {
-        rejections.count(reason);
-        forget(subscription, now);
-        effects.close(subscription.connection(), reason, place);
+    private void close(
+            Subscription subscription, RejectionReason reason, String detail, long nowMillis) {
+        rejectionCounts.count(reason);
+        forget(subscription, nowMillis);
+        effects.close(subscription.connection(), reason, detail);
     }
 
-    private void forget(Subscription subscription, long now) {
+    private void forget(Subscription subscription, long nowMillis) {
         connections.remove(subscription.connection());
         timers.remove(subscription);
         if (!subscription.subscribed()) {
@@ -509,7 +515,10 @@
         endTransfer(subscription);
         index.remove(subscription);
         byName.remove(subscription.name(), subscription);
-        tally.replace(subscription.share(), ForceTally.Share.NOTHING);
-        tally.lost(subscription.name(), subscription.governors(), now + limits.timing().remember());
+        tally.replace(subscription.share(), SummaryAggregator.Contribution.NOTHING);
+        tally.lost(
+                subscription.name(),
+                subscription.governors(),
+                nowMillis + limits.timing().lostSubscriberRetentionMillis());
     }
 }
--- a/src/main/java/rockshift/distribution/BackOff.java
+++ b/src/main/java/rockshift/distribution/ReconnectBackoff.java
@@ -6,13 +6,13 @@
  * How long to wait before the next connection: doubled each time up to a bound, half of it by
  * chance.
  */
-final class BackOff {
+final class ReconnectBackoff {
     private static final int MOST_DOUBLINGS = 20;
     private final Limits.Timing timing;
     private final RandomGenerator random;
     private int attempts;
 
-    BackOff(Limits.Timing timing, RandomGenerator random) {
+    ReconnectBackoff(Limits.Timing timing, RandomGenerator random) {
         this.timing = timing;
         this.random = random;
     }
@@ -20,8 +20,8 @@
     long next() {
         long whole =
                 Math.min(
-                        timing.mostBackOff(),
-                        timing.backOff() << Math.min(attempts, MOST_DOUBLINGS));
+                        timing.maxBackoffMillis(),
+                        timing.initialBackoffMillis() << Math.min(attempts, MOST_DOUBLINGS));
         attempts++;
         return whole / 2 + upTo(whole / 2);
     }
--- a/src/main/java/rockshift/distribution/Rejections.java
+++ b/src/main/java/rockshift/distribution/RejectionCounters.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** How often each reason was given. */
-final class Rejections {
+final class RejectionCounters {
     private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
 
     void count(RejectionReason reason) {
--- a/src/main/java/rockshift/distribution/Refusal.java
+++ b/src/main/java/rockshift/distribution/RejectionException.java
@@ -1,15 +1,15 @@
 package rockshift.distribution;
 
 /** Thrown where a message or a change can't be taken; nothing has been changed. */
-public final class Refusal extends Exception {
+public final class RejectionException extends Exception {
     private static final long serialVersionUID = 1;
     private final RejectionReason reason;
-    private final String place;
+    private final String detail;
 
-    public Refusal(RejectionReason reason, String place) {
+    public RejectionException(RejectionReason reason, String place) {
         super(reason.code() + ": " + place, null, false, false);
         this.reason = reason;
-        this.place = place;
+        this.detail = place;
     }
 
     public RejectionReason reason() {
@@ -17,7 +17,7 @@
     }
 
     /** The field, and what is wrong there. */
-    public String place() {
-        return place;
+    public String detail() {
+        return detail;
     }
 }
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -70,13 +70,13 @@
     public void upstreamReceived(DistributionMessage message, long at) {
         now = at;
         subscriber.received(message, at);
-        publisher.freshAt(subscriber.freshAt());
+        publisher.freshAt(subscriber.freshAtMillis());
     }
 
     /** The host could not read what came from upstream. */
-    public void upstreamRefused(RejectionReason reason, String place, long at) {
+    public void upstreamUndecodable(RejectionReason reason, String detail, long at) {
         now = at;
-        subscriber.refused(reason, place, at);
+        subscriber.undecodable(reason, detail, at);
     }
 
     /** A connection from downstream came up. */
@@ -95,8 +95,8 @@
     }
 
     /** The host could not read what came from downstream. */
-    public void refused(long connection, RejectionReason reason, String place, long at) {
-        publisher.refused(connection, reason, place, at);
+    public void undecodable(long connection, RejectionReason reason, String detail, long at) {
+        publisher.undecodable(connection, reason, detail, at);
     }
 
     /** Does what is due on both sides. To be called every 50 ms or so. */
@@ -142,7 +142,7 @@
         public void snapshot(Revision revision, List<Item> items) {
             try {
                 store.reset(revision, items);
-            } catch (Refusal refusal) {
+            } catch (RejectionException refusal) {
                 throw new IllegalStateException(
                         "checked by the subscriber: " + refusal.getMessage(), refusal);
             }
@@ -153,7 +153,7 @@
         public void difference(Revision revision, List<Update> updates) {
             try {
                 store.apply(revision, updates);
-            } catch (Refusal refusal) {
+            } catch (RejectionException refusal) {
                 throw new IllegalStateException(
                         "checked by the subscriber: " + refusal.getMessage(), refusal);
             }
--- a/src/main/java/rockshift/distribution/RequestCheck.java
+++ b/src/main/java/rockshift/distribution/RequestValidator.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /** Checks what a subscriber sends by itself, before anything is spent on it. */
-final class RequestCheck {
-    private RequestCheck() {}
+final class RequestValidator {
+    private RequestValidator() {}
 
     /**
      * Refuses what no publisher of this kind could ever take.
@@ -17,27 +17,29 @@
             Subscription subscription,
             Scope served,
             Limits limits)
-            throws Refusal {
+            throws RejectionException {
         Limits.Sizes sizes = limits.sizes();
         checkName("subscriber", message.subscriber(), sizes);
         if (subscription.subscribed() && !subscription.name().equals(message.subscriber())) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.MALFORMED, "subscriber: was '" + subscription.name() + "'");
         } else if (message.scopeEpoch() < 1) {
-            throw new Refusal(RejectionReason.MALFORMED, "scopeEpoch: " + message.scopeEpoch());
+            throw new RejectionException(
+                    RejectionReason.MALFORMED, "scopeEpoch: " + message.scopeEpoch());
         } else if (subscription.subscribed() && message.scopeEpoch() <= subscription.scopeEpoch()) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "scopeEpoch: " + message.scopeEpoch() + " after " + subscription.scopeEpoch());
-        } else if (subscription.unconfirmedScopes() > limits.admission().window()) {
-            throw new Refusal(
+        } else if (subscription.unconfirmedScopes()
+                > limits.admission().maxUnacknowledgedDifferences()) {
+            throw new RejectionException(
                     RejectionReason.SLOW,
                     "scopeEpoch: "
                             + subscription.unconfirmedScopes()
                             + " changes that were not confirmed");
         } else if (message.held().number() < 0
                 || message.held().cluster() == 0 && message.held().number() != 0) {
-            throw new Refusal(RejectionReason.MALFORMED, "held: " + message.held());
+            throw new RejectionException(RejectionReason.MALFORMED, "held: " + message.held());
         }
         checkScope(message.scope(), served, sizes);
     }
@@ -47,11 +49,12 @@
      * for.
      */
     static void checkSubscribed(DistributionMessage.Acknowledge message, Subscription subscription)
-            throws Refusal {
+            throws RejectionException {
         if (!subscription.subscribed()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER, "acknowledge before subscribe");
+            throw new RejectionException(
+                    RejectionReason.OUT_OF_ORDER, "acknowledge before subscribe");
         } else if (message.scopeEpoch() > subscription.scopeEpoch()) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.MALFORMED,
                     "scopeEpoch: " + message.scopeEpoch() + " was never asked for");
         }
@@ -60,59 +63,62 @@
     /** Refuses to take for in force what was never sent, or less than before. */
     static void check(
             DistributionMessage.Acknowledge message, Subscription subscription, Revision current)
-            throws Refusal {
+            throws RejectionException {
         Revision inForce = message.inForce();
         Summary summary = message.summary();
         if (message.snapshotParts() < 0
                 || summary.subscribers() < 0
                 || summary.behind() < 0
                 || summary.unreachable() < 0) {
-            throw new Refusal(RejectionReason.MALFORMED, "negative count");
+            throw new RejectionException(RejectionReason.MALFORMED, "negative count");
         } else if (!inForce.isNone() && !inForce.sameCluster(current)) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER, "inForce: " + inForce);
+            throw new RejectionException(RejectionReason.OTHER_CLUSTER, "inForce: " + inForce);
         } else if (inForce.number() < subscription.inForce().number()) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "inForce: " + inForce + " after " + subscription.inForce());
         }
         Revision most = subscription.transfer() == null ? subscription.told() : current;
         if (inForce.number() > most.number()) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + most);
         }
     }
 
-    private static void checkScope(Scope scope, Scope served, Limits.Sizes sizes) throws Refusal {
+    private static void checkScope(Scope scope, Scope served, Limits.Sizes sizes)
+            throws RejectionException {
         int names = scope.services().size() + scope.zones().size();
         if (scope.isEmpty()) {
-            throw new Refusal(RejectionReason.EMPTY_SCOPE, "scope: no service and no zone");
-        } else if (names > sizes.scopeNames()) {
-            throw new Refusal(
+            throw new RejectionException(
+                    RejectionReason.EMPTY_SCOPE, "scope: no service and no zone");
+        } else if (names > sizes.maxScopeNames()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "scope: " + names + " of " + sizes.scopeNames() + " names");
+                    "scope: " + names + " of " + sizes.maxScopeNames() + " names");
         }
         checkNames("services", scope.services(), sizes);
         checkNames("zones", scope.zones(), sizes);
         String missing = served.missing(scope);
         if (missing != null) {
-            throw new Refusal(RejectionReason.UNKNOWN_SCOPE, missing);
+            throw new RejectionException(RejectionReason.UNKNOWN_SCOPE, missing);
         }
     }
 
     private static void checkNames(String field, Collection<String> names, Limits.Sizes sizes)
-            throws Refusal {
+            throws RejectionException {
         for (String name : names) {
             checkName(field, name, sizes);
         }
     }
 
-    private static void checkName(String field, String name, Limits.Sizes sizes) throws Refusal {
+    private static void checkName(String field, String name, Limits.Sizes sizes)
+            throws RejectionException {
         if (name.isEmpty()) {
-            throw new Refusal(RejectionReason.MALFORMED, field + ": empty name");
-        } else if (name.length() > sizes.nameLength()) {
-            throw new Refusal(
+            throw new RejectionException(RejectionReason.MALFORMED, field + ": empty name");
+        } else if (name.length() > sizes.maxNameLength()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    field + ": " + name.length() + " of " + sizes.nameLength() + " characters");
+                    field + ": " + name.length() + " of " + sizes.maxNameLength() + " characters");
         }
     }
 }
--- a/src/main/java/rockshift/distribution/SnapshotAssembly.java
+++ b/src/main/java/rockshift/distribution/SnapshotAssembly.java
@@ -17,27 +17,29 @@
     private long digest;
     private int received;
 
-    SnapshotAssembly(DistributionMessage.SnapshotPart first, Limits.Sizes sizes) throws Refusal {
+    SnapshotAssembly(DistributionMessage.SnapshotPart first, Limits.Sizes sizes)
+            throws RejectionException {
         if (first.part() != 0) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER, "part: begins with " + first.part());
+            throw new RejectionException(
+                    RejectionReason.OUT_OF_ORDER, "part: begins with " + first.part());
         } else if (first.parts() < 1) {
-            throw new Refusal(RejectionReason.MALFORMED, "parts: " + first.parts());
-        } else if (first.parts() > sizes.stateItems()) {
-            throw new Refusal(
+            throw new RejectionException(RejectionReason.MALFORMED, "parts: " + first.parts());
+        } else if (first.parts() > sizes.maxStateItems()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "parts: " + first.parts() + " of " + sizes.stateItems());
+                    "parts: " + first.parts() + " of " + sizes.maxStateItems());
         }
         this.first = first;
         this.sizes = sizes;
     }
 
     /** Takes the next part. */
-    void add(DistributionMessage.SnapshotPart part, Scope scope) throws Refusal {
+    void add(DistributionMessage.SnapshotPart part, Scope scope) throws RejectionException {
         if (!part.revision().equals(first.revision())
                 || part.parts() != first.parts()
                 || part.digest() != first.digest()
                 || part.part() != received) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "part: "
                             + part.part()
@@ -51,31 +53,33 @@
                             + first.parts()
                             + " at "
                             + first.revision());
-        } else if (part.items().size() > sizes.partItems()) {
-            throw new Refusal(
+        } else if (part.items().size() > sizes.maxPartItems()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "items: " + part.items().size() + " of " + sizes.partItems());
-        } else if (items.size() + part.items().size() > sizes.stateItems()) {
-            throw new Refusal(RejectionReason.TOO_LARGE, "items: more than " + sizes.stateItems());
+                    "items: " + part.items().size() + " of " + sizes.maxPartItems());
+        } else if (items.size() + part.items().size() > sizes.maxStateItems()) {
+            throw new RejectionException(
+                    RejectionReason.TOO_LARGE, "items: more than " + sizes.maxStateItems());
         }
         received++;
         for (Item item : part.items()) {
             add(item, scope);
         }
         if (complete() && digest != first.digest()) {
-            throw new Refusal(RejectionReason.DIGEST_MISMATCH, "snapshot: " + first.revision());
+            throw new RejectionException(
+                    RejectionReason.DIGEST_MISMATCH, "snapshot: " + first.revision());
         }
     }
 
-    private void add(Item item, Scope scope) throws Refusal {
+    private void add(Item item, Scope scope) throws RejectionException {
         String place = "items[" + items.size() + "]";
         sizes.check(item, place);
         if (!scope.matches(item)) {
-            throw new Refusal(RejectionReason.OUT_OF_SCOPE, place + ": " + item);
+            throw new RejectionException(RejectionReason.OUT_OF_SCOPE, place + ": " + item);
         }
         long itemDigest = item.digest();
         if (digests.put(item.key(), itemDigest) != null) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.MALFORMED, place + ".key: '" + item.key() + "' comes twice");
         }
         items.add(item);
--- a/src/main/java/rockshift/distribution/SnapshotTransfer.java
+++ b/src/main/java/rockshift/distribution/SnapshotTransfer.java
@@ -16,10 +16,10 @@
     private int taken;
 
     SnapshotTransfer(
-            Revision revision, long digest, List<Item> items, Limits.Sizes sizes, long now) {
+            Revision revision, long digest, List<Item> items, Limits.Sizes sizes, long nowMillis) {
         this.revision = revision;
         this.digest = digest;
-        this.startedAt = now;
+        this.startedAt = nowMillis;
         this.parts = split(items, sizes);
     }
 
@@ -62,8 +62,8 @@
         for (int index = 0; index < items.size(); index++) {
             long itemBytes = items.get(index).bytes();
             if (index > start
-                    && (index - start == sizes.partItems()
-                            || bytes + itemBytes > sizes.partBytes())) {
+                    && (index - start == sizes.maxPartItems()
+                            || bytes + itemBytes > sizes.maxPartBytes())) {
                 parts.add(items.subList(start, index));
                 start = index;
                 bytes = 0;
--- a/src/main/java/rockshift/distribution/HeldState.java
+++ b/src/main/java/rockshift/distribution/SubscribedState.java
@@ -10,14 +10,14 @@
  * What a subscriber holds, by digests alone: the items are with the host. It never goes back a
  * revision of its cluster.
  */
-final class HeldState {
+final class SubscribedState {
     private final Limits.Sizes sizes;
     private Revision revision = Revision.NONE;
     private long scopeEpoch;
     private Map<String, Long> digests = new HashMap<>();
     private long digest;
 
-    HeldState(Limits.Sizes sizes) {
+    SubscribedState(Limits.Sizes sizes) {
         this.sizes = sizes;
     }
 
@@ -39,30 +39,30 @@
      *
      * @param adopted the cluster to go over to; 0 if there is none
      */
-    void checkFollows(Revision next, long adopted) throws Refusal {
+    void checkFollows(Revision next, long adopted) throws RejectionException {
         boolean follows = revision.isNone() || revision.sameCluster(next);
         if (next.isNone() || next.number() < 0) {
-            throw new Refusal(RejectionReason.MALFORMED, "revision: " + next);
+            throw new RejectionException(RejectionReason.MALFORMED, "revision: " + next);
         } else if (next.cluster() != adopted && (!follows || adopted != 0)) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.OTHER_CLUSTER, "revision: " + next + ", held " + revision);
         } else if (follows && next.number() < revision.number()) {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.FUTURE_REVISION,
                     "revision: " + next + " is older than " + revision);
         }
     }
 
     /** Refuses a heartbeat that says what is held to be something else. */
-    void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws Refusal {
+    void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws RejectionException {
         Revision current = heartbeat.current();
         String place = "current: " + current + ", held " + revision;
         if (!revision.sameCluster(current)) {
-            throw new Refusal(RejectionReason.OTHER_CLUSTER, place);
+            throw new RejectionException(RejectionReason.OTHER_CLUSTER, place);
         } else if (current.number() < revision.number()) {
-            throw new Refusal(RejectionReason.FUTURE_REVISION, place);
+            throw new RejectionException(RejectionReason.FUTURE_REVISION, place);
         } else if (heartbeat.digest() != digest) {
-            throw new Refusal(RejectionReason.DIGEST_MISMATCH, place);
+            throw new RejectionException(RejectionReason.DIGEST_MISMATCH, place);
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Takes a difference whole, or refuses it and stays as it was. */
-    void apply(DistributionMessage.Difference difference, Scope scope) throws Refusal {
+    void apply(DistributionMessage.Difference difference, Scope scope) throws RejectionException {
         check(difference, scope);
         long after = digest;
         int added = 0;
@@ -85,12 +85,13 @@
                     (update.deleted() ? 0 : update.item().digest()) - (before == null ? 0 : before);
             added += (update.deleted() ? 0 : 1) - (before == null ? 0 : 1);
         }
-        if (digests.size() + added > sizes.stateItems()) {
-            throw new Refusal(
+        if (digests.size() + added > sizes.maxStateItems()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "updates: more than " + sizes.stateItems() + " items");
+                    "updates: more than " + sizes.maxStateItems() + " items");
         } else if (after != difference.digest()) {
-            throw new Refusal(RejectionReason.DIGEST_MISMATCH, "difference: to " + difference.to());
+            throw new RejectionException(
+                    RejectionReason.DIGEST_MISMATCH, "difference: to " + difference.to());
         }
         difference.updates().forEach(this::put);
         digest = after;
@@ -110,29 +111,36 @@
         }
     }
 
-    private void check(DistributionMessage.Difference difference, Scope scope) throws Refusal {
+    private void check(DistributionMessage.Difference difference, Scope scope)
+            throws RejectionException {
         Revision from = difference.from();
         Revision to = difference.to();
         if (difference.scopeEpoch() != scopeEpoch || !from.equals(revision)) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER, "from: " + from + ", held " + revision);
+            throw new RejectionException(
+                    RejectionReason.OUT_OF_ORDER, "from: " + from + ", held " + revision);
         } else if (!to.sameCluster(from) || to.number() <= from.number()) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER, "to: " + to + " after " + from);
-        } else if (difference.updates().size() > sizes.differenceUpdates()) {
-            throw new Refusal(
+            throw new RejectionException(
+                    RejectionReason.OUT_OF_ORDER, "to: " + to + " after " + from);
+        } else if (difference.updates().size() > sizes.maxDifferenceUpdates()) {
+            throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "updates: " + difference.updates().size() + " of " + sizes.differenceUpdates());
+                    "updates: "
+                            + difference.updates().size()
+                            + " of "
+                            + sizes.maxDifferenceUpdates());
         }
         check(difference.updates(), from.number(), to.number(), scope);
     }
 
-    private void check(List<Update> updates, long from, long to, Scope scope) throws Refusal {
+    private void check(List<Update> updates, long from, long to, Scope scope)
+            throws RejectionException {
         Set<String> keys = new HashSet<>();
         for (int index = 0; index < updates.size(); index++) {
             Update update = updates.get(index);
             String place = "updates[" + index + "]";
             sizes.check(update.item(), place);
             if (update.revision() <= from || update.revision() > to) {
-                throw new Refusal(
+                throw new RejectionException(
                         RejectionReason.OUT_OF_ORDER,
                         place
                                 + ".revision: "
@@ -142,9 +150,10 @@
                                 + " up to "
                                 + to);
             } else if (!update.deleted() && !scope.matches(update)) {
-                throw new Refusal(RejectionReason.OUT_OF_SCOPE, place + ": " + update.item());
+                throw new RejectionException(
+                        RejectionReason.OUT_OF_SCOPE, place + ": " + update.item());
             } else if (!keys.add(update.item().key())) {
-                throw new Refusal(
+                throw new RejectionException(
                         RejectionReason.MALFORMED,
                         place + ".key: '" + update.item().key() + "' comes twice");
             }
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -56,12 +56,12 @@
     private final Limits limits;
     private final Effects effects;
     private final Supplier<Summary> summary;
-    private final BackOff backOff;
-    private final Rejections rejections = new Rejections();
+    private final ReconnectBackoff backOff;
+    private final RejectionCounters rejectionCounts = new RejectionCounters();
 
     private Scope scope;
     private long scopeEpoch = 1;
-    private final HeldState held;
+    private final SubscribedState state;
     private boolean wantsSnapshot;
     private long adopted;
     private SnapshotAssembly assembly;
@@ -78,7 +78,7 @@
     private long acknowledgedAt;
     private Summary summarySent;
 
-    private long freshAt = NEVER;
+    private long freshAtMillis = NEVER;
     private int staleUpstreams;
     private long staleMoveAt;
 
@@ -113,8 +113,8 @@
         this.effects = effects;
         this.summary =
                 below == null ? () -> Summary.ofOne(name, inForce.of(scopeEpoch).number()) : below;
-        this.held = new HeldState(limits.sizes());
-        this.backOff = new BackOff(limits.timing(), random);
+        this.state = new SubscribedState(limits.sizes());
+        this.backOff = new ReconnectBackoff(limits.timing(), random);
         this.upstream = random.nextInt(upstreams);
     }
 
@@ -122,54 +122,54 @@
     public void restore(Revision revision, Collection<Item> items) {
         Map<String, Long> digests = new HashMap<>();
         items.forEach(item -> digests.put(item.key(), item.digest()));
-        held.replace(revision, scopeEpoch, digests);
+        state.replace(revision, scopeEpoch, digests);
         inForce.begin(revision, scopeEpoch);
     }
 
     /** The connection that was asked for is up. */
-    public void connected(long now) {
+    public void connected(long nowMillis) {
         if (phase != Phase.CONNECTING) {
             return;
         }
         phase = Phase.CONNECTED;
-        connectedAt = now;
-        heardAt = now;
-        subscribe(now);
+        connectedAt = nowMillis;
+        heardAt = nowMillis;
+        subscribe(nowMillis);
     }
 
     /** The connection, or the attempt at one, has ended. */
-    public void disconnected(long now) {
+    public void disconnected(long nowMillis) {
         if (phase != Phase.WAITING) {
-            retry(now + backOff.next(), true);
+            retry(nowMillis + backOff.next(), true);
         }
     }
 
     /** A message came over the connection. */
-    public void received(DistributionMessage message, long now) {
+    public void received(DistributionMessage message, long nowMillis) {
         if (phase != Phase.CONNECTED) {
             return;
         }
-        heardAt = now;
+        heardAt = nowMillis;
         try {
             if (message instanceof DistributionMessage.Rejected rejected) {
-                rejected(rejected, now);
+                rejected(rejected, nowMillis);
             } else if (message.scopeEpoch() > scopeEpoch) {
-                throw new Refusal(
+                throw new RejectionException(
                         RejectionReason.MALFORMED,
                         "scopeEpoch: " + message.scopeEpoch() + " of " + scopeEpoch);
             } else if (message.scopeEpoch() == scopeEpoch) {
-                take(message, now);
+                take(message, nowMillis);
             }
-        } catch (Refusal refusal) {
+        } catch (RejectionException refusal) {
             wantsSnapshot |= refusal.reason() == RejectionReason.DIGEST_MISMATCH;
-            end(refusal.reason(), refusal.place(), now);
+            end(refusal.reason(), refusal.detail(), nowMillis);
         }
     }
 
     /** The host could not read what came: counts it and ends the connection. */
-    public void refused(RejectionReason reason, String place, long now) {
+    public void undecodable(RejectionReason reason, String detail, long nowMillis) {
         if (phase != Phase.WAITING) {
-            end(reason, place, now);
+            end(reason, detail, nowMillis);
         }
     }
 
@@ -177,37 +177,37 @@
      * What was handed over as this revision is in force. To be called for each, in order, or for
      * the last of several.
      */
-    public void acknowledged(Revision revision, long now) {
-        if (inForce.acknowledged(revision, held.revision()) && phase == Phase.CONNECTED) {
-            acknowledge(now);
+    public void acknowledged(Revision revision, long nowMillis) {
+        if (inForce.acknowledged(revision, state.revision()) && phase == Phase.CONNECTED) {
+            acknowledge(nowMillis);
         }
     }
 
     /** Does what is due: silence, reconnection. To be called every 50 ms or so. */
-    public void tick(long now) {
+    public void tick(long nowMillis) {
         switch (phase) {
             case WAITING -> {
                 if (!started) {
                     started = true;
-                    waitUntil = now + backOff.upTo(limits.timing().backOff());
+                    waitUntil = nowMillis + backOff.upTo(limits.timing().initialBackoffMillis());
                 }
-                if (now >= waitUntil) {
+                if (nowMillis >= waitUntil) {
                     phase = Phase.CONNECTING;
-                    connectBy = now + limits.timing().connect();
+                    connectBy = nowMillis + limits.timing().connectTimeoutMillis();
                     effects.connect(upstream);
                 }
             }
             case CONNECTING -> {
-                if (now >= connectBy) {
-                    end(RejectionReason.UNREACHABLE, "upstream " + upstream, now);
+                if (nowMillis >= connectBy) {
+                    end(RejectionReason.UNREACHABLE, "upstream " + upstream, nowMillis);
                 }
             }
             default -> {
-                if (now - heardAt >= limits.timing().silence()) {
-                    end(RejectionReason.SILENT, (now - heardAt) + " ms", now);
-                } else if (now - acknowledgedAt >= limits.timing().acknowledge()
+                if (nowMillis - heardAt >= limits.timing().silenceTimeoutMillis()) {
+                    end(RejectionReason.SILENT, (nowMillis - heardAt) + " ms", nowMillis);
+                } else if (nowMillis - acknowledgedAt >= limits.timing().acknowledgeIntervalMillis()
                         && !summary.get().equals(summarySent)) {
-                    acknowledge(now);
+                    acknowledge(nowMillis);
                 }
             }
         }
@@ -217,39 +217,39 @@
      * Asks for another scope from now on. What is held stays until the first snapshot of the new
      * one.
      */
-    public void scope(Scope wanted, long now) {
+    public void scope(Scope wanted, long nowMillis) {
         scope = wanted;
         scopeEpoch++;
         if (phase == Phase.CONNECTED) {
-            subscribe(now);
+            subscribe(nowMillis);
         }
     }
 
     /** Staff decided to follow another cluster: what is held stays until its first snapshot. */
-    public void adopt(long cluster, long now) {
+    public void adopt(long cluster, long nowMillis) {
         adopted = cluster;
-        wantsSnapshot |= held.revision().cluster() != cluster;
+        wantsSnapshot |= state.revision().cluster() != cluster;
         if (phase != Phase.WAITING) {
-            end(RejectionReason.OTHER_CLUSTER, "adopts " + Long.toHexString(cluster), now);
+            end(RejectionReason.OTHER_CLUSTER, "adopts " + Long.toHexString(cluster), nowMillis);
         }
     }
 
     /** What is held. */
-    public Revision held() {
-        return held.revision();
+    public Revision revision() {
+        return state.revision();
     }
 
     /**
      * What is held was the newest there is at this time, by the clock that is handed in; the lowest
      * long if it never was.
      */
-    public long freshAt() {
-        return freshAt;
+    public long freshAtMillis() {
+        return freshAtMillis;
     }
 
     /** How old what is held may be, in milliseconds. */
-    public long age(long now) {
-        return freshAt == NEVER ? Long.MAX_VALUE : now - freshAt;
+    public long ageMillis(long nowMillis) {
+        return freshAtMillis == NEVER ? Long.MAX_VALUE : nowMillis - freshAtMillis;
     }
 
     /** Whether a subscription stands, so that what is held is kept up. */
@@ -258,106 +258,114 @@
     }
 
     /** How often each reason was given, by either side. */
-    public Map<RejectionReason, Long> rejections() {
-        return rejections.counts();
+    public Map<RejectionReason, Long> rejectionCounts() {
+        return rejectionCounts.counts();
     }
 
-    private void subscribe(long now) {
+    private void subscribe(long nowMillis) {
         assembly = null;
         subscribed = false;
-        boolean resumes = !wantsSnapshot && held.scopeEpoch() == scopeEpoch;
+        boolean resumes = !wantsSnapshot && state.scopeEpoch() == scopeEpoch;
         effects.send(
                 new DistributionMessage.Subscribe(
-                        name, scopeEpoch, scope, resumes ? held.revision() : Revision.NONE, now));
+                        name,
+                        scopeEpoch,
+                        scope,
+                        resumes ? state.revision() : Revision.NONE,
+                        nowMillis));
     }
 
-    private void take(DistributionMessage message, long now) throws Refusal {
+    private void take(DistributionMessage message, long nowMillis) throws RejectionException {
         if (message instanceof DistributionMessage.SnapshotPart part) {
-            take(part, now);
+            take(part, nowMillis);
         } else if (message instanceof DistributionMessage.Difference difference) {
             take(difference);
         } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
-            take(heartbeat, now);
+            take(heartbeat, nowMillis);
         } else if (message instanceof DistributionMessage.Notice notice) {
-            rejections.count(notice.reason());
-            effects.notice(notice.reason(), notice.place());
+            rejectionCounts.count(notice.reason());
+            effects.notice(notice.reason(), notice.detail());
         } else {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.MALFORMED,
                     "a subscriber takes no " + message.getClass().getSimpleName());
         }
     }
 
-    private void take(DistributionMessage.SnapshotPart part, long now) throws Refusal {
+    private void take(DistributionMessage.SnapshotPart part, long nowMillis)
+            throws RejectionException {
         if (assembly == null) {
-            held.checkFollows(part.revision(), adopted);
+            state.checkFollows(part.revision(), adopted);
             assembly = new SnapshotAssembly(part, limits.sizes());
         }
         assembly.add(part, scope);
         if (!assembly.complete()) {
-            acknowledge(now);
+            acknowledge(nowMillis);
             return;
         }
         SnapshotAssembly whole = assembly;
         assembly = null;
         wantsSnapshot = false;
         adopted = 0;
-        if (!held.revision().sameCluster(whole.revision())) {
+        if (!state.revision().sameCluster(whole.revision())) {
             inForce.begin(Revision.NONE, scopeEpoch);
-            freshAt = NEVER;
+            freshAtMillis = NEVER;
         }
-        held.replace(whole.revision(), scopeEpoch, whole.digests());
-        inForce.delivered(held.revision(), scopeEpoch);
+        state.replace(whole.revision(), scopeEpoch, whole.digests());
+        inForce.delivered(state.revision(), scopeEpoch);
         effects.snapshot(whole.revision(), whole.items());
     }
 
-    private void take(DistributionMessage.Difference difference) throws Refusal {
+    private void take(DistributionMessage.Difference difference) throws RejectionException {
         if (assembly != null) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
+            throw new RejectionException(
+                    RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
         }
-        held.apply(difference, scope);
-        inForce.delivered(held.revision(), scopeEpoch);
+        state.apply(difference, scope);
+        inForce.delivered(state.revision(), scopeEpoch);
         effects.difference(difference.to(), difference.updates());
     }
 
-    private void take(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
-        if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > now) {
-            throw new Refusal(
+    private void take(DistributionMessage.Heartbeat heartbeat, long nowMillis)
+            throws RejectionException {
+        if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > nowMillis) {
+            throw new RejectionException(
                     RejectionReason.MALFORMED,
                     "heartbeat: stale for "
                             + heartbeat.staleMillis()
                             + " ms, answers "
                             + heartbeat.echoMillis()
                             + " at "
-                            + now);
+                            + nowMillis);
         }
         if (!heartbeat.current().isNone()) {
-            standsAt(heartbeat, now);
+            standsAt(heartbeat, nowMillis);
         }
-        acknowledge(now);
-        leaveIfStale(heartbeat, now);
+        acknowledge(nowMillis);
+        leaveIfStale(heartbeat, nowMillis);
     }
 
-    private void standsAt(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
-        if (assembly != null || held.scopeEpoch() != scopeEpoch || wantsSnapshot) {
-            throw new Refusal(
+    private void standsAt(DistributionMessage.Heartbeat heartbeat, long nowMillis)
+            throws RejectionException {
+        if (assembly != null || state.scopeEpoch() != scopeEpoch || wantsSnapshot) {
+            throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "current: " + heartbeat.current() + " before the whole snapshot");
         }
-        held.checkStandsAt(heartbeat);
+        state.checkStandsAt(heartbeat);
         advance(heartbeat.current());
-        freshAt = Math.max(freshAt, heartbeat.echoMillis() - heartbeat.staleMillis());
+        freshAtMillis = Math.max(freshAtMillis, heartbeat.echoMillis() - heartbeat.staleMillis());
         subscribed = true;
-        if (now - connectedAt >= limits.timing().silence()) {
+        if (nowMillis - connectedAt >= limits.timing().silenceTimeoutMillis()) {
             backOff.reset();
         }
     }
 
     private void advance(Revision current) {
-        if (current.number() == held.revision().number()) {
+        if (current.number() == state.revision().number()) {
             return;
         }
-        held.advance(current);
+        state.advance(current);
         inForce.advanced(current);
         effects.advanced(current);
     }
@@ -366,41 +374,41 @@
      * Moves to the next upstream once for each; when all are out of date it stays a while, and then
      * looks again.
      */
-    private void leaveIfStale(DistributionMessage.Heartbeat heartbeat, long now) {
-        if (heartbeat.staleMillis() <= limits.timing().stale()) {
+    private void leaveIfStale(DistributionMessage.Heartbeat heartbeat, long nowMillis) {
+        if (heartbeat.staleMillis() <= limits.timing().staleThresholdMillis()) {
             staleUpstreams = 0;
-        } else if (!heartbeat.current().isNone() && now >= staleMoveAt && upstreams > 1) {
+        } else if (!heartbeat.current().isNone() && nowMillis >= staleMoveAt && upstreams > 1) {
             staleUpstreams++;
             if (staleUpstreams >= upstreams) {
                 staleUpstreams = 0;
                 staleMoveAt =
-                        now
-                                + limits.timing().staleRetry() / 2
-                                + backOff.upTo(limits.timing().staleRetry() / 2);
+                        nowMillis
+                                + limits.timing().staleRetryMillis() / 2
+                                + backOff.upTo(limits.timing().staleRetryMillis() / 2);
             } else {
                 end(
                         RejectionReason.STALE_UPSTREAM,
                         "stale for " + heartbeat.staleMillis() + " ms",
-                        now);
+                        nowMillis);
             }
         }
     }
 
-    private void rejected(DistributionMessage.Rejected rejected, long now) {
-        rejections.count(rejected.reason());
-        effects.disconnect(rejected.reason(), rejected.place());
+    private void rejected(DistributionMessage.Rejected rejected, long nowMillis) {
+        rejectionCounts.count(rejected.reason());
+        effects.disconnect(rejected.reason(), rejected.detail());
         long wait = backOff.next();
         long told =
                 Math.min(
                         Math.max(0, rejected.retryAfterMillis()),
-                        limits.admission().mostRetryMillis());
-        retry(now + Math.max(wait, told), rejected.reason() != RejectionReason.BUSY);
+                        limits.admission().maxRetryMillis());
+        retry(nowMillis + Math.max(wait, told), rejected.reason() != RejectionReason.BUSY);
     }
 
-    private void end(RejectionReason reason, String place, long now) {
-        rejections.count(reason);
-        effects.disconnect(reason, place);
-        retry(now + backOff.next(), true);
+    private void end(RejectionReason reason, String detail, long nowMillis) {
+        rejectionCounts.count(reason);
+        effects.disconnect(reason, detail);
+        retry(nowMillis + backOff.next(), true);
     }
 
     private void retry(long at, boolean elsewhere) {
@@ -414,8 +422,8 @@
         }
     }
 
-    private void acknowledge(long now) {
-        acknowledgedAt = now;
+    private void acknowledge(long nowMillis) {
+        acknowledgedAt = nowMillis;
         summarySent = summary.get();
         effects.send(
                 new DistributionMessage.Acknowledge(
@@ -423,6 +431,6 @@
                         inForce.of(scopeEpoch),
                         assembly == null ? 0 : assembly.received(),
                         summarySent,
-                        now));
+                        nowMillis));
     }
 }
--- a/src/main/java/rockshift/distribution/Subscription.java
+++ b/src/main/java/rockshift/distribution/Subscription.java
@@ -25,16 +25,16 @@
     private Revision inForce = Revision.NONE;
     private Summary summary;
     private int lostBefore;
-    private ForceTally.Share share = ForceTally.Share.NOTHING;
+    private SummaryAggregator.Contribution share = SummaryAggregator.Contribution.NOTHING;
 
     private long heardAt;
     private long echoMillis;
     private long heartbeatAt;
     private long dueAt;
 
-    Subscription(long connection, long now) {
+    Subscription(long connection, long nowMillis) {
         this.connection = connection;
-        this.heardAt = now;
+        this.heardAt = nowMillis;
         this.heartbeatAt = Long.MAX_VALUE;
     }
 
@@ -213,13 +213,13 @@
     }
 
     /** Answers the share it had in the sum, and works out the present one. */
-    ForceTally.Share replaceShare() {
-        ForceTally.Share before = share;
+    SummaryAggregator.Contribution replaceShare() {
+        SummaryAggregator.Contribution before = share;
         share = currentShare();
         return before;
     }
 
-    ForceTally.Share share() {
+    SummaryAggregator.Contribution share() {
         return share;
     }
 
@@ -230,14 +230,14 @@
                 : Math.max(1, lostBefore);
     }
 
-    private ForceTally.Share currentShare() {
+    private SummaryAggregator.Contribution currentShare() {
         if (!acknowledged) {
-            return new ForceTally.Share(false, 0, 1, 1, 0, Digest.of(name));
+            return new SummaryAggregator.Contribution(false, 0, 1, 1, 0, Digest.of(name));
         }
         long lowest = Math.min(inForce.number(), summary.lowestRevision());
         boolean pending = outdated() || transfer != null;
         boolean hasAll = !pending && inForce.number() >= lastRelevant;
-        return new ForceTally.Share(
+        return new SummaryAggregator.Contribution(
                 !pending && lowest >= lastRelevant,
                 lowest,
                 summary.subscribers(),
@@ -252,8 +252,8 @@
     }
 
     /** A message came that could be read. */
-    void heard(long now) {
-        heardAt = now;
+    void heard(long nowMillis) {
+        heardAt = nowMillis;
     }
 
     long heardAt() {
--- a/src/main/java/rockshift/distribution/ForceTally.java
+++ b/src/main/java/rockshift/distribution/SummaryAggregator.java
@@ -8,39 +8,39 @@
 /**
  * Sums up what is in force at a publisher's subscribers, kept up with each change of one of them.
  */
-final class ForceTally {
+final class SummaryAggregator {
     /**
      * What one subscription adds.
      *
      * @param caughtUp whether all that concerns it is in force there and below
      * @param lowest the lowest number in force there and below, where it has not caught up
      */
-    record Share(
+    record Contribution(
             boolean caughtUp,
             long lowest,
             int subscribers,
             int behind,
             int unreachable,
             long fingerprint) {
-        static final Share NOTHING = new Share(true, 0, 0, 0, 0, 0);
+        static final Contribution NOTHING = new Contribution(true, 0, 0, 0, 0, 0);
     }
 
-    private record Lost(int governors, long until) {}
+    private record LostSubscriber(int governors, long until) {}
 
     private final int mostLost;
     private final TreeMap<Long, Integer> lowest = new TreeMap<>();
-    private final Map<String, Lost> lost = new LinkedHashMap<>();
+    private final Map<String, LostSubscriber> lost = new LinkedHashMap<>();
     private int subscribers;
     private int behind;
     private int unreachable;
     private long fingerprint;
 
-    ForceTally(int mostLost) {
+    SummaryAggregator(int mostLost) {
         this.mostLost = mostLost;
     }
 
     /** One subscription adds another share than before. */
-    void replace(Share before, Share after) {
+    void replace(Contribution before, Contribution after) {
         if (!before.caughtUp()) {
             lowest.merge(
                     before.lowest(), -1, (one, other) -> one + other == 0 ? null : one + other);
@@ -66,7 +66,7 @@
         if (lost.size() >= mostLost) {
             found(lost.keySet().iterator().next());
         }
-        lost.put(subscriber, new Lost(governors, until));
+        lost.put(subscriber, new LostSubscriber(governors, until));
         unreachable += governors;
     }
 
@@ -75,7 +75,7 @@
      * it.
      */
     int found(String subscriber) {
-        Lost back = lost.remove(subscriber);
+        LostSubscriber back = lost.remove(subscriber);
         if (back == null) {
             return 0;
         }
@@ -84,11 +84,11 @@
     }
 
     /** Forgets who was lost too long ago. */
-    void forget(long now) {
-        Iterator<Lost> oldest = lost.values().iterator();
+    void forget(long nowMillis) {
+        Iterator<LostSubscriber> oldest = lost.values().iterator();
         while (oldest.hasNext()) {
-            Lost next = oldest.next();
-            if (next.until() > now) {
+            LostSubscriber next = oldest.next();
+            if (next.until() > nowMillis) {
                 return;
             }
             unreachable -= next.governors();
--- a/src/main/java/rockshift/distribution/wire/DistributionClient.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionClient.java
@@ -24,9 +24,9 @@
 
     private final DistributionReactor reactor;
     private final DistributionListener listener;
-    private final UpstreamPort port;
+    private final UpstreamConnector port;
     private final Subscriber subscriber;
-    private final CutOffWatch cutOff;
+    private final StalenessMonitor cutOff;
     private final Runnable tick = this::tick;
     private boolean closed;
 
@@ -46,9 +46,14 @@
             DistributionListener listener) {
         this.reactor = reactor;
         this.listener = listener;
-        port = new UpstreamPort(reactor, upstreams, new PortOwner());
+        port = new UpstreamConnector(reactor, upstreams, new PortOwner());
         subscriber = new Subscriber(name, scope, upstreams.size(), limits, random, new Effects());
-        cutOff = new CutOffWatch(limits.timing().stale(), now(), listener::cutOff, listener::back);
+        cutOff =
+                new StalenessMonitor(
+                        limits.timing().staleThresholdMillis(),
+                        now(),
+                        listener::stale,
+                        listener::freshAgain);
     }
 
     private static long now() {
@@ -68,7 +73,7 @@
     private synchronized void tick() {
         if (!closed) {
             subscriber.tick(now());
-            cutOff.look(subscriber.freshAt(), now());
+            cutOff.look(subscriber.freshAtMillis(), now());
         }
     }
 
@@ -85,13 +90,13 @@
         subscriber.adopt(cluster, now());
     }
 
-    public synchronized Revision held() {
-        return subscriber.held();
+    public synchronized Revision revision() {
+        return subscriber.revision();
     }
 
     /** How old what is held may be, in ms. */
     public synchronized long ageMillis() {
-        return subscriber.age(now());
+        return subscriber.ageMillis(now());
     }
 
     /** Whether a subscription stands, so that what is held is kept up to date. */
@@ -106,7 +111,7 @@
 
     /** How often each reason was given for a refusal or an end, by either side. */
     public synchronized Map<RejectionReason, Long> rejections() {
-        return subscriber.rejections();
+        return subscriber.rejectionCounts();
     }
 
     /**
@@ -136,7 +141,7 @@
     }
 
     /** Hands the connection's events to the subscriber, one at a time. */
-    private final class PortOwner implements UpstreamPort.Owner {
+    private final class PortOwner implements UpstreamConnector.Owner {
         @Override
         public void execute(Runnable step) {
             synchronized (DistributionClient.this) {
@@ -157,8 +162,8 @@
         }
 
         @Override
-        public void refused(RejectionReason reason, String place) {
-            subscriber.refused(reason, place, now());
+        public void undecodable(RejectionReason reason, String place) {
+            subscriber.undecodable(reason, place, now());
         }
 
         @Override
--- a/src/main/java/rockshift/distribution/wire/DistributionCodec.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionCodec.java
@@ -56,11 +56,13 @@
         } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
             write(out, heartbeat);
         } else if (message instanceof DistributionMessage.Notice notice) {
-            head(out, Kind.NOTICE, notice).text(notice.reason().code()).text(place(notice.place()));
+            head(out, Kind.NOTICE, notice)
+                    .text(notice.reason().code())
+                    .text(place(notice.detail()));
         } else if (message instanceof DistributionMessage.Rejected rejected) {
             head(out, Kind.REJECTED, rejected)
                     .text(rejected.reason().code())
-                    .text(place(rejected.place()))
+                    .text(place(rejected.detail()))
                     .add(rejected.retryAfterMillis());
         }
         out.endArray();
@@ -158,7 +160,7 @@
                 switch (kind) {
                     case SUBSCRIBE ->
                             new DistributionMessage.Subscribe(
-                                    in.at("subscriber").text(SIZES.nameLength()),
+                                    in.at("subscriber").text(SIZES.maxNameLength()),
                                     epoch,
                                     scope(in),
                                     revision(in, "held"),
@@ -221,7 +223,7 @@
         int parts = whole(in, "parts");
         long digest = in.at("digest").number();
         List<Item> items = new ArrayList<>();
-        for (int left = in.at("items").whole(SIZES.partItems()); left > 0; left--) {
+        for (int left = in.at("items").whole(SIZES.maxPartItems()); left > 0; left--) {
             items.add(item(in, "items"));
         }
         return new DistributionMessage.SnapshotPart(epoch, revision, part, parts, digest, items);
@@ -229,7 +231,7 @@
 
     private static List<Update> updates(CborReader in) throws IOException {
         List<Update> updates = new ArrayList<>();
-        for (int left = in.at("updates").whole(SIZES.differenceUpdates()); left > 0; left--) {
+        for (int left = in.at("updates").whole(SIZES.maxDifferenceUpdates()); left > 0; left--) {
             long revision = count(in, "updates.revision");
             boolean deleted = in.at("updates.deleted").flag();
             updates.add(new Update(revision, item(in, "updates"), deleted));
@@ -240,9 +242,9 @@
     private static Item item(CborReader in, String list) throws IOException {
         return new Item(
                 in.at(list + ".key").text(LONGEST_KEY),
-                in.at(list + ".service").text(SIZES.nameLength()),
-                in.at(list + ".zone").text(SIZES.nameLength()),
-                in.at(list + ".value").bytes(SIZES.itemBytes()));
+                in.at(list + ".service").text(SIZES.maxNameLength()),
+                in.at(list + ".zone").text(SIZES.maxNameLength()),
+                in.at(list + ".value").bytes(SIZES.maxItemBytes()));
     }
 
     private static Revision revision(CborReader in, String field) throws IOException {
@@ -256,8 +258,8 @@
 
     private static SortedSet<String> names(CborReader in, String field) throws IOException {
         SortedSet<String> names = new TreeSet<>();
-        for (int left = in.at(field).whole(SIZES.scopeNames()); left > 0; left--) {
-            String name = in.text(SIZES.nameLength());
+        for (int left = in.at(field).whole(SIZES.maxScopeNames()); left > 0; left--) {
+            String name = in.text(SIZES.maxNameLength());
             if (!names.isEmpty() && names.last().compareTo(name) >= 0) {
                 throw in.wrong("names that are not in order");
             }
--- a/src/main/java/rockshift/distribution/wire/DistributionListener.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionListener.java
@@ -25,8 +25,8 @@
     default void notice(RejectionReason reason, String place) {}
 
     /** What is held may be older than is tolerated, or nothing was held in that time. */
-    default void cutOff(long ageMillis) {}
+    default void stale(long ageMillis) {}
 
     /** What is held is up to date again. */
-    default void back(long afterMillis) {}
+    default void freshAgain(long afterMillis) {}
 }
--- a/src/main/java/rockshift/distribution/wire/DistributionSettings.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionSettings.java
@@ -26,10 +26,10 @@
         RelaySettings relay,
         Limits limits) {
     /** Subscribers that a publisher serves if nothing is told, and at most. */
-    public static final int USUAL_SUBSCRIBERS = 1_024;
+    public static final int DEFAULT_SUBSCRIBERS = 1_024;
 
-    public static final int MOST_SUBSCRIBERS = 65_536;
-    private static final int LONGEST_NAME = Limits.standard().sizes().nameLength();
+    public static final int MAX_SUBSCRIBERS = 65_536;
+    private static final int LONGEST_NAME = Limits.standard().sizes().maxNameLength();
 
     /**
      * What a relay serves.
@@ -58,7 +58,7 @@
         }
         RelaySettings relay = relay(block.block("relay"));
         Scope scope = scope(block, relay != null);
-        int subscribers = relay == null ? USUAL_SUBSCRIBERS : relay.subscribers();
+        int subscribers = relay == null ? DEFAULT_SUBSCRIBERS : relay.subscribers();
         return new DistributionSettings(name, upstreams, scope, relay, limits(subscribers));
     }
 
@@ -67,7 +67,7 @@
                 ? null
                 : new RelaySettings(
                         block.address("listen", null),
-                        block.whole("subscribers", USUAL_SUBSCRIBERS, 1, MOST_SUBSCRIBERS));
+                        block.whole("subscribers", DEFAULT_SUBSCRIBERS, 1, MAX_SUBSCRIBERS));
     }
 
     private static Scope scope(Section distribution, boolean relays) throws InvalidFileException {
@@ -89,8 +89,9 @@
 
     private static Set<String> names(Section scope, String field) throws InvalidFileException {
         Set<String> names = scope.texts(field, LONGEST_NAME);
-        if (names.size() > Limits.standard().sizes().scopeNames()) {
-            throw scope.wrong(field, "names more than " + Limits.standard().sizes().scopeNames());
+        if (names.size() > Limits.standard().sizes().maxScopeNames()) {
+            throw scope.wrong(
+                    field, "names more than " + Limits.standard().sizes().maxScopeNames());
         }
         return names;
     }
@@ -104,10 +105,10 @@
                 usual.sizes(),
                 new Limits.Admission(
                         subscribers,
-                        admission.subscriptionsEachSecond(),
-                        admission.snapshotsAtOnce(),
-                        admission.window(),
-                        admission.snapshotWindow(),
-                        admission.mostRetryMillis()));
+                        admission.subscriptionsPerSecond(),
+                        admission.maxConcurrentSnapshots(),
+                        admission.maxUnacknowledgedDifferences(),
+                        admission.maxUnacknowledgedParts(),
+                        admission.maxRetryMillis()));
     }
 }
--- a/src/main/java/rockshift/distribution/wire/SubscriberPort.java
+++ b/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
@@ -19,8 +19,8 @@
  * back, and bounds what waits on the way in and out. Whom to take and what to send decides the
  * publisher.
  */
-public final class SubscriberPort implements Publisher.Effects {
-    private static final Logger LOG = LoggerFactory.getLogger(SubscriberPort.class);
+public final class DownstreamConnections implements Publisher.Effects {
+    private static final Logger LOG = LoggerFactory.getLogger(DownstreamConnections.class);
 
     /** Connections beyond those that the publisher serves: they are told that it is busy. */
     private static final int TO_BE_REFUSED = 64;
@@ -42,7 +42,7 @@
 
         void received(long connection, DistributionMessage message);
 
-        void refused(long connection, RejectionReason reason, String place);
+        void undecodable(long connection, RejectionReason reason, String place);
 
         void disconnected(long connection);
     }
@@ -61,7 +61,7 @@
     /**
      * @param served connections that the publisher serves at most
      */
-    public SubscriberPort(int served, Owner owner) {
+    public DownstreamConnections(int served, Owner owner) {
         this.served = served;
         this.owner = owner;
     }
@@ -96,7 +96,7 @@
             queue(
                     peer,
                     () ->
-                            owner.refused(
+                            owner.undecodable(
                                     peer.number,
                                     RejectionReason.MALFORMED,
                                     malformed.getMessage()));
--- a/src/main/java/rockshift/distribution/wire/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -32,10 +32,10 @@
 
     private final DistributionSettings settings;
     private final DistributionReactor reactor;
-    private final UpstreamPort upstream;
-    private final SubscriberPort downstream;
+    private final UpstreamConnector upstream;
+    private final DownstreamConnections downstream;
     private final Relay relay;
-    private final CutOffWatch cutOff;
+    private final StalenessMonitor cutOff;
     private final Runnable tick = this::tick;
     private boolean closed;
     private int port;
@@ -46,9 +46,10 @@
         this.settings = settings;
         this.reactor = reactor;
         upstream =
-                new UpstreamPort(
+                new UpstreamConnector(
                         reactor, List.copyOf(settings.upstreams().values()), new UpstreamOwner());
-        downstream = new SubscriberPort(settings.relay().subscribers(), new DownstreamOwner());
+        downstream =
+                new DownstreamConnections(settings.relay().subscribers(), new DownstreamOwner());
         relay =
                 new Relay(
                         settings.name(),
@@ -58,22 +59,22 @@
                         random,
                         new Effects());
         cutOff =
-                new CutOffWatch(
-                        settings.limits().timing().stale(),
+                new StalenessMonitor(
+                        settings.limits().timing().staleThresholdMillis(),
                         now(),
                         age ->
                                 LOG.warn(
                                         "relay {} is cut off: what it holds, revision {}, is {} ms"
                                                 + " old",
                                         settings.name(),
-                                        held(),
+                                        revision(),
                                         age),
                         after ->
                                 LOG.info(
                                         "relay {} is up to date again after {} ms, revision {}",
                                         settings.name(),
                                         after,
-                                        held()));
+                                        revision()));
     }
 
     private static long now() {
@@ -98,7 +99,7 @@
     }
 
     /** What it holds. */
-    public synchronized Revision held() {
+    public synchronized Revision revision() {
         return relay.store().current();
     }
 
@@ -120,7 +121,7 @@
     private synchronized void tick() {
         if (!closed) {
             relay.tick(now());
-            cutOff.look(relay.subscriber().freshAt(), now());
+            cutOff.look(relay.subscriber().freshAtMillis(), now());
         }
     }
 
@@ -175,7 +176,7 @@
     }
 
     /** Hands the events of subscribers' connections to the relay. */
-    private final class DownstreamOwner implements SubscriberPort.Owner {
+    private final class DownstreamOwner implements DownstreamConnections.Owner {
         @Override
         public void execute(Runnable step) {
             step(step);
@@ -192,8 +193,8 @@
         }
 
         @Override
-        public void refused(long connection, RejectionReason reason, String place) {
-            relay.refused(connection, reason, place, now());
+        public void undecodable(long connection, RejectionReason reason, String place) {
+            relay.undecodable(connection, reason, place, now());
         }
 
         @Override
@@ -203,7 +204,7 @@
     }
 
     /** Hands the events of the connection upstream to the relay. */
-    private final class UpstreamOwner implements UpstreamPort.Owner {
+    private final class UpstreamOwner implements UpstreamConnector.Owner {
         @Override
         public void execute(Runnable step) {
             step(step);
@@ -220,8 +221,8 @@
         }
 
         @Override
-        public void refused(RejectionReason reason, String place) {
-            relay.upstreamRefused(reason, place, now());
+        public void undecodable(RejectionReason reason, String place) {
+            relay.upstreamUndecodable(reason, place, now());
         }
 
         @Override
--- a/src/main/java/rockshift/distribution/wire/CutOffWatch.java
+++ b/src/main/java/rockshift/distribution/wire/StalenessMonitor.java
@@ -6,7 +6,7 @@
  * Tells when what a subscriber holds has become older than is tolerated, and when it is up to date
  * again.
  */
-final class CutOffWatch {
+final class StalenessMonitor {
     private final long tolerated;
     private final long startedAt;
     private final LongConsumer cutOff;
@@ -21,7 +21,7 @@
      * @param cutOff is told how old it is
      * @param back is told for how long nothing newer came
      */
-    CutOffWatch(long tolerated, long nowMs, LongConsumer cutOff, LongConsumer back) {
+    StalenessMonitor(long tolerated, long nowMs, LongConsumer cutOff, LongConsumer back) {
         this.tolerated = tolerated;
         this.startedAt = nowMs;
         this.lastFresh = nowMs;
--- a/src/main/java/rockshift/distribution/wire/UpstreamPort.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
@@ -18,8 +18,8 @@
  * back, and tells of nothing that belongs to a connection which was given up. Where to dial, and
  * when, decides the subscriber.
  */
-final class UpstreamPort {
-    private static final Logger LOG = LoggerFactory.getLogger(UpstreamPort.class);
+final class UpstreamConnector {
+    private static final Logger LOG = LoggerFactory.getLogger(UpstreamConnector.class);
 
     /** Bytes that may wait to be sent upstream: some thousand acknowledgements. */
     private static final int MOST_UNSENT = 256 << 10;
@@ -33,7 +33,7 @@
 
         void received(DistributionMessage message);
 
-        void refused(RejectionReason reason, String place);
+        void undecodable(RejectionReason reason, String place);
 
         void disconnected();
     }
@@ -45,7 +45,7 @@
     private Attempt current;
     private int upstream = -1;
 
-    UpstreamPort(DistributionReactor reactor, List<InetSocketAddress> upstreams, Owner owner) {
+    UpstreamConnector(DistributionReactor reactor, List<InetSocketAddress> upstreams, Owner owner) {
         this.reactor = reactor;
         this.upstreams = List.copyOf(upstreams);
         this.owner = owner;
@@ -135,7 +135,7 @@
                 attempt.step(() -> owner.received(message));
             } catch (IOException malformed) {
                 attempt.step(
-                        () -> owner.refused(RejectionReason.MALFORMED, malformed.getMessage()));
+                        () -> owner.undecodable(RejectionReason.MALFORMED, malformed.getMessage()));
             }
         }
 
