--- a/src/main/java/rockshift/distribution/ConfigurationStore.java
+++ b/src/main/java/rockshift/distribution/ConfigurationStore.java
@@ -1,30 +1,23 @@
 package rockshift.distribution;
 
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.function.Consumer;
+import java.util.function.Predicate;
 
 /**
  * The state at one revision, with a bounded history of the updates that led to it. Deletions live
- * on in the history only. Items are found by service and zone, so that a scope costs what it holds.
+ * on in the history only. Not thread-safe: its owner changes it and then tells the {@link
+ * Publisher}.
  */
 public final class ConfigurationStore {
     private final Limits.Sizes sizes;
-    private final TreeMap<String, HeldItem> items = new TreeMap<>();
-    private final Map<String, TreeMap<String, HeldItem>> byService = new HashMap<>();
-    private final Map<String, TreeMap<String, HeldItem>> byZone = new HashMap<>();
+    private final ItemIndex items = new ItemIndex();
     private final UpdateHistory history;
     private Revision current = Revision.NONE;
-    private long digest;
     private long generation;
 
     /** A store that holds nothing; {@link #reset} gives it its first state. */
@@ -43,14 +36,14 @@
         return new Revision(current.cluster(), history.compactedThrough());
     }
 
-    /** Items held. */
+    /** How many items it holds. */
     public int size() {
         return items.size();
     }
 
     /**
-     * Takes a whole state. Of the same cluster it must not be older; its differences to what was
-     * held go into the history.
+     * Takes a whole state. Of the same cluster it must not be older; its differences to the state
+     * before go into the history.
      */
     public void reset(Revision revision, Collection<Item> whole) throws RejectionException {
         boolean continues = !current.isNone() && current.sameCluster(revision);
@@ -59,16 +52,13 @@
                     RejectionReason.OUT_OF_ORDER,
                     "revision: " + revision + " is older than " + current);
         }
-        Map<String, Item> next = checkedState(whole);
-        List<Update> differences = differencesTo(revision.number(), next);
-        if (!continues || revision.number() == current.number() && !differences.isEmpty()) {
-            differences.forEach(this::put);
+        List<Update> updates = items.updatesTo(revision.number(), validated(whole));
+        if (!continues || revision.number() == current.number() && !updates.isEmpty()) {
+            updates.forEach(items::apply);
             history.clear(revision.number());
             generation++;
-        } else if (!differences.isEmpty()) {
-            List<Change> changes = differences.stream().map(this::put).toList();
-            history.add(
-                    new UpdateHistory.Segment(current.number(), revision.number(), false, changes));
+        } else if (!updates.isEmpty()) {
+            record(revision, updates, false);
         }
         current = revision;
     }
@@ -87,11 +77,9 @@
                     RejectionReason.OUT_OF_ORDER,
                     "revision: " + revision + " does not follow " + current);
         }
-        check(revision, updates);
+        validate(revision, updates);
         if (!updates.isEmpty()) {
-            List<Change> changes = updates.stream().map(this::put).toList();
-            history.add(
-                    new UpdateHistory.Segment(current.number(), revision.number(), true, changes));
+            record(revision, updates, true);
         }
         current = revision;
     }
@@ -101,28 +89,20 @@
      * tell.
      */
     public Optional<List<Update>> differenceSince(Revision revision, Scope scope) {
-        return deltaSince(revision, scope).map(Delta::updates);
+        return deltaSince(revision, scope).map(ScopeDelta::updates);
     }
 
     /** The items of a scope, by key. */
     public List<Item> snapshot(Scope scope) {
-        List<Item> found = new ArrayList<>();
-        visit(scope, held -> found.add(held.item()));
-        found.sort(Comparator.comparing(Item::key));
-        return found;
+        return items.items(scope);
     }
 
     /** The digest of the items of a scope. */
     long digest(Scope scope) {
-        if (scope.everything()) {
-            return digest;
-        }
-        long[] sum = new long[1];
-        visit(scope, held -> sum[0] += held.digest());
-        return sum[0];
+        return items.digest(scope);
     }
 
-    Optional<Delta> deltaSince(Revision revision, Scope scope) {
+    Optional<ScopeDelta> deltaSince(Revision revision, Scope scope) {
         if (current.isNone()
                 || !current.sameCluster(revision)
                 || revision.number() > current.number()) {
@@ -132,7 +112,7 @@
     }
 
     /** All changes since a revision; empty if the history does not reach back. */
-    Optional<List<Change>> changesSince(long number) {
+    Optional<List<ItemChange>> changesSince(long number) {
         return history.changesSince(number);
     }
 
@@ -141,163 +121,62 @@
         return generation;
     }
 
-    boolean knowsService(String service) {
-        return byService.containsKey(service);
+    /**
+     * The first service or zone that a scope names and no item does, as {@code services 'name'};
+     * null if there is none.
+     */
+    String firstUnknownName(Scope scope) {
+        String service = firstUnknown("services", scope.services(), items::containsService);
+        return service == null
+                ? firstUnknown("zones", scope.zones(), items::containsZone)
+                : service;
+    }
+
+    private static String firstUnknown(
+            String field, Collection<String> names, Predicate<String> known) {
+        return names.stream()
+                .filter(known.negate())
+                .findFirst()
+                .map(name -> field + " '" + name + "'")
+                .orElse(null);
     }
 
-    boolean knowsZone(String zone) {
-        return byZone.containsKey(zone);
+    private void record(Revision revision, List<Update> updates, boolean complete) {
+        List<ItemChange> changes = updates.stream().map(items::apply).toList();
+        history.add(
+                new UpdateHistory.Segment(current.number(), revision.number(), complete, changes));
     }
 
-    private Map<String, Item> checkedState(Collection<Item> whole) throws RejectionException {
+    private Map<String, Item> validated(Collection<Item> whole) throws RejectionException {
         if (whole.size() > sizes.maxStateItems()) {
             throw new RejectionException(
                     RejectionReason.TOO_LARGE,
                     "items: " + whole.size() + " of " + sizes.maxStateItems());
         }
-        Map<String, Item> next = new LinkedHashMap<>();
+        Map<String, Item> byKey = new LinkedHashMap<>();
         for (Item item : whole) {
-            sizes.check(item, "items[" + next.size() + "]");
-            if (next.put(item.key(), item) != null) {
+            sizes.check(item, "items[" + byKey.size() + "]");
+            if (byKey.put(item.key(), item) != null) {
                 throw new RejectionException(
                         RejectionReason.MALFORMED, "items: '" + item.key() + "' comes twice");
             }
         }
-        return next;
-    }
-
-    private List<Update> differencesTo(long revision, Map<String, Item> next) {
-        List<Update> differences = new ArrayList<>();
-        for (HeldItem held : items.values()) {
-            if (!next.containsKey(held.item().key())) {
-                differences.add(Update.delete(revision, held.item()));
-            }
-        }
-        for (Item item : next.values()) {
-            HeldItem held = items.get(item.key());
-            if (held == null || !held.item().equals(item)) {
-                differences.add(Update.put(revision, item));
-            }
-        }
-        return differences;
+        return byKey;
     }
 
-    private void check(Revision revision, List<Update> updates) throws RejectionException {
+    private void validate(Revision revision, List<Update> updates) throws RejectionException {
         Map<String, Boolean> present = new HashMap<>();
         int count = items.size();
         for (int index = 0; index < updates.size(); index++) {
             Update update = updates.get(index);
-            String place = "updates[" + index + "]";
-            if (update.revision() <= current.number() || update.revision() > revision.number()) {
-                throw new RejectionException(
-                        RejectionReason.OUT_OF_ORDER,
-                        place
-                                + ".revision: "
-                                + update.revision()
-                                + " is not after "
-                                + current.number()
-                                + " up to "
-                                + revision.number());
-            }
-            sizes.check(update.item(), place);
+            String field = "updates[" + index + "]";
+            update.checkBetween(current.number(), revision.number(), field);
+            sizes.check(update.item(), field);
             String key = update.item().key();
             boolean before = present.getOrDefault(key, items.containsKey(key));
             present.put(key, !update.deleted());
             count += (update.deleted() ? 0 : 1) - (before ? 1 : 0);
         }
-        if (count > sizes.maxStateItems()) {
-            throw new RejectionException(
-                    RejectionReason.TOO_LARGE,
-                    "updates: more than " + sizes.maxStateItems() + " items");
-        }
-    }
-
-    private Change put(Update update) {
-        Item item = update.item();
-        HeldItem before = items.remove(item.key());
-        if (before != null) {
-            unindex(byService, before.item().service(), item.key());
-            unindex(byZone, before.item().zone(), item.key());
-            digest -= before.digest();
-        }
-        if (update.deleted()) {
-            Item gone = before == null ? item.withoutValue() : before.item().withoutValue();
-            return new Change(Update.delete(update.revision(), gone), before, 0);
-        }
-        HeldItem after = new HeldItem(item, item.digest());
-        items.put(item.key(), after);
-        byService.computeIfAbsent(item.service(), any -> new TreeMap<>()).put(item.key(), after);
-        byZone.computeIfAbsent(item.zone(), any -> new TreeMap<>()).put(item.key(), after);
-        digest += after.digest();
-        return new Change(update, before, after.digest());
+        sizes.checkStateItems(count);
     }
-
-    private static void unindex(
-            Map<String, TreeMap<String, HeldItem>> index, String name, String key) {
-        TreeMap<String, HeldItem> named = index.get(name);
-        named.remove(key);
-        if (named.isEmpty()) {
-            index.remove(name);
-        }
-    }
-
-    private void visit(Scope scope, Consumer<HeldItem> visitor) {
-        if (scope.boundByService()) {
-            visit(byService, scope.services(), scope, visitor);
-        } else if (scope.boundByZone()) {
-            visit(byZone, scope.zones(), scope, visitor);
-        } else {
-            items.values().forEach(visitor);
-        }
-    }
-
-    private static void visit(
-            Map<String, TreeMap<String, HeldItem>> index,
-            Collection<String> names,
-            Scope scope,
-            Consumer<HeldItem> visitor) {
-        Set<String> visited = new HashSet<>(names);
-        visited.add("");
-        for (String name : visited) {
-            for (HeldItem held : index.getOrDefault(name, new TreeMap<>()).values()) {
-                if (scope.matches(held.item())) {
-                    visitor.accept(held);
-                }
-            }
-        }
-    }
-
-    /** An item with its digest, so that it is computed once. */
-    record HeldItem(Item item, long digest) {}
-
-    /** An update with what it replaced: null if there was nothing. */
-    record Change(
-            Update update,
-            String serviceBefore,
-            String zoneBefore,
-            long digestBefore,
-            long digestAfter) {
-        Change(Update update, HeldItem before, long digestAfter) {
-            this(
-                    update,
-                    before == null ? null : before.item().service(),
-                    before == null ? null : before.item().zone(),
-                    before == null ? 0 : before.digest(),
-                    digestAfter);
-        }
-
-        boolean matchedBefore(Scope scope) {
-            return serviceBefore != null && scope.matches(serviceBefore, zoneBefore);
-        }
-    }
-
-    /**
-     * What changed in a scope.
-     *
-     * @param updates one an item
-     * @param digestChange what the digest of the scope's state grew by, where the start is a
-     *     revision that the store itself was at
-     * @param bytes about how many the updates take
-     */
-    record Delta(List<Update> updates, long digestChange, long bytes) {}
 }
--- a/src/main/java/rockshift/distribution/Limits.java
+++ b/src/main/java/rockshift/distribution/Limits.java
@@ -73,7 +73,16 @@
             int maxDifferenceBytes,
             int maxScopeNames,
             int maxNameLength) {
-        /** Refuses an item that is too large, or without a key. */
+        /** Rejects a state of more items than are allowed, reached by updates. */
+        void checkStateItems(int count) throws RejectionException {
+            if (count > maxStateItems) {
+                throw new RejectionException(
+                        RejectionReason.TOO_LARGE,
+                        "updates: more than " + maxStateItems + " items");
+            }
+        }
+
+        /** Rejects an item that is too large, or without a key. */
         void check(Item item, String detail) throws RejectionException {
             if (item.key().isEmpty()) {
                 throw new RejectionException(RejectionReason.MALFORMED, detail + ".key: empty");
--- a/src/main/java/rockshift/distribution/RequestValidator.java
+++ b/src/main/java/rockshift/distribution/RequestValidator.java
@@ -73,15 +73,18 @@
             throw new RejectionException(RejectionReason.MALFORMED, "negative count");
         } else if (!inForce.isNone() && !inForce.sameCluster(current)) {
             throw new RejectionException(RejectionReason.OTHER_CLUSTER, "inForce: " + inForce);
-        } else if (inForce.number() < subscription.inForce().number()) {
+        } else if (inForce.number() < subscription.report().inForce().number()) {
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
-                    "inForce: " + inForce + " after " + subscription.inForce());
+                    "inForce: " + inForce + " after " + subscription.report().inForce());
         }
-        Revision most = subscription.transfer() == null ? subscription.told() : current;
-        if (inForce.number() > most.number()) {
+        Revision newest =
+                subscription.delivery().transfer() == null
+                        ? subscription.delivery().sentRevision()
+                        : current;
+        if (inForce.number() > newest.number()) {
             throw new RejectionException(
-                    RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + most);
+                    RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + newest);
         }
     }
 
--- a/src/main/java/rockshift/distribution/SnapshotTransfer.java
+++ b/src/main/java/rockshift/distribution/SnapshotTransfer.java
@@ -5,21 +5,21 @@
 
 /**
  * A snapshot on its way to one subscriber: taken at one revision, sent in parts as the subscriber
- * takes them.
+ * acknowledges them. Owned by the publisher's thread.
  */
 final class SnapshotTransfer {
     private final Revision revision;
     private final long digest;
-    private final long startedAt;
+    private final long startedAtMillis;
     private final List<List<Item>> parts;
     private int sent;
-    private int taken;
+    private int acknowledged;
 
     SnapshotTransfer(
             Revision revision, long digest, List<Item> items, Limits.Sizes sizes, long nowMillis) {
         this.revision = revision;
         this.digest = digest;
-        this.startedAt = nowMillis;
+        this.startedAtMillis = nowMillis;
         this.parts = split(items, sizes);
     }
 
@@ -31,13 +31,13 @@
         return digest;
     }
 
-    long startedAt() {
-        return startedAt;
+    long startedAtMillis() {
+        return startedAtMillis;
     }
 
-    /** The subscriber has taken this many parts. */
-    void taken(int count) {
-        taken = Math.max(taken, Math.min(count, sent));
+    /** The subscriber has received this many parts. */
+    void acknowledged(int count) {
+        acknowledged = Math.max(acknowledged, Math.min(count, sent));
     }
 
     boolean complete() {
@@ -46,7 +46,7 @@
 
     /** Whether the next part may go, with this many not acknowledged at most. */
     boolean mayContinue(int window) {
-        return !complete() && sent - taken < window;
+        return !complete() && sent - acknowledged < window;
     }
 
     DistributionMessage.SnapshotPart next(long scopeEpoch) {
--- a/src/main/java/rockshift/distribution/SubscribedState.java
+++ b/src/main/java/rockshift/distribution/SubscribedState.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * What a subscriber holds, by digests alone: the items are with the host. It never goes back a
- * revision of its cluster.
+ * The state that a subscriber has received, by the digests of its items alone: the items are with
+ * the host. It never goes back a revision of its cluster. Owned by the subscriber's thread.
  */
 final class SubscribedState {
     private final Limits.Sizes sizes;
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Refuses a snapshot that would go back, or that another cluster wrote.
+     * Rejects a snapshot that would go back, or that another cluster wrote.
      *
      * @param adopted the cluster to go over to; 0 if there is none
      */
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Refuses a heartbeat that says what is held to be something else. */
+    /** Rejects a heartbeat that does not confirm this state. */
     void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws RejectionException {
         Revision current = heartbeat.current();
         String place = "current: " + current + ", held " + revision;
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Takes a whole state in place of what was held. */
+    /** Takes a whole state in place of the one before. */
     void replace(Revision at, long epoch, Map<String, Long> whole) {
         revision = at;
         scopeEpoch = epoch;
@@ -74,7 +74,7 @@
         digest = whole.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** Takes a difference whole, or refuses it and stays as it was. */
+    /** Applies a difference whole, or rejects it and stays as it was. */
     void apply(DistributionMessage.Difference difference, Scope scope) throws RejectionException {
         check(difference, scope);
         long after = digest;
@@ -85,11 +85,8 @@
                     (update.deleted() ? 0 : update.item().digest()) - (before == null ? 0 : before);
             added += (update.deleted() ? 0 : 1) - (before == null ? 0 : 1);
         }
-        if (digests.size() + added > sizes.maxStateItems()) {
-            throw new RejectionException(
-                    RejectionReason.TOO_LARGE,
-                    "updates: more than " + sizes.maxStateItems() + " items");
-        } else if (after != difference.digest()) {
+        sizes.checkStateItems(digests.size() + added);
+        if (after != difference.digest()) {
             throw new RejectionException(
                     RejectionReason.DIGEST_MISMATCH, "difference: to " + difference.to());
         }
@@ -98,7 +95,7 @@
         revision = difference.to();
     }
 
-    /** What is held stands at a later revision. */
+    /** The state stands unchanged at a later revision. */
     void advance(Revision to) {
         revision = to;
     }
@@ -137,25 +134,16 @@
         Set<String> keys = new HashSet<>();
         for (int index = 0; index < updates.size(); index++) {
             Update update = updates.get(index);
-            String place = "updates[" + index + "]";
-            sizes.check(update.item(), place);
-            if (update.revision() <= from || update.revision() > to) {
-                throw new RejectionException(
-                        RejectionReason.OUT_OF_ORDER,
-                        place
-                                + ".revision: "
-                                + update.revision()
-                                + " is not after "
-                                + from
-                                + " up to "
-                                + to);
-            } else if (!update.deleted() && !scope.matches(update)) {
+            String field = "updates[" + index + "]";
+            sizes.check(update.item(), field);
+            update.checkBetween(from, to, field);
+            if (!update.deleted() && !scope.matches(update)) {
                 throw new RejectionException(
-                        RejectionReason.OUT_OF_SCOPE, place + ": " + update.item());
+                        RejectionReason.OUT_OF_SCOPE, field + ": " + update.item());
             } else if (!keys.add(update.item().key())) {
                 throw new RejectionException(
                         RejectionReason.MALFORMED,
-                        place + ".key: '" + update.item().key() + "' comes twice");
+                        field + ".key: '" + update.item().key() + "' comes twice");
             }
         }
     }
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -1,16 +1,19 @@
 package rockshift.distribution;
 
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
 /**
- * The upstream side of a governor or relay: keeps one subscription going over a choice of
- * upstreams, and knows how old what it holds may be. Whatever comes wrong is refused whole, and
- * what was held stays.
+ * The upstream side of a controller or relay: keeps one subscription going over a choice of
+ * upstreams, and knows how old its state may be. An invalid message ends the connection and leaves
+ * the state as it was.
+ *
+ * <p>Not thread-safe: the host calls it from one thread at a time. To read on: {@link
+ * UpstreamRotation} decides where and when to dial, {@link StateReceiver} what becomes of the
+ * state.
  */
 public final class Subscriber {
     /**
@@ -19,28 +22,28 @@
      */
     public interface Effects {
         /**
-         * Opens a connection to an upstream, by its place in the host's list; answered by connected
+         * Opens a connection to an upstream, by its index in the host's list; answered by connected
          * or disconnected.
          */
         void connect(int upstream);
 
         /** Ends the connection, or the attempt at one. No {@link #disconnected} need follow. */
-        void disconnect(RejectionReason why, String place);
+        void disconnect(RejectionReason reason, String detail);
 
-        /** Hands over a message, to be written in order. */
+        /** Sends a message, in order. */
         void send(DistributionMessage message);
 
-        /** A whole state takes the place of what was held. */
+        /** A whole state takes the place of the one before. */
         void snapshot(Revision revision, List<Item> items);
 
-        /** Updates to what was held. */
+        /** Updates to the state. */
         void difference(Revision revision, List<Update> updates);
 
-        /** What was held stands unchanged at a later revision. */
+        /** The state stands unchanged at a later revision. */
         default void advanced(Revision revision) {}
 
         /** The upstream tells something while the subscription goes on. */
-        default void notice(RejectionReason reason, String place) {}
+        default void notice(RejectionReason reason, String detail) {}
     }
 
     private enum Phase {
@@ -49,41 +52,24 @@
         CONNECTED
     }
 
-    private static final long NEVER = Long.MIN_VALUE;
-
     private final String name;
-    private final int upstreams;
     private final Limits limits;
     private final Effects effects;
     private final Supplier<Summary> summary;
-    private final ReconnectBackoff backOff;
-    private final RejectionCounters rejectionCounts = new RejectionCounters();
-
-    private Scope scope;
-    private long scopeEpoch = 1;
-    private final SubscribedState state;
-    private boolean wantsSnapshot;
-    private long adopted;
-    private SnapshotAssembly assembly;
-    private final InForceTracker inForce = new InForceTracker();
+    private final StateReceiver receiver;
+    private final UpstreamRotation upstreams;
+    private final RejectionCounters rejections = new RejectionCounters();
 
     private Phase phase = Phase.WAITING;
-    private boolean started;
     private boolean subscribed;
-    private int upstream;
-    private long waitUntil;
-    private long connectBy;
-    private long connectedAt;
-    private long heardAt;
-    private long acknowledgedAt;
-    private Summary summarySent;
-
-    private long freshAtMillis = NEVER;
-    private int staleUpstreams;
-    private long staleMoveAt;
+    private long connectDeadlineMillis;
+    private long connectedAtMillis;
+    private long lastReceivedAtMillis;
+    private long lastAcknowledgedAtMillis;
+    private Summary lastSentSummary;
 
     /**
-     * A subscriber that holds nothing and is not connected; the first {@link #tick} begins.
+     * A subscriber that has no state and is not connected; the first {@link #tick} begins.
      *
      * @param upstreams how many there are to choose from
      */
@@ -107,23 +93,17 @@
             Effects effects,
             Supplier<Summary> below) {
         this.name = name;
-        this.scope = scope;
-        this.upstreams = upstreams;
         this.limits = limits;
         this.effects = effects;
+        this.receiver = new StateReceiver(scope, limits.sizes(), effects);
         this.summary =
-                below == null ? () -> Summary.ofOne(name, inForce.of(scopeEpoch).number()) : below;
-        this.state = new SubscribedState(limits.sizes());
-        this.backOff = new ReconnectBackoff(limits.timing(), random);
-        this.upstream = random.nextInt(upstreams);
+                below == null ? () -> Summary.ofOne(name, receiver.inForce().number()) : below;
+        this.upstreams = new UpstreamRotation(upstreams, limits, random);
     }
 
-    /** Takes up what was kept from an earlier run, before the first tick; it counts as in force. */
+    /** Takes up a state kept from an earlier run, before the first tick; it counts as in force. */
     public void restore(Revision revision, Collection<Item> items) {
-        Map<String, Long> digests = new HashMap<>();
-        items.forEach(item -> digests.put(item.key(), item.digest()));
-        state.replace(revision, scopeEpoch, digests);
-        inForce.begin(revision, scopeEpoch);
+        receiver.restore(revision, items);
     }
 
     /** The connection that was asked for is up. */
@@ -132,15 +112,16 @@
             return;
         }
         phase = Phase.CONNECTED;
-        connectedAt = nowMillis;
-        heardAt = nowMillis;
+        connectedAtMillis = nowMillis;
+        lastReceivedAtMillis = nowMillis;
         subscribe(nowMillis);
     }
 
     /** The connection, or the attempt at one, has ended. */
     public void disconnected(long nowMillis) {
         if (phase != Phase.WAITING) {
-            retry(nowMillis + backOff.next(), true);
+            upstreams.failed(nowMillis);
+            awaitRetry();
         }
     }
 
@@ -149,24 +130,26 @@
         if (phase != Phase.CONNECTED) {
             return;
         }
-        heardAt = nowMillis;
+        lastReceivedAtMillis = nowMillis;
         try {
             if (message instanceof DistributionMessage.Rejected rejected) {
                 rejected(rejected, nowMillis);
-            } else if (message.scopeEpoch() > scopeEpoch) {
+            } else if (message.scopeEpoch() > receiver.scopeEpoch()) {
                 throw new RejectionException(
                         RejectionReason.MALFORMED,
-                        "scopeEpoch: " + message.scopeEpoch() + " of " + scopeEpoch);
-            } else if (message.scopeEpoch() == scopeEpoch) {
-                take(message, nowMillis);
+                        "scopeEpoch: " + message.scopeEpoch() + " of " + receiver.scopeEpoch());
+            } else if (message.scopeEpoch() == receiver.scopeEpoch()) {
+                receive(message, nowMillis);
+            }
+        } catch (RejectionException rejection) {
+            if (rejection.reason() == RejectionReason.DIGEST_MISMATCH) {
+                receiver.requireSnapshot();
             }
-        } catch (RejectionException refusal) {
-            wantsSnapshot |= refusal.reason() == RejectionReason.DIGEST_MISMATCH;
-            end(refusal.reason(), refusal.detail(), nowMillis);
+            end(rejection.reason(), rejection.detail(), nowMillis);
         }
     }
 
-    /** The host could not read what came: counts it and ends the connection. */
+    /** The host could not decode a message: counts it and ends the connection. */
     public void undecodable(RejectionReason reason, String detail, long nowMillis) {
         if (phase != Phase.WAITING) {
             end(reason, detail, nowMillis);
@@ -174,11 +157,11 @@
     }
 
     /**
-     * What was handed over as this revision is in force. To be called for each, in order, or for
-     * the last of several.
+     * The state that was handed over at this revision is in force. To be called for each, in order,
+     * or for the last of several.
      */
     public void acknowledged(Revision revision, long nowMillis) {
-        if (inForce.acknowledged(revision, state.revision()) && phase == Phase.CONNECTED) {
+        if (receiver.acknowledged(revision) && phase == Phase.CONNECTED) {
             acknowledge(nowMillis);
         }
     }
@@ -187,103 +170,105 @@
     public void tick(long nowMillis) {
         switch (phase) {
             case WAITING -> {
-                if (!started) {
-                    started = true;
-                    waitUntil = nowMillis + backOff.upTo(limits.timing().initialBackoffMillis());
-                }
-                if (nowMillis >= waitUntil) {
+                if (upstreams.dialDue(nowMillis)) {
                     phase = Phase.CONNECTING;
-                    connectBy = nowMillis + limits.timing().connectTimeoutMillis();
-                    effects.connect(upstream);
+                    connectDeadlineMillis = nowMillis + limits.timing().connectTimeoutMillis();
+                    effects.connect(upstreams.current());
                 }
             }
             case CONNECTING -> {
-                if (nowMillis >= connectBy) {
-                    end(RejectionReason.UNREACHABLE, "upstream " + upstream, nowMillis);
-                }
-            }
-            default -> {
-                if (nowMillis - heardAt >= limits.timing().silenceTimeoutMillis()) {
-                    end(RejectionReason.SILENT, (nowMillis - heardAt) + " ms", nowMillis);
-                } else if (nowMillis - acknowledgedAt >= limits.timing().acknowledgeIntervalMillis()
-                        && !summary.get().equals(summarySent)) {
-                    acknowledge(nowMillis);
+                if (nowMillis >= connectDeadlineMillis) {
+                    String detail = "upstream " + upstreams.current();
+                    end(RejectionReason.UNREACHABLE, detail, nowMillis);
                 }
             }
+            default -> tickConnected(nowMillis);
+        }
+    }
+
+    private void tickConnected(long nowMillis) {
+        long silentMillis = nowMillis - lastReceivedAtMillis;
+        if (silentMillis >= limits.timing().silenceTimeoutMillis()) {
+            end(RejectionReason.SILENT, silentMillis + " ms", nowMillis);
+        } else if (nowMillis - lastAcknowledgedAtMillis
+                        >= limits.timing().acknowledgeIntervalMillis()
+                && !summary.get().equals(lastSentSummary)) {
+            acknowledge(nowMillis);
         }
     }
 
     /**
-     * Asks for another scope from now on. What is held stays until the first snapshot of the new
-     * one.
+     * Asks for another scope from now on. The state stays until the first snapshot of the new one.
      */
     public void scope(Scope wanted, long nowMillis) {
-        scope = wanted;
-        scopeEpoch++;
+        receiver.changeScope(wanted);
         if (phase == Phase.CONNECTED) {
             subscribe(nowMillis);
         }
     }
 
-    /** Staff decided to follow another cluster: what is held stays until its first snapshot. */
+    /** An operator decided to follow another cluster: the state stays until its first snapshot. */
     public void adopt(long cluster, long nowMillis) {
-        adopted = cluster;
-        wantsSnapshot |= state.revision().cluster() != cluster;
+        receiver.adopt(cluster);
         if (phase != Phase.WAITING) {
-            end(RejectionReason.OTHER_CLUSTER, "adopts " + Long.toHexString(cluster), nowMillis);
+            String detail = "adopts " + Long.toHexString(cluster);
+            end(RejectionReason.OTHER_CLUSTER, detail, nowMillis);
         }
     }
 
-    /** What is held. */
+    /** The revision of the state. */
     public Revision revision() {
-        return state.revision();
+        return receiver.revision();
     }
 
     /**
-     * What is held was the newest there is at this time, by the clock that is handed in; the lowest
+     * The state was the newest there is at this time, by the clock that is handed in; the lowest
      * long if it never was.
      */
     public long freshAtMillis() {
-        return freshAtMillis;
+        return receiver.freshAtMillis();
     }
 
-    /** How old what is held may be, in milliseconds. */
+    /** How old the state may be; the highest long if it never was the newest. */
     public long ageMillis(long nowMillis) {
-        return freshAtMillis == NEVER ? Long.MAX_VALUE : nowMillis - freshAtMillis;
+        long freshAtMillis = receiver.freshAtMillis();
+        return freshAtMillis == Long.MIN_VALUE ? Long.MAX_VALUE : nowMillis - freshAtMillis;
     }
 
-    /** Whether a subscription stands, so that what is held is kept up. */
+    /** Whether a subscription stands, so that the state is kept up to date. */
     public boolean subscribed() {
         return phase == Phase.CONNECTED && subscribed;
     }
 
     /** How often each reason was given, by either side. */
     public Map<RejectionReason, Long> rejectionCounts() {
-        return rejectionCounts.counts();
+        return rejections.counts();
     }
 
     private void subscribe(long nowMillis) {
-        assembly = null;
+        receiver.abandonSnapshot();
         subscribed = false;
-        boolean resumes = !wantsSnapshot && state.scopeEpoch() == scopeEpoch;
         effects.send(
                 new DistributionMessage.Subscribe(
                         name,
-                        scopeEpoch,
-                        scope,
-                        resumes ? state.revision() : Revision.NONE,
+                        receiver.scopeEpoch(),
+                        receiver.scope(),
+                        receiver.resumableRevision(),
                         nowMillis));
     }
 
-    private void take(DistributionMessage message, long nowMillis) throws RejectionException {
+    private void receive(DistributionMessage message, long nowMillis) throws RejectionException {
         if (message instanceof DistributionMessage.SnapshotPart part) {
-            take(part, nowMillis);
+            receiver.receive(part);
+            if (receiver.snapshotPending()) {
+                acknowledge(nowMillis);
+            }
         } else if (message instanceof DistributionMessage.Difference difference) {
-            take(difference);
+            receiver.receive(difference);
         } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
-            take(heartbeat, nowMillis);
+            receive(heartbeat, nowMillis);
         } else if (message instanceof DistributionMessage.Notice notice) {
-            rejectionCounts.count(notice.reason());
+            rejections.count(notice.reason());
             effects.notice(notice.reason(), notice.detail());
         } else {
             throw new RejectionException(
@@ -292,41 +277,7 @@
         }
     }
 
-    private void take(DistributionMessage.SnapshotPart part, long nowMillis)
-            throws RejectionException {
-        if (assembly == null) {
-            state.checkFollows(part.revision(), adopted);
-            assembly = new SnapshotAssembly(part, limits.sizes());
-        }
-        assembly.add(part, scope);
-        if (!assembly.complete()) {
-            acknowledge(nowMillis);
-            return;
-        }
-        SnapshotAssembly whole = assembly;
-        assembly = null;
-        wantsSnapshot = false;
-        adopted = 0;
-        if (!state.revision().sameCluster(whole.revision())) {
-            inForce.begin(Revision.NONE, scopeEpoch);
-            freshAtMillis = NEVER;
-        }
-        state.replace(whole.revision(), scopeEpoch, whole.digests());
-        inForce.delivered(state.revision(), scopeEpoch);
-        effects.snapshot(whole.revision(), whole.items());
-    }
-
-    private void take(DistributionMessage.Difference difference) throws RejectionException {
-        if (assembly != null) {
-            throw new RejectionException(
-                    RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
-        }
-        state.apply(difference, scope);
-        inForce.delivered(state.revision(), scopeEpoch);
-        effects.difference(difference.to(), difference.updates());
-    }
-
-    private void take(DistributionMessage.Heartbeat heartbeat, long nowMillis)
+    private void receive(DistributionMessage.Heartbeat heartbeat, long nowMillis)
             throws RejectionException {
         if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > nowMillis) {
             throw new RejectionException(
@@ -338,99 +289,51 @@
                             + " at "
                             + nowMillis);
         }
-        if (!heartbeat.current().isNone()) {
-            standsAt(heartbeat, nowMillis);
+        boolean hasState = !heartbeat.current().isNone();
+        if (hasState) {
+            receiver.receive(heartbeat);
+            subscribed = true;
+            if (nowMillis - connectedAtMillis >= limits.timing().silenceTimeoutMillis()) {
+                upstreams.proved();
+            }
         }
         acknowledge(nowMillis);
-        leaveIfStale(heartbeat, nowMillis);
-    }
-
-    private void standsAt(DistributionMessage.Heartbeat heartbeat, long nowMillis)
-            throws RejectionException {
-        if (assembly != null || state.scopeEpoch() != scopeEpoch || wantsSnapshot) {
-            throw new RejectionException(
-                    RejectionReason.OUT_OF_ORDER,
-                    "current: " + heartbeat.current() + " before the whole snapshot");
-        }
-        state.checkStandsAt(heartbeat);
-        advance(heartbeat.current());
-        freshAtMillis = Math.max(freshAtMillis, heartbeat.echoMillis() - heartbeat.staleMillis());
-        subscribed = true;
-        if (nowMillis - connectedAt >= limits.timing().silenceTimeoutMillis()) {
-            backOff.reset();
-        }
-    }
-
-    private void advance(Revision current) {
-        if (current.number() == state.revision().number()) {
-            return;
-        }
-        state.advance(current);
-        inForce.advanced(current);
-        effects.advanced(current);
-    }
-
-    /**
-     * Moves to the next upstream once for each; when all are out of date it stays a while, and then
-     * looks again.
-     */
-    private void leaveIfStale(DistributionMessage.Heartbeat heartbeat, long nowMillis) {
-        if (heartbeat.staleMillis() <= limits.timing().staleThresholdMillis()) {
-            staleUpstreams = 0;
-        } else if (!heartbeat.current().isNone() && nowMillis >= staleMoveAt && upstreams > 1) {
-            staleUpstreams++;
-            if (staleUpstreams >= upstreams) {
-                staleUpstreams = 0;
-                staleMoveAt =
-                        nowMillis
-                                + limits.timing().staleRetryMillis() / 2
-                                + backOff.upTo(limits.timing().staleRetryMillis() / 2);
-            } else {
-                end(
-                        RejectionReason.STALE_UPSTREAM,
-                        "stale for " + heartbeat.staleMillis() + " ms",
-                        nowMillis);
-            }
+        if (upstreams.shouldLeaveStale(hasState, heartbeat.staleMillis(), nowMillis)) {
+            String detail = "stale for " + heartbeat.staleMillis() + " ms";
+            end(RejectionReason.STALE_UPSTREAM, detail, nowMillis);
         }
     }
 
     private void rejected(DistributionMessage.Rejected rejected, long nowMillis) {
-        rejectionCounts.count(rejected.reason());
+        rejections.count(rejected.reason());
         effects.disconnect(rejected.reason(), rejected.detail());
-        long wait = backOff.next();
-        long told =
-                Math.min(
-                        Math.max(0, rejected.retryAfterMillis()),
-                        limits.admission().maxRetryMillis());
-        retry(nowMillis + Math.max(wait, told), rejected.reason() != RejectionReason.BUSY);
+        upstreams.rejected(rejected, nowMillis);
+        awaitRetry();
     }
 
     private void end(RejectionReason reason, String detail, long nowMillis) {
-        rejectionCounts.count(reason);
+        rejections.count(reason);
         effects.disconnect(reason, detail);
-        retry(nowMillis + backOff.next(), true);
+        upstreams.failed(nowMillis);
+        awaitRetry();
     }
 
-    private void retry(long at, boolean elsewhere) {
+    private void awaitRetry() {
         phase = Phase.WAITING;
         subscribed = false;
-        assembly = null;
-        summarySent = null;
-        waitUntil = at;
-        if (elsewhere) {
-            upstream = (upstream + 1) % upstreams;
-        }
+        receiver.abandonSnapshot();
+        lastSentSummary = null;
     }
 
     private void acknowledge(long nowMillis) {
-        acknowledgedAt = nowMillis;
-        summarySent = summary.get();
+        lastAcknowledgedAtMillis = nowMillis;
+        lastSentSummary = summary.get();
         effects.send(
                 new DistributionMessage.Acknowledge(
-                        scopeEpoch,
-                        inForce.of(scopeEpoch),
-                        assembly == null ? 0 : assembly.received(),
-                        summarySent,
+                        receiver.scopeEpoch(),
+                        receiver.inForce(),
+                        receiver.snapshotParts(),
+                        lastSentSummary,
                         nowMillis));
     }
 }
--- a/src/main/java/rockshift/distribution/SummaryAggregator.java
+++ b/src/main/java/rockshift/distribution/SummaryAggregator.java
@@ -25,9 +25,9 @@
         static final Contribution NOTHING = new Contribution(true, 0, 0, 0, 0, 0);
     }
 
-    private record LostSubscriber(int governors, long until) {}
+    private record LostSubscriber(int controllers, long untilMillis) {}
 
-    private final int mostLost;
+    private final int maxLost;
     private final TreeMap<Long, Integer> lowest = new TreeMap<>();
     private final Map<String, LostSubscriber> lost = new LinkedHashMap<>();
     private int subscribers;
@@ -35,8 +35,8 @@
     private int unreachable;
     private long fingerprint;
 
-    SummaryAggregator(int mostLost) {
-        this.mostLost = mostLost;
+    SummaryAggregator(int maxLost) {
+        this.maxLost = maxLost;
     }
 
     /** One subscription adds another share than before. */
@@ -55,23 +55,23 @@
     }
 
     /**
-     * A subscriber was lost, and governors with it. Over the bound the one lost longest ago is
+     * A subscriber was lost, and controllers with it. Over the bound the one lost longest ago is
      * forgotten early.
      */
-    void lost(String subscriber, int governors, long until) {
+    void lost(String subscriber, int controllers, long untilMillis) {
         found(subscriber);
-        if (governors == 0) {
+        if (controllers == 0) {
             return;
         }
-        if (lost.size() >= mostLost) {
+        if (lost.size() >= maxLost) {
             found(lost.keySet().iterator().next());
         }
-        lost.put(subscriber, new LostSubscriber(governors, until));
-        unreachable += governors;
+        lost.put(subscriber, new LostSubscriber(controllers, untilMillis));
+        unreachable += controllers;
     }
 
     /**
-     * A subscriber is back, or need not be remembered; answers how many governors were lost with
+     * A subscriber is back, or need not be remembered; answers how many controllers were lost with
      * it.
      */
     int found(String subscriber) {
@@ -79,19 +79,19 @@
         if (back == null) {
             return 0;
         }
-        unreachable -= back.governors();
-        return back.governors();
+        unreachable -= back.controllers();
+        return back.controllers();
     }
 
     /** Forgets who was lost too long ago. */
-    void forget(long nowMillis) {
+    void expireLost(long nowMillis) {
         Iterator<LostSubscriber> oldest = lost.values().iterator();
         while (oldest.hasNext()) {
             LostSubscriber next = oldest.next();
-            if (next.until() > nowMillis) {
+            if (next.untilMillis() > nowMillis) {
                 return;
             }
-            unreachable -= next.governors();
+            unreachable -= next.controllers();
             oldest.remove();
         }
     }
--- a/src/main/java/rockshift/distribution/Update.java
+++ b/src/main/java/rockshift/distribution/Update.java
@@ -15,11 +15,22 @@
         Objects.requireNonNull(item);
     }
 
+    /** An item that was added or replaced. */
     public static Update put(long revision, Item item) {
         return new Update(revision, item, false);
     }
 
+    /** An item that is gone; its value is left out. */
     public static Update delete(long revision, Item item) {
         return new Update(revision, item.withoutValue(), true);
     }
+
+    /** Rejects an update that is not of a revision after one and up to another. */
+    void checkBetween(long from, long to, String field) throws RejectionException {
+        if (revision <= from || revision > to) {
+            throw new RejectionException(
+                    RejectionReason.OUT_OF_ORDER,
+                    field + ".revision: " + revision + " is not after " + from + " up to " + to);
+        }
+    }
 }
