--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -22,8 +22,8 @@
 import rockshift.server.AgreedChangesSource;
 
 /**
- * Joins a subscription to the governor of its process: what is agreed and concerns it goes to its
- * module.
+ * Connects a subscription to the controller of its process: the agreed changes that concern it go
+ * to its planner. Calls come one at a time, on the threads of the client.
  */
 final class DistributionChangesSource implements AgreedChangesSource, DistributionListener {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionChangesSource.class);
@@ -32,8 +32,7 @@
     private AgreedChangesReceiver receiver;
     private DistributionReactor reactor;
     private DistributionClient client;
-    // Used within the client's steps alone.
-    private final Map<String, Change> held = new HashMap<>();
+    private final Map<String, Change> changesByKey = new HashMap<>();
     private Revision revision = Revision.NONE;
 
     DistributionChangesSource(DistributionSettings settings) {
@@ -54,7 +53,8 @@
                         new SplittableRandom(),
                         this);
         client.start();
-        LOG.info("{} subscribes at {}", settings.name(), settings.upstreams().keySet());
+        LOG.info(
+                "subscribing name={} upstreams={}", settings.name(), settings.upstreams().keySet());
     }
 
     @Override
@@ -67,67 +67,68 @@
 
     @Override
     public void snapshot(Revision at, List<Item> items, Runnable inForce) {
-        held.clear();
+        changesByKey.clear();
         items.forEach(this::put);
-        tell(at, inForce);
+        apply(at, inForce);
     }
 
     @Override
     public void difference(Revision at, List<Update> updates, Runnable inForce) {
         for (Update update : updates) {
             if (update.deleted()) {
-                held.remove(update.item().key());
+                changesByKey.remove(update.item().key());
             } else {
                 put(update.item());
             }
         }
-        tell(at, inForce);
+        apply(at, inForce);
     }
 
     private void put(Item item) {
         try {
-            held.put(item.key(), AgreedItems.change(item));
+            changesByKey.put(item.key(), AgreedItems.change(item));
         } catch (IOException unknown) {
-            // Written by a later version: what it means can't be followed here, all else can.
-            LOG.warn("item {} left: {}", item.key(), unknown.getMessage());
-            held.remove(item.key());
+            // Written by a later version: the item can't be read here, all others can.
+            LOG.warn("item ignored key={} reason=\"{}\"", item.key(), unknown.getMessage());
+            changesByKey.remove(item.key());
         }
     }
 
-    private void tell(Revision at, Runnable inForce) {
+    private void apply(Revision at, Runnable inForce) {
         revision = at;
-        Map<String, Change> out = new TreeMap<>();
-        Map<String, Double> terms = new TreeMap<>();
-        for (Change change : held.values()) {
+        Map<String, Change> drained = new TreeMap<>();
+        Map<String, Double> overrides = new TreeMap<>();
+        for (Change change : changesByKey.values()) {
             if (change.scoped()) {
-                out.put(change.subject(), change);
+                drained.put(change.subject(), change);
             } else if (change.kind() == Change.Kind.TERM) {
-                terms.put(change.subject(), change.value());
+                overrides.put(change.subject(), change.value());
             }
         }
-        AgreedInput.tell(receiver, at.number(), out, terms, inForce);
-        LOG.info("agreed revision {}: {} replicas kept out, terms {}", at, out.size(), terms);
+        AgreedInput.tell(receiver, at.number(), drained, overrides, inForce);
+        LOG.info(
+                "agreed state in force revision={} drainedReplicas={} settings={}",
+                at,
+                drained.size(),
+                overrides);
     }
 
     @Override
-    public void notice(RejectionReason reason, String place) {
-        LOG.warn("upstream of {}: {} {}", settings.name(), reason.code(), place);
+    public void notice(RejectionReason reason, String detail) {
+        LOG.warn(
+                "upstream notice name={} reason={} detail=\"{}\"",
+                settings.name(),
+                reason.code(),
+                detail);
     }
 
     @Override
     public void stale(long ageMillis) {
-        LOG.warn(
-                "cut off from what is agreed: what is held, revision {}, is {} ms old and stays in"
-                        + " force",
-                revision,
-                ageMillis);
+        LOG.warn("agreed state stale revision={} ageMillis={}", revision, ageMillis);
     }
 
     @Override
     public void freshAgain(long afterMillis) {
-        LOG.info(
-                "what is agreed is up to date again after {} ms, revision {}",
-                afterMillis,
-                revision);
+        LOG.info("agreed state up to date again revision={} afterMillis={}", revision, afterMillis);
     }
 }
--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -36,10 +36,10 @@
             try (DistributionReactor reactor = new DistributionReactor();
                     RelayProcess relay =
                             new RelayProcess(settings, reactor, new SplittableRandom())) {
-                CountDownLatch told = new CountDownLatch(1);
-                signals.tell(listener(settings.name(), relay, told));
+                CountDownLatch stopped = new CountDownLatch(1);
+                signals.tell(listener(settings.name(), relay, stopped));
                 relay.start();
-                told.await();
+                stopped.await();
             }
             return Commands.SUCCESS;
         } finally {
@@ -48,18 +48,20 @@
     }
 
     private static ProcessSignals.Listener listener(
-            String name, RelayProcess relay, CountDownLatch told) {
+            String name, RelayProcess relay, CountDownLatch stopped) {
         return new ProcessSignals.Listener() {
             @Override
             public void reload() {
-                LOG.info("relay {} reads its file at start alone", name);
+                LOG.info(
+                        "relay reload ignored name={} reason=\"the file is read at start only\"",
+                        name);
             }
 
             @Override
             public void stop() {
-                LOG.info("relay {} stops", name);
+                LOG.info("relay stopping name={}", name);
                 relay.close();
-                told.countDown();
+                stopped.countDown();
             }
         };
     }
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -226,9 +226,9 @@
 
     private int most(Role role) {
         return switch (role) {
-            case STRANGER -> MOST + subscribers.most();
+            case STRANGER -> MOST + subscribers.maxOpen();
             case MEMBER_OR_COMMAND -> MOST;
-            case SUBSCRIBER -> subscribers.most();
+            case SUBSCRIBER -> subscribers.maxOpen();
         };
     }
 
--- a/src/main/java/rockshift/distribution/Digest.java
+++ b/src/main/java/rockshift/distribution/Digest.java
@@ -11,7 +11,7 @@
     private Digest() {}
 
     static long of(Item item) {
-        long hash = text(text(text(OFFSET, item.key()), item.service()), item.zone());
+        long hash = addText(addText(addText(OFFSET, item.key()), item.service()), item.zone());
         for (byte each : item.value()) {
             hash = (hash ^ (each & 0xff)) * PRIME;
         }
@@ -19,10 +19,10 @@
     }
 
     static long of(String name) {
-        return mix(text(OFFSET, name));
+        return mix(addText(OFFSET, name));
     }
 
-    private static long text(long start, String text) {
+    private static long addText(long start, String text) {
         long hash = start;
         for (int index = 0; index < text.length(); index++) {
             hash = (hash ^ text.charAt(index)) * PRIME;
--- a/src/main/java/rockshift/distribution/DistributionMessage.java
+++ b/src/main/java/rockshift/distribution/DistributionMessage.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * What subscribers and publishers tell each other, over a connection that keeps the order. Each
+ * The messages between subscribers and publishers, over a connection that keeps their order. Each
  * names the epoch of the scope that it is for, which the subscriber raises with each new scope.
  */
 public sealed interface DistributionMessage {
@@ -16,12 +16,13 @@
      * it.
      *
      * @param subscriber its name, the same on each connection
-     * @param held what it holds of this scope; {@link Revision#NONE} asks for a snapshot
+     * @param held the revision of this scope that it has; {@link Revision#NONE} asks for a snapshot
      * @param sentMillis the subscriber's own clock, which the next heartbeat returns
      */
     record Subscribe(
             String subscriber, long scopeEpoch, Scope scope, Revision held, long sentMillis)
             implements DistributionMessage {
+        /** Fails on a null part. */
         public Subscribe {
             Objects.requireNonNull(subscriber);
             Objects.requireNonNull(scope);
@@ -40,6 +41,7 @@
     record Acknowledge(
             long scopeEpoch, Revision inForce, int snapshotParts, Summary summary, long sentMillis)
             implements DistributionMessage {
+        /** Fails on a null part. */
         public Acknowledge {
             Objects.requireNonNull(inForce);
             Objects.requireNonNull(summary);
@@ -57,6 +59,7 @@
     record SnapshotPart(
             long scopeEpoch, Revision revision, int part, int parts, long digest, List<Item> items)
             implements DistributionMessage {
+        /** Fails on a null part. */
         public SnapshotPart {
             Objects.requireNonNull(revision);
             items = List.copyOf(items);
@@ -66,13 +69,14 @@
     /**
      * Publisher to subscriber: what changed.
      *
-     * @param from what the subscriber must hold
-     * @param to what it holds afterwards
+     * @param from the revision that the subscriber must be at
+     * @param to the revision that it is at afterwards
      * @param digest of the whole state afterwards
      */
     record Difference(
             long scopeEpoch, Revision from, Revision to, long digest, List<Update> updates)
             implements DistributionMessage {
+        /** Fails on a null part. */
         public Difference {
             Objects.requireNonNull(from);
             Objects.requireNonNull(to);
@@ -81,8 +85,8 @@
     }
 
     /**
-     * Publisher to subscriber, at a fixed interval: what the subscriber should hold after all
-     * messages before this one.
+     * Publisher to subscriber, at a fixed interval: the state that the subscriber should have after
+     * all messages before this one.
      *
      * @param current where the subscriber stands; {@link Revision#NONE} while a snapshot is under
      *     way
@@ -93,6 +97,7 @@
     record Heartbeat(
             long scopeEpoch, Revision current, long digest, long staleMillis, long echoMillis)
             implements DistributionMessage {
+        /** Fails on a null part. */
         public Heartbeat {
             Objects.requireNonNull(current);
         }
@@ -101,6 +106,7 @@
     /** Publisher to subscriber: worth knowing, while the subscription goes on. */
     record Notice(long scopeEpoch, RejectionReason reason, String detail)
             implements DistributionMessage {
+        /** Fails on a null part. */
         public Notice {
             Objects.requireNonNull(reason);
             Objects.requireNonNull(detail);
@@ -115,6 +121,7 @@
      */
     record Rejected(long scopeEpoch, RejectionReason reason, String detail, long retryAfterMillis)
             implements DistributionMessage {
+        /** Fails on a null part. */
         public Rejected {
             Objects.requireNonNull(reason);
             Objects.requireNonNull(detail);
--- a/src/main/java/rockshift/distribution/InForceTracker.java
+++ b/src/main/java/rockshift/distribution/InForceTracker.java
@@ -2,13 +2,16 @@
 
 import java.util.ArrayDeque;
 
-/** What a subscriber's host has put in force of what was handed over to it. */
+/**
+ * What a subscriber's host has put in force of the states delivered to it. Owned by the
+ * subscriber's thread.
+ */
 final class InForceTracker {
     /** A state or difference handed over and not yet in force. */
     private record Delivery(Revision revision, long scopeEpoch) {}
 
-    /** More deliveries are not told apart: the oldest is taken as part of the next. */
-    private static final int MOST_DELIVERIES = 64;
+    /** More deliveries are not tracked one by one: the oldest is taken as part of the next. */
+    private static final int MAX_DELIVERIES = 64;
 
     private final ArrayDeque<Delivery> deliveries = new ArrayDeque<>();
     private Revision inForce = Revision.NONE;
@@ -27,17 +30,17 @@
     }
 
     void delivered(Revision revision, long epoch) {
-        if (deliveries.size() == MOST_DELIVERIES) {
+        if (deliveries.size() == MAX_DELIVERIES) {
             deliveries.poll();
         }
         deliveries.add(new Delivery(revision, epoch));
     }
 
     /**
-     * The host says so of a delivery, and with it of all before; answers whether there was such a
+     * The host says so of a delivery, and with it of all before; returns whether there was such a
      * one.
      */
-    boolean acknowledged(Revision revision, Revision held) {
+    boolean acknowledged(Revision revision, Revision current) {
         if (deliveries.stream().noneMatch(each -> each.revision().equals(revision))) {
             return false;
         }
@@ -45,15 +48,15 @@
         while (!done.revision().equals(revision)) {
             done = deliveries.poll();
         }
-        inForce = deliveries.isEmpty() ? held : done.revision();
+        inForce = deliveries.isEmpty() ? current : done.revision();
         scopeEpoch = done.scopeEpoch();
         return true;
     }
 
-    /** What is held stands unchanged at a later revision. */
-    void advanced(Revision held) {
+    /** The state stands unchanged at a later revision. */
+    void advanced(Revision current) {
         if (deliveries.isEmpty()) {
-            inForce = held;
+            inForce = current;
         }
     }
 }
--- a/src/main/java/rockshift/distribution/Item.java
+++ b/src/main/java/rockshift/distribution/Item.java
@@ -14,6 +14,7 @@
 public record Item(String key, String service, String zone, byte[] value) {
     private static final int OVERHEAD_BYTES = 16;
 
+    /** Fails on a null part. */
     public Item {
         Objects.requireNonNull(key);
         Objects.requireNonNull(service);
--- a/src/main/java/rockshift/distribution/Limits.java
+++ b/src/main/java/rockshift/distribution/Limits.java
@@ -16,6 +16,7 @@
                             4_096, 200),
                     new Admission(4_096, 200, 32, 4, 4, 30_000));
 
+    /** The limits of a member, relay or controller where nothing else is configured. */
     public static Limits standard() {
         return STANDARD;
     }
@@ -51,15 +52,15 @@
     /**
      * What a message, a state and a history may hold.
      *
-     * @param maxItemBytes of one item; a larger one is refused
-     * @param maxStateItems items of a state; more are refused, what was held stays
+     * @param maxItemBytes of one item; a larger one is rejected
+     * @param maxStateItems items of a state; more are rejected, the state stays as it was
      * @param maxHistoryUpdates updates kept to resume from; the oldest go first
      * @param maxHistoryBytes bytes of these; the oldest go first
      * @param maxPartItems items in a part of a snapshot
      * @param maxPartBytes bytes after which a part ends
      * @param maxDifferenceUpdates updates in a difference; a larger one is sent as a snapshot
      * @param maxDifferenceBytes bytes of these; likewise
-     * @param maxScopeNames services and zones in a scope; more are refused
+     * @param maxScopeNames services and zones in a scope; more are rejected
      * @param maxNameLength of a subscriber's name, a service or a zone
      */
     public record Sizes(
@@ -97,10 +98,10 @@
     /**
      * What one publisher takes on at a time.
      *
-     * @param maxConnections open ones; the next is refused as busy
-     * @param subscriptionsPerSecond the next is refused as busy, with a time to come back
-     * @param maxConcurrentSnapshots a new subscription over it is refused as busy; one that goes on
-     *     waits
+     * @param maxConnections open ones; the next is rejected as busy
+     * @param subscriptionsPerSecond the next is rejected as busy, with a time to come back
+     * @param maxConcurrentSnapshots a new subscription over it is rejected as busy; one that goes
+     *     on waits
      * @param maxUnacknowledgedDifferences differences not acknowledged to a subscriber; further
      *     changes are coalesced
      * @param maxUnacknowledgedParts parts not acknowledged to a subscriber
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -16,7 +16,7 @@
  */
 public final class Publisher {
     /** What the host carries out. Calls into the publisher from within these are not allowed. */
-    public interface Effects {
+    public interface Transport {
         /** Sends a message, in order. */
         void send(long connection, DistributionMessage message);
 
@@ -29,7 +29,7 @@
     private final ConfigurationStore store;
     private final Scope served;
     private final Limits limits;
-    private final Effects effects;
+    private final Transport transport;
     private final SnapshotTransfers transfers;
     private final SubscriptionAdmission admission;
     private final SubscriptionUpdater updater;
@@ -51,14 +51,14 @@
             Scope served,
             Limits limits,
             RandomGenerator random,
-            Effects effects) {
+            Transport transport) {
         this.store = store;
         this.served = served;
         this.limits = limits;
-        this.effects = effects;
-        this.transfers = new SnapshotTransfers(store, limits, effects);
+        this.transport = transport;
+        this.transfers = new SnapshotTransfers(store, limits, transport);
         this.admission = new SubscriptionAdmission(store, limits, random, transfers);
-        this.updater = new SubscriptionUpdater(store, limits, effects, transfers);
+        this.updater = new SubscriptionUpdater(store, limits, transport, transfers);
         this.timers = new SubscriptionTimers(limits.timing(), random);
         this.summaries = new SummaryAggregator(limits.admission().maxConnections());
     }
@@ -165,11 +165,11 @@
     private void rejectConnection(long connection, long nowMillis) {
         rejections.count(RejectionReason.BUSY);
         String detail = "connections: " + connections.size();
-        effects.send(
+        transport.send(
                 connection,
                 new DistributionMessage.Rejected(
                         0, RejectionReason.BUSY, detail, admission.retryWhenBusy(nowMillis)));
-        effects.close(connection, RejectionReason.BUSY, detail);
+        transport.close(connection, RejectionReason.BUSY, detail);
     }
 
     private void subscribe(
@@ -232,7 +232,7 @@
             return;
         }
         rejections.count(RejectionReason.MATCHES_NOTHING);
-        effects.send(
+        transport.send(
                 subscription.connection(),
                 new DistributionMessage.Notice(
                         subscription.scopeEpoch(), RejectionReason.MATCHES_NOTHING, unmatched));
@@ -288,7 +288,7 @@
             String detail,
             long retryAfterMillis,
             long nowMillis) {
-        effects.send(
+        transport.send(
                 subscription.connection(),
                 new DistributionMessage.Rejected(
                         subscription.scopeEpoch(), reason, detail, retryAfterMillis));
@@ -299,7 +299,7 @@
             Subscription subscription, RejectionReason reason, String detail, long nowMillis) {
         rejections.count(reason);
         forget(subscription, nowMillis);
-        effects.close(subscription.connection(), reason, detail);
+        transport.close(subscription.connection(), reason, detail);
     }
 
     private void forget(Subscription subscription, long nowMillis) {
--- a/src/main/java/rockshift/distribution/ReconnectBackoff.java
+++ b/src/main/java/rockshift/distribution/ReconnectBackoff.java
@@ -3,11 +3,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before the next connection: doubled each time up to a bound, half of it by
- * chance.
+ * How long to wait before the next connection: doubled each time up to a bound, half of it random.
+ * Owned by the subscriber's thread.
  */
 final class ReconnectBackoff {
-    private static final int MOST_DOUBLINGS = 20;
+    private static final int MAX_DOUBLINGS = 20;
     private final Limits.Timing timing;
     private final RandomGenerator random;
     private int attempts;
@@ -17,21 +17,21 @@
         this.random = random;
     }
 
-    long next() {
-        long whole =
+    long nextMillis() {
+        long upperMillis =
                 Math.min(
                         timing.maxBackoffMillis(),
-                        timing.initialBackoffMillis() << Math.min(attempts, MOST_DOUBLINGS));
+                        timing.initialBackoffMillis() << Math.min(attempts, MAX_DOUBLINGS));
         attempts++;
-        return whole / 2 + upTo(whole / 2);
+        return upperMillis / 2 + upToMillis(upperMillis / 2);
     }
 
-    /** A time by chance, no longer than this. */
-    long upTo(long most) {
-        return random.nextLong(most + 1);
+    /** A random time, no longer than this. */
+    long upToMillis(long maxMillis) {
+        return random.nextLong(maxMillis + 1);
     }
 
-    /** A connection has proved good. */
+    /** A connection has proved good: the next wait is the shortest again. */
     void reset() {
         attempts = 0;
     }
--- a/src/main/java/rockshift/distribution/RejectionException.java
+++ b/src/main/java/rockshift/distribution/RejectionException.java
@@ -6,12 +6,18 @@
     private final RejectionReason reason;
     private final String detail;
 
-    public RejectionException(RejectionReason reason, String place) {
-        super(reason.code() + ": " + place, null, false, false);
+    /**
+     * A rejection at a field of the message.
+     *
+     * @param detail the field, and what is wrong there
+     */
+    public RejectionException(RejectionReason reason, String detail) {
+        super(reason.code() + ": " + detail, null, false, false);
         this.reason = reason;
-        this.detail = place;
+        this.detail = detail;
     }
 
+    /** The reason that counters and messages show. */
     public RejectionReason reason() {
         return reason;
     }
--- a/src/main/java/rockshift/distribution/RejectionReason.java
+++ b/src/main/java/rockshift/distribution/RejectionReason.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Why a message or a connection was refused or ended. The code is what logs, counters and messages
+ * Why a message or a connection was rejected or ended. The code is what logs, counters and messages
  * show.
  */
 public enum RejectionReason {
@@ -24,11 +24,11 @@
     MATCHES_NOTHING("matches-nothing"),
     /** Admission: come back after the time told. */
     BUSY("busy"),
-    /** What one side holds was written by another cluster. */
+    /** The state of one side was written by another cluster. */
     OTHER_CLUSTER("other-cluster"),
-    /** The subscriber holds more than the server has. */
+    /** The subscriber is at a later revision than the server. */
     FUTURE_REVISION("future-revision"),
-    /** What the subscriber holds is not what the server says that it should. */
+    /** The state of the subscriber is not the one that the server expects. */
     DIGEST_MISMATCH("digest-mismatch"),
     /** The server has been cut off from its own source, or has nothing yet. */
     STALE_UPSTREAM("stale-upstream"),
@@ -55,6 +55,7 @@
         this.code = code;
     }
 
+    /** What logs, counters and messages show. */
     public String code() {
         return code;
     }
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -5,38 +5,27 @@
 
 /**
  * An intermediate reader: subscribes upstream, keeps the state and its history, and serves
- * subscribers of its own. It never votes. What it tells of its age downstream is what it knows of
- * it from upstream.
+ * subscribers of its own. It never votes. The age of its state that it tells downstream is the one
+ * that it knows from upstream.
+ *
+ * <p>Not thread-safe: the host calls it from one thread at a time.
  */
 public final class Relay {
-    /**
-     * What the host carries out: the subscriber's connection upstream, and the publisher's
-     * downstream.
-     */
-    public interface Effects extends Publisher.Effects {
-        /** See {@link Subscriber.Effects#connect}. */
-        void connect(int upstream);
-
-        /** See {@link Subscriber.Effects#disconnect}. */
-        void disconnect(RejectionReason why, String place);
-
-        /** See {@link Subscriber.Effects#send}. */
-        void send(DistributionMessage message);
-
-        /** See {@link Subscriber.Effects#notice}. */
-        default void notice(RejectionReason reason, String place) {}
+    /** Hears what the upstream tells while the subscription goes on. */
+    public interface NoticeListener {
+        /** See {@link Subscriber.Listener#notice}. */
+        void notice(RejectionReason reason, String detail);
     }
 
-    private final Effects effects;
     private final ConfigurationStore store;
     private final Publisher publisher;
     private final Subscriber subscriber;
-    private long now;
+    private long nowMillis;
 
     /**
-     * A relay that holds nothing yet; the first {@link #tick} begins.
+     * A relay without a state; the first {@link #tick} begins.
      *
-     * @param scope what it holds, and so the most that it can serve
+     * @param scope what it subscribes to, and so the most that it can serve
      * @param upstreams how many there are to choose from
      */
     public Relay(
@@ -45,68 +34,76 @@
             int upstreams,
             Limits limits,
             RandomGenerator random,
-            Effects effects) {
-        this.effects = effects;
+            Subscriber.Transport upstream,
+            Publisher.Transport downstream,
+            NoticeListener notices) {
         this.store = new ConfigurationStore(limits.sizes());
-        this.publisher = new Publisher(store, scope, limits, random, effects);
+        this.publisher = new Publisher(store, scope, limits, random, downstream);
         this.subscriber =
                 new Subscriber(
-                        name, scope, upstreams, limits, random, new Upstream(), publisher::summary);
+                        name,
+                        scope,
+                        upstreams,
+                        limits,
+                        random,
+                        upstream,
+                        new StoreUpdater(notices),
+                        publisher::summary);
     }
 
     /** The connection upstream that was asked for is up. */
-    public void upstreamConnected(long at) {
-        now = at;
-        subscriber.connected(at);
+    public void upstreamConnected(long atMillis) {
+        nowMillis = atMillis;
+        subscriber.connected(atMillis);
     }
 
     /** The connection upstream, or the attempt at one, has ended. */
-    public void upstreamDisconnected(long at) {
-        now = at;
-        subscriber.disconnected(at);
+    public void upstreamDisconnected(long atMillis) {
+        nowMillis = atMillis;
+        subscriber.disconnected(atMillis);
     }
 
     /** A message came from upstream. */
-    public void upstreamReceived(DistributionMessage message, long at) {
-        now = at;
-        subscriber.received(message, at);
+    public void upstreamReceived(DistributionMessage message, long atMillis) {
+        nowMillis = atMillis;
+        subscriber.received(message, atMillis);
         publisher.freshAt(subscriber.freshAtMillis());
     }
 
-    /** The host could not read what came from upstream. */
-    public void upstreamUndecodable(RejectionReason reason, String detail, long at) {
-        now = at;
-        subscriber.undecodable(reason, detail, at);
+    /** The host could not decode a message from upstream. */
+    public void upstreamUndecodable(RejectionReason reason, String detail, long atMillis) {
+        nowMillis = atMillis;
+        subscriber.undecodable(reason, detail, atMillis);
     }
 
     /** A connection from downstream came up. */
-    public void connected(long connection, long at) {
-        publisher.connected(connection, at);
+    public void connected(long connection, long atMillis) {
+        publisher.connected(connection, atMillis);
     }
 
     /** A connection from downstream has ended. */
-    public void disconnected(long connection, long at) {
-        publisher.disconnected(connection, at);
+    public void disconnected(long connection, long atMillis) {
+        publisher.disconnected(connection, atMillis);
     }
 
     /** A message came from downstream. */
-    public void received(long connection, DistributionMessage message, long at) {
-        publisher.received(connection, message, at);
+    public void received(long connection, DistributionMessage message, long atMillis) {
+        publisher.received(connection, message, atMillis);
     }
 
-    /** The host could not read what came from downstream. */
-    public void undecodable(long connection, RejectionReason reason, String detail, long at) {
-        publisher.undecodable(connection, reason, detail, at);
+    /** The host could not decode a message from downstream. */
+    public void undecodable(long connection, RejectionReason reason, String detail, long atMillis) {
+        publisher.undecodable(connection, reason, detail, atMillis);
     }
 
     /** Does what is due on both sides. To be called every 50 ms or so. */
-    public void tick(long at) {
-        now = at;
-        subscriber.tick(at);
-        publisher.tick(at);
+    public void tick(long atMillis) {
+        nowMillis = atMillis;
+        subscriber.tick(atMillis);
+        publisher.tick(atMillis);
     }
 
-    /** What it holds. */
+    /** Its state. */
     public ConfigurationStore store() {
         return store;
     }
@@ -121,43 +118,32 @@
         return subscriber;
     }
 
-    /** Takes what comes from upstream into the store, and hands it on. */
-    private final class Upstream implements Subscriber.Effects {
-        @Override
-        public void connect(int upstream) {
-            effects.connect(upstream);
-        }
+    /** Applies what comes from upstream to the store, and publishes it. */
+    private final class StoreUpdater implements Subscriber.Listener {
+        private final NoticeListener notices;
 
-        @Override
-        public void disconnect(RejectionReason why, String place) {
-            effects.disconnect(why, place);
-        }
-
-        @Override
-        public void send(DistributionMessage message) {
-            effects.send(message);
+        StoreUpdater(NoticeListener notices) {
+            this.notices = notices;
         }
 
         @Override
         public void snapshot(Revision revision, List<Item> items) {
             try {
                 store.reset(revision, items);
-            } catch (RejectionException refusal) {
-                throw new IllegalStateException(
-                        "checked by the subscriber: " + refusal.getMessage(), refusal);
+            } catch (RejectionException impossible) {
+                throw checkedBefore(impossible);
             }
-            handOn(revision);
+            publish(revision);
         }
 
         @Override
         public void difference(Revision revision, List<Update> updates) {
             try {
                 store.apply(revision, updates);
-            } catch (RejectionException refusal) {
-                throw new IllegalStateException(
-                        "checked by the subscriber: " + refusal.getMessage(), refusal);
+            } catch (RejectionException impossible) {
+                throw checkedBefore(impossible);
             }
-            handOn(revision);
+            publish(revision);
         }
 
         @Override
@@ -166,13 +152,18 @@
         }
 
         @Override
-        public void notice(RejectionReason reason, String place) {
-            effects.notice(reason, place);
+        public void notice(RejectionReason reason, String detail) {
+            notices.notice(reason, detail);
+        }
+
+        private void publish(Revision revision) {
+            publisher.published(nowMillis);
+            subscriber.acknowledged(revision, nowMillis);
         }
 
-        private void handOn(Revision revision) {
-            publisher.published(now);
-            subscriber.acknowledged(revision, now);
+        private static IllegalStateException checkedBefore(RejectionException impossible) {
+            return new IllegalStateException(
+                    "checked by the subscriber: " + impossible.getMessage(), impossible);
         }
     }
 }
--- a/src/main/java/rockshift/distribution/RequestValidator.java
+++ b/src/main/java/rockshift/distribution/RequestValidator.java
@@ -2,12 +2,12 @@
 
 import java.util.Collection;
 
-/** Checks what a subscriber sends by itself, before anything is spent on it. */
+/** Checks the messages of subscribers by themselves, before anything is spent on them. */
 final class RequestValidator {
     private RequestValidator() {}
 
     /**
-     * Refuses what no publisher of this kind could ever take.
+     * Rejects a subscription that no publisher of this kind could ever take.
      *
      * @param subscription what is known of the connection that it came over
      * @param served what this publisher holds
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Refuses an acknowledgement on a connection that has not subscribed, or of a scope never asked
+     * Rejects an acknowledgement on a connection that has not subscribed, or of a scope never asked
      * for.
      */
     static void checkSubscribed(DistributionMessage.Acknowledge message, Subscription subscription)
@@ -60,7 +60,10 @@
         }
     }
 
-    /** Refuses to take for in force what was never sent, or less than before. */
+    /**
+     * Rejects an acknowledgement of a revision that was never sent, or of an earlier one than
+     * before.
+     */
     static void check(
             DistributionMessage.Acknowledge message, Subscription subscription, Revision current)
             throws RejectionException {
--- a/src/main/java/rockshift/distribution/Revision.java
+++ b/src/main/java/rockshift/distribution/Revision.java
@@ -8,9 +8,10 @@
  * @param number the version within it; 0 before the first change
  */
 public record Revision(long cluster, long number) {
-    /** What a subscriber holds before its first snapshot. */
+    /** The revision of a subscriber before its first snapshot. */
     public static final Revision NONE = new Revision(0, 0);
 
+    /** Whether it is {@link #NONE}. */
     public boolean isNone() {
         return equals(NONE);
     }
--- a/src/main/java/rockshift/distribution/Scope.java
+++ b/src/main/java/rockshift/distribution/Scope.java
@@ -16,15 +16,18 @@
 public record Scope(boolean everything, SortedSet<String> services, SortedSet<String> zones) {
     private static final Scope EVERYTHING = new Scope(true, new TreeSet<>(), new TreeSet<>());
 
+    /** Copies the names, so that the scope does not change. */
     public Scope {
         services = Collections.unmodifiableSortedSet(new TreeSet<>(services));
         zones = Collections.unmodifiableSortedSet(new TreeSet<>(zones));
     }
 
+    /** The scope of every item. */
     public static Scope all() {
         return EVERYTHING;
     }
 
+    /** The items of these services in these zones; an empty list does not bound the scope. */
     public static Scope of(Collection<String> services, Collection<String> zones) {
         return new Scope(false, new TreeSet<>(services), new TreeSet<>(zones));
     }
@@ -34,10 +37,12 @@
         return !everything && services.isEmpty() && zones.isEmpty();
     }
 
+    /** Whether it takes the item. */
     public boolean matches(Item item) {
         return matches(item.service(), item.zone());
     }
 
+    /** Whether it takes the item that was updated. */
     public boolean matches(Update update) {
         return matches(update.item());
     }
@@ -48,8 +53,8 @@
     }
 
     /**
-     * The first service or zone of the other scope that this one does not hold; null if it holds
-     * all of it.
+     * The first service or zone of the other scope that this one does not include; null if it
+     * includes all of it.
      */
     public String missing(Scope other) {
         if (everything) {
@@ -71,18 +76,19 @@
         return !everything && !zones.isEmpty();
     }
 
-    private static boolean matches(SortedSet<String> asked, String name) {
-        return asked.isEmpty() || name.isEmpty() || asked.contains(name);
+    private static boolean matches(SortedSet<String> requested, String name) {
+        return requested.isEmpty() || name.isEmpty() || requested.contains(name);
     }
 
-    private static String missing(String field, SortedSet<String> held, SortedSet<String> asked) {
-        if (held.isEmpty()) {
+    private static String missing(
+            String field, SortedSet<String> present, SortedSet<String> requested) {
+        if (present.isEmpty()) {
             return null;
-        } else if (asked.isEmpty()) {
+        } else if (requested.isEmpty()) {
             return field + " (every)";
         }
-        for (String name : asked) {
-            if (!held.contains(name)) {
+        for (String name : requested) {
+            if (!present.contains(name)) {
                 return field + " '" + name + "'";
             }
         }
--- a/src/main/java/rockshift/distribution/SnapshotAssembly.java
+++ b/src/main/java/rockshift/distribution/SnapshotAssembly.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The parts of a snapshot that have come so far. Nothing of it counts before all are there and the
- * digest agrees.
+ * The parts of a snapshot that have come so far. None of them takes effect before all are there and
+ * the digest agrees. Owned by the subscriber's thread.
  */
 final class SnapshotAssembly {
     private final DistributionMessage.SnapshotPart first;
@@ -72,15 +72,15 @@
     }
 
     private void add(Item item, Scope scope) throws RejectionException {
-        String place = "items[" + items.size() + "]";
-        sizes.check(item, place);
+        String field = "items[" + items.size() + "]";
+        sizes.check(item, field);
         if (!scope.matches(item)) {
-            throw new RejectionException(RejectionReason.OUT_OF_SCOPE, place + ": " + item);
+            throw new RejectionException(RejectionReason.OUT_OF_SCOPE, field + ": " + item);
         }
         long itemDigest = item.digest();
         if (digests.put(item.key(), itemDigest) != null) {
             throw new RejectionException(
-                    RejectionReason.MALFORMED, place + ".key: '" + item.key() + "' comes twice");
+                    RejectionReason.MALFORMED, field + ".key: '" + item.key() + "' comes twice");
         }
         items.add(item);
         digest += itemDigest;
--- a/src/main/java/rockshift/distribution/SnapshotTransfers.java
+++ b/src/main/java/rockshift/distribution/SnapshotTransfers.java
@@ -10,13 +10,13 @@
 final class SnapshotTransfers {
     private final ConfigurationStore store;
     private final Limits limits;
-    private final Publisher.Effects effects;
+    private final Publisher.Transport transport;
     private int active;
 
-    SnapshotTransfers(ConfigurationStore store, Limits limits, Publisher.Effects effects) {
+    SnapshotTransfers(ConfigurationStore store, Limits limits, Publisher.Transport transport) {
         this.store = store;
         this.limits = limits;
-        this.effects = effects;
+        this.transport = transport;
     }
 
     /** How many are under way. */
@@ -52,7 +52,7 @@
     void proceed(Subscription subscription) {
         SnapshotTransfer transfer = subscription.delivery().transfer();
         while (transfer.mayContinue(limits.admission().maxUnacknowledgedParts())) {
-            effects.send(subscription.connection(), transfer.next(subscription.scopeEpoch()));
+            transport.send(subscription.connection(), transfer.next(subscription.scopeEpoch()));
         }
         if (transfer.complete()) {
             active--;
--- a/src/main/java/rockshift/distribution/StateReceiver.java
+++ b/src/main/java/rockshift/distribution/StateReceiver.java
@@ -13,7 +13,7 @@
     private static final long NEVER = Long.MIN_VALUE;
 
     private final Limits.Sizes sizes;
-    private final Subscriber.Effects effects;
+    private final Subscriber.Listener listener;
     private final SubscribedState state;
     private final InForceTracker inForce = new InForceTracker();
 
@@ -24,10 +24,10 @@
     private SnapshotAssembly assembly;
     private long freshAtMillis = NEVER;
 
-    StateReceiver(Scope scope, Limits.Sizes sizes, Subscriber.Effects effects) {
+    StateReceiver(Scope scope, Limits.Sizes sizes, Subscriber.Listener listener) {
         this.scope = scope;
         this.sizes = sizes;
-        this.effects = effects;
+        this.listener = listener;
         this.state = new SubscribedState(sizes);
     }
 
@@ -118,7 +118,7 @@
         }
         state.replace(whole.revision(), scopeEpoch, whole.digests());
         inForce.delivered(state.revision(), scopeEpoch);
-        effects.snapshot(whole.revision(), whole.items());
+        listener.snapshot(whole.revision(), whole.items());
     }
 
     void receive(DistributionMessage.Difference difference) throws RejectionException {
@@ -128,7 +128,7 @@
         }
         state.apply(difference, scope);
         inForce.delivered(state.revision(), scopeEpoch);
-        effects.difference(difference.to(), difference.updates());
+        listener.difference(difference.to(), difference.updates());
     }
 
     /** A heartbeat that confirms the state at a revision. */
@@ -154,6 +154,6 @@
         }
         state.advance(current);
         inForce.advanced(current);
-        effects.advanced(current);
+        listener.advanced(current);
     }
 }
--- a/src/main/java/rockshift/distribution/SubscribedState.java
+++ b/src/main/java/rockshift/distribution/SubscribedState.java
@@ -56,13 +56,13 @@
     /** Rejects a heartbeat that does not confirm this state. */
     void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws RejectionException {
         Revision current = heartbeat.current();
-        String place = "current: " + current + ", held " + revision;
+        String detail = "current: " + current + ", held " + revision;
         if (!revision.sameCluster(current)) {
-            throw new RejectionException(RejectionReason.OTHER_CLUSTER, place);
+            throw new RejectionException(RejectionReason.OTHER_CLUSTER, detail);
         } else if (current.number() < revision.number()) {
-            throw new RejectionException(RejectionReason.FUTURE_REVISION, place);
+            throw new RejectionException(RejectionReason.FUTURE_REVISION, detail);
         } else if (heartbeat.digest() != digest) {
-            throw new RejectionException(RejectionReason.DIGEST_MISMATCH, place);
+            throw new RejectionException(RejectionReason.DIGEST_MISMATCH, detail);
         }
     }
 
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -17,10 +17,10 @@
  */
 public final class Subscriber {
     /**
-     * What the host carries out. Calls into the subscriber from within these are not allowed, but
-     * for {@link #acknowledged}.
+     * The host's connection to one upstream at a time. Calls into the subscriber from within these
+     * are not allowed.
      */
-    public interface Effects {
+    public interface Transport {
         /**
          * Opens a connection to an upstream, by its index in the host's list; answered by connected
          * or disconnected.
@@ -32,7 +32,13 @@
 
         /** Sends a message, in order. */
         void send(DistributionMessage message);
+    }
 
+    /**
+     * Takes the state and what changes in it. From within these only {@link #acknowledged} may be
+     * called.
+     */
+    public interface Listener {
         /** A whole state takes the place of the one before. */
         void snapshot(Revision revision, List<Item> items);
 
@@ -54,7 +60,8 @@
 
     private final String name;
     private final Limits limits;
-    private final Effects effects;
+    private final Transport transport;
+    private final Listener listener;
     private final Supplier<Summary> summary;
     private final StateReceiver receiver;
     private final UpstreamRotation upstreams;
@@ -79,8 +86,9 @@
             int upstreams,
             Limits limits,
             RandomGenerator random,
-            Effects effects) {
-        this(name, scope, upstreams, limits, random, effects, null);
+            Transport transport,
+            Listener listener) {
+        this(name, scope, upstreams, limits, random, transport, listener, null);
     }
 
     /** As above, with the sum of what is in force below; null: there is nobody below. */
@@ -90,12 +98,14 @@
             int upstreams,
             Limits limits,
             RandomGenerator random,
-            Effects effects,
+            Transport transport,
+            Listener listener,
             Supplier<Summary> below) {
         this.name = name;
         this.limits = limits;
-        this.effects = effects;
-        this.receiver = new StateReceiver(scope, limits.sizes(), effects);
+        this.transport = transport;
+        this.listener = listener;
+        this.receiver = new StateReceiver(scope, limits.sizes(), listener);
         this.summary =
                 below == null ? () -> Summary.ofOne(name, receiver.inForce().number()) : below;
         this.upstreams = new UpstreamRotation(upstreams, limits, random);
@@ -173,7 +183,7 @@
                 if (upstreams.dialDue(nowMillis)) {
                     phase = Phase.CONNECTING;
                     connectDeadlineMillis = nowMillis + limits.timing().connectTimeoutMillis();
-                    effects.connect(upstreams.current());
+                    transport.connect(upstreams.current());
                 }
             }
             case CONNECTING -> {
@@ -248,7 +258,7 @@
     private void subscribe(long nowMillis) {
         receiver.abandonSnapshot();
         subscribed = false;
-        effects.send(
+        transport.send(
                 new DistributionMessage.Subscribe(
                         name,
                         receiver.scopeEpoch(),
@@ -269,7 +279,7 @@
             receive(heartbeat, nowMillis);
         } else if (message instanceof DistributionMessage.Notice notice) {
             rejections.count(notice.reason());
-            effects.notice(notice.reason(), notice.detail());
+            listener.notice(notice.reason(), notice.detail());
         } else {
             throw new RejectionException(
                     RejectionReason.MALFORMED,
@@ -306,14 +316,14 @@
 
     private void rejected(DistributionMessage.Rejected rejected, long nowMillis) {
         rejections.count(rejected.reason());
-        effects.disconnect(rejected.reason(), rejected.detail());
+        transport.disconnect(rejected.reason(), rejected.detail());
         upstreams.rejected(rejected, nowMillis);
         awaitRetry();
     }
 
     private void end(RejectionReason reason, String detail, long nowMillis) {
         rejections.count(reason);
-        effects.disconnect(reason, detail);
+        transport.disconnect(reason, detail);
         upstreams.failed(nowMillis);
         awaitRetry();
     }
@@ -328,7 +338,7 @@
     private void acknowledge(long nowMillis) {
         lastAcknowledgedAtMillis = nowMillis;
         lastSentSummary = summary.get();
-        effects.send(
+        transport.send(
                 new DistributionMessage.Acknowledge(
                         receiver.scopeEpoch(),
                         receiver.inForce(),
--- a/src/main/java/rockshift/distribution/SubscriptionAdmission.java
+++ b/src/main/java/rockshift/distribution/SubscriptionAdmission.java
@@ -55,7 +55,7 @@
 
     /** When a subscriber that was told {@code busy} should come back, in milliseconds from now. */
     long retryWhenBusy(long nowMillis) {
-        return rateLimiter.retryAfter(nowMillis);
+        return rateLimiter.retryAfterMillis(nowMillis);
     }
 
     private long retryElsewhere() {
--- a/src/main/java/rockshift/distribution/SubscriptionIndex.java
+++ b/src/main/java/rockshift/distribution/SubscriptionIndex.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Subscriptions by service and zone, so that a change costs those whom it may concern. */
+/**
+ * Subscriptions by service and zone, so that a change costs those whom it may concern. Owned by the
+ * publisher's thread.
+ */
 final class SubscriptionIndex {
     private final Set<Subscription> all = new LinkedHashSet<>();
     private final Axis services = new Axis();
--- a/src/main/java/rockshift/distribution/SubscriptionRateLimiter.java
+++ b/src/main/java/rockshift/distribution/SubscriptionRateLimiter.java
@@ -3,16 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How many subscriptions a publisher takes on in a second. Whoever is refused is told a time to
- * come back, each a later one, so that a crowd spreads over as long as it takes.
+ * A token bucket for subscriptions. Those that are rejected are told a time to come back, each a
+ * later one, so that a fleet that reconnects at once spreads over as long as it takes. Owned by the
+ * publisher's thread.
  */
 final class SubscriptionRateLimiter {
-    private static final long MILLIS_A_SECOND = 1_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
     private final Limits.Admission limits;
     private final RandomGenerator random;
-    private double allowance;
-    private long refilledAt;
-    private double nextFree;
+    private double permits;
+    private long refilledAtMillis;
+    private double nextSlotMillis;
     private boolean started;
 
     SubscriptionRateLimiter(Limits.Admission limits, RandomGenerator random) {
@@ -20,39 +21,47 @@
         this.random = random;
     }
 
-    /** Whether one more may subscribe now. A second's worth may come at once. */
+    /** Whether one more may subscribe now. The bucket takes the permits of one second. */
     boolean admit(long nowMillis) {
         refill(nowMillis);
-        if (allowance < 1) {
+        if (permits < 1) {
             return false;
         }
-        allowance--;
+        permits--;
         return true;
     }
 
     /**
-     * When someone refused should come back: the next time that is not promised yet, and some
-     * jitter.
+     * In how long a rejected subscriber should come back: the next slot that was not given to
+     * another, and some jitter.
      */
-    long retryAfter(long nowMillis) {
-        double interval = (double) MILLIS_A_SECOND / limits.subscriptionsPerSecond();
-        nextFree = Math.max(nextFree, nowMillis + (double) MILLIS_A_SECOND / 2) + interval;
-        if (nextFree - nowMillis > limits.maxRetryMillis()) {
-            nextFree = nowMillis + (double) MILLIS_A_SECOND / 2;
+    long retryAfterMillis(long nowMillis) {
+        double intervalMillis = (double) MILLIS_PER_SECOND / limits.subscriptionsPerSecond();
+        nextSlotMillis =
+                Math.max(nextSlotMillis, nowMillis + (double) MILLIS_PER_SECOND / 2)
+                        + intervalMillis;
+        if (nextSlotMillis - nowMillis > limits.maxRetryMillis()) {
+            nextSlotMillis = nowMillis + (double) MILLIS_PER_SECOND / 2;
         }
-        long jitter = random.nextLong(1, MILLIS_A_SECOND / 2);
-        return Math.min(limits.maxRetryMillis(), (long) (nextFree - nowMillis) + jitter);
+        long jitterMillis = random.nextLong(1, MILLIS_PER_SECOND / 2);
+        return Math.min(
+                limits.maxRetryMillis(), (long) (nextSlotMillis - nowMillis) + jitterMillis);
     }
 
     private void refill(long nowMillis) {
-        double most = limits.subscriptionsPerSecond();
+        double maxPermits = limits.subscriptionsPerSecond();
         if (!started) {
-            allowance = most;
+            permits = maxPermits;
             started = true;
         } else {
-            allowance =
-                    Math.min(most, allowance + most * (nowMillis - refilledAt) / MILLIS_A_SECOND);
+            permits =
+                    Math.min(
+                            maxPermits,
+                            permits
+                                    + maxPermits
+                                            * (nowMillis - refilledAtMillis)
+                                            / MILLIS_PER_SECOND);
         }
-        refilledAt = nowMillis;
+        refilledAtMillis = nowMillis;
     }
 }
--- a/src/main/java/rockshift/distribution/SubscriptionUpdater.java
+++ b/src/main/java/rockshift/distribution/SubscriptionUpdater.java
@@ -18,7 +18,7 @@
 
     private final ConfigurationStore store;
     private final Limits limits;
-    private final Publisher.Effects effects;
+    private final Publisher.Transport transport;
     private final SnapshotTransfers transfers;
     private Revision publishedRevision;
     private long publishedGeneration;
@@ -27,11 +27,11 @@
     SubscriptionUpdater(
             ConfigurationStore store,
             Limits limits,
-            Publisher.Effects effects,
+            Publisher.Transport transport,
             SnapshotTransfers transfers) {
         this.store = store;
         this.limits = limits;
-        this.effects = effects;
+        this.transport = transport;
         this.transfers = transfers;
         this.publishedRevision = store.current();
         this.publishedGeneration = store.generation();
@@ -102,7 +102,7 @@
         if (!delivery.sentRevision().isNone() && !delivery.outdated()) {
             delivery.unchangedAt(store.current());
         }
-        effects.send(
+        transport.send(
                 subscription.connection(),
                 new DistributionMessage.Heartbeat(
                         subscription.scopeEpoch(),
@@ -144,7 +144,7 @@
     }
 
     private void sendDifference(Subscription subscription, List<Update> updates, long digest) {
-        effects.send(
+        transport.send(
                 subscription.connection(),
                 new DistributionMessage.Difference(
                         subscription.scopeEpoch(),
--- a/src/main/java/rockshift/distribution/SummaryAggregator.java
+++ b/src/main/java/rockshift/distribution/SummaryAggregator.java
@@ -6,11 +6,12 @@
 import java.util.TreeMap;
 
 /**
- * Sums up what is in force at a publisher's subscribers, kept up with each change of one of them.
+ * Sums up what is in force at a publisher's subscribers, updated with each change of one of them.
+ * Owned by the publisher's thread.
  */
 final class SummaryAggregator {
     /**
-     * What one subscription adds.
+     * What one subscription adds to the sum.
      *
      * @param caughtUp whether all that concerns it is in force there and below
      * @param lowest the lowest number in force there and below, where it has not caught up
@@ -39,7 +40,7 @@
         this.maxLost = maxLost;
     }
 
-    /** One subscription adds another share than before. */
+    /** One subscription contributes something else than before. */
     void replace(Contribution before, Contribution after) {
         if (!before.caughtUp()) {
             lowest.merge(
@@ -71,7 +72,7 @@
     }
 
     /**
-     * A subscriber is back, or need not be remembered; answers how many controllers were lost with
+     * A subscriber is back, or need not be remembered; returns how many controllers were lost with
      * it.
      */
     int found(String subscriber) {
--- a/src/main/java/rockshift/distribution/Update.java
+++ b/src/main/java/rockshift/distribution/Update.java
@@ -11,6 +11,7 @@
  * @param deleted whether it is gone
  */
 public record Update(long revision, Item item, boolean deleted) {
+    /** Fails on a null part. */
     public Update {
         Objects.requireNonNull(item);
     }
--- a/src/main/java/rockshift/distribution/UpstreamRotation.java
+++ b/src/main/java/rockshift/distribution/UpstreamRotation.java
@@ -33,20 +33,20 @@
     boolean dialDue(long nowMillis) {
         if (!started) {
             started = true;
-            dialAtMillis = nowMillis + backoff.upTo(limits.timing().initialBackoffMillis());
+            dialAtMillis = nowMillis + backoff.upToMillis(limits.timing().initialBackoffMillis());
         }
         return nowMillis >= dialAtMillis;
     }
 
     /** The connection failed or is given up: the next upstream follows after the backoff. */
     void failed(long nowMillis) {
-        dialAtMillis = nowMillis + backoff.next();
+        dialAtMillis = nowMillis + backoff.nextMillis();
         moveOn();
     }
 
     /** The upstream rejected the subscription and told a time to come back. */
     void rejected(DistributionMessage.Rejected rejected, long nowMillis) {
-        long backoffMillis = backoff.next();
+        long backoffMillis = backoff.nextMillis();
         long retryAfterMillis =
                 Math.min(
                         Math.max(0, rejected.retryAfterMillis()),
@@ -81,7 +81,7 @@
         }
         staleInTurn = 0;
         long halfRetryMillis = limits.timing().staleRetryMillis() / 2;
-        mayLeaveStaleAtMillis = nowMillis + halfRetryMillis + backoff.upTo(halfRetryMillis);
+        mayLeaveStaleAtMillis = nowMillis + halfRetryMillis + backoff.upToMillis(halfRetryMillis);
         return false;
     }
 
--- a/src/main/java/rockshift/distribution/wire/DistributionClient.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionClient.java
@@ -15,23 +15,26 @@
 import rockshift.distribution.Update;
 
 /**
- * A subscriber on sockets: it keeps what concerns a governor up to date and hands it to a listener.
- * Any number of clients share the two threads of one {@link DistributionReactor}. Each decision is
- * the {@link Subscriber}'s; its steps run one at a time.
+ * A subscriber on sockets: it keeps what concerns a controller up to date and hands it to a
+ * listener. Any number of clients share the two threads of one {@link DistributionReactor}. Each
+ * decision is the {@link Subscriber}'s.
+ *
+ * <p>The subscriber's steps run one at a time under this object's monitor, on the reactor's threads
+ * and on those of callers.
  */
 public final class DistributionClient implements AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final DistributionReactor reactor;
     private final DistributionListener listener;
-    private final UpstreamConnector port;
+    private final UpstreamConnector upstream;
     private final Subscriber subscriber;
-    private final StalenessMonitor cutOff;
+    private final StalenessMonitor staleness;
     private final Runnable tick = this::tick;
     private boolean closed;
 
     /**
-     * A client that holds nothing; {@link #start} has it begin.
+     * A client without a state; {@link #start} has it begin.
      *
      * @param name by which publishers know it; no two clients have the same
      * @param upstreams relays or members, in the order in which they are tried
@@ -46,67 +49,76 @@
             DistributionListener listener) {
         this.reactor = reactor;
         this.listener = listener;
-        port = new UpstreamConnector(reactor, upstreams, new PortOwner());
-        subscriber = new Subscriber(name, scope, upstreams.size(), limits, random, new Effects());
-        cutOff =
+        upstream = new UpstreamConnector(reactor, upstreams, new UpstreamOwner());
+        subscriber =
+                new Subscriber(
+                        name,
+                        scope,
+                        upstreams.size(),
+                        limits,
+                        random,
+                        upstream,
+                        new StateListener());
+        staleness =
                 new StalenessMonitor(
                         limits.timing().staleThresholdMillis(),
-                        now(),
+                        nowMillis(),
                         listener::stale,
                         listener::freshAgain);
     }
 
-    private static long now() {
+    private static long nowMillis() {
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    /** Takes up what was kept from an earlier run, before the start. */
+    /** Takes up a state kept from an earlier run, before the start. */
     public synchronized void restore(Revision revision, Collection<Item> items) {
         subscriber.restore(revision, items);
     }
 
     /** Begins to connect. */
     public void start() {
-        reactor.tick(tick);
+        reactor.addTickTask(tick);
     }
 
     private synchronized void tick() {
         if (!closed) {
-            subscriber.tick(now());
-            cutOff.look(subscriber.freshAtMillis(), now());
+            subscriber.tick(nowMillis());
+            staleness.check(subscriber.freshAtMillis(), nowMillis());
         }
     }
 
     /** Asks for another scope from now on. */
     public synchronized void scope(Scope scope) {
-        subscriber.scope(scope, now());
+        subscriber.scope(scope, nowMillis());
     }
 
     /**
-     * Follows another cluster from now on, as staff decided; what is held stays until its first
+     * Follows another cluster from now on, as an operator decided; the state stays until its first
      * snapshot.
      */
     public synchronized void adopt(long cluster) {
-        subscriber.adopt(cluster, now());
+        subscriber.adopt(cluster, nowMillis());
     }
 
+    /** The revision of the state. */
     public synchronized Revision revision() {
         return subscriber.revision();
     }
 
-    /** How old what is held may be, in ms. */
+    /** How old the state may be, in milliseconds. */
     public synchronized long ageMillis() {
-        return subscriber.ageMillis(now());
+        return subscriber.ageMillis(nowMillis());
     }
 
-    /** Whether a subscription stands, so that what is held is kept up to date. */
+    /** Whether a subscription stands, so that the state is kept up to date. */
     public synchronized boolean subscribed() {
         return subscriber.subscribed();
     }
 
-    /** The upstream dialled last, by its place in the list; -1 before the first. */
+    /** The upstream dialled last, by its index in the list; -1 before the first. */
     public synchronized int upstream() {
-        return port.upstream();
+        return upstream.upstream();
     }
 
     /** How often each reason was given for a refusal or an end, by either side. */
@@ -120,7 +132,7 @@
      */
     private void inForce(Revision revision) {
         if (Thread.holdsLock(this)) {
-            subscriber.acknowledged(revision, now());
+            subscriber.acknowledged(revision, nowMillis());
         } else {
             reactor.execute(() -> acknowledge(revision));
         }
@@ -128,20 +140,20 @@
 
     private synchronized void acknowledge(Revision revision) {
         if (!closed) {
-            subscriber.acknowledged(revision, now());
+            subscriber.acknowledged(revision, nowMillis());
         }
     }
 
-    /** Ends the connection. What the listener holds stays as it is. */
+    /** Ends the connection. The listener keeps the state that it has. */
     @Override
     public synchronized void close() {
         closed = true;
-        reactor.stopTicking(tick);
-        port.close();
+        reactor.removeTickTask(tick);
+        upstream.close();
     }
 
     /** Hands the connection's events to the subscriber, one at a time. */
-    private final class PortOwner implements UpstreamConnector.Owner {
+    private final class UpstreamOwner implements UpstreamConnector.Owner {
         @Override
         public void execute(Runnable step) {
             synchronized (DistributionClient.this) {
@@ -153,42 +165,27 @@
 
         @Override
         public void connected() {
-            subscriber.connected(now());
+            subscriber.connected(nowMillis());
         }
 
         @Override
         public void received(DistributionMessage message) {
-            subscriber.received(message, now());
+            subscriber.received(message, nowMillis());
         }
 
         @Override
-        public void undecodable(RejectionReason reason, String place) {
-            subscriber.undecodable(reason, place, now());
+        public void undecodable(RejectionReason reason, String detail) {
+            subscriber.undecodable(reason, detail, nowMillis());
         }
 
         @Override
         public void disconnected() {
-            subscriber.disconnected(now());
+            subscriber.disconnected(nowMillis());
         }
     }
 
-    /** Carries out what the subscriber decides. */
-    private final class Effects implements Subscriber.Effects {
-        @Override
-        public void connect(int upstream) {
-            port.connect(upstream);
-        }
-
-        @Override
-        public void disconnect(RejectionReason why, String place) {
-            port.disconnect(why, place);
-        }
-
-        @Override
-        public void send(DistributionMessage message) {
-            port.send(message);
-        }
-
+    /** Hands the state to the listener, with a way to say that it is in force. */
+    private final class StateListener implements Subscriber.Listener {
         @Override
         public void snapshot(Revision revision, List<Item> items) {
             listener.snapshot(revision, items, () -> inForce(revision));
@@ -205,8 +202,8 @@
         }
 
         @Override
-        public void notice(RejectionReason reason, String place) {
-            listener.notice(reason, place);
+        public void notice(RejectionReason reason, String detail) {
+            listener.notice(reason, detail);
         }
     }
 }
--- a/src/main/java/rockshift/distribution/wire/DistributionCodec.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionCodec.java
@@ -17,17 +17,18 @@
 import rockshift.wire.CborWriter;
 
 /**
- * Messages of the distribution as bytes: one CBOR array each, its kind first, told in docs/raft.md.
- * A reader takes exactly what a writer gave. What is missing, follows, has the wrong type or goes
- * beyond a bound is an error that names the field.
+ * Messages of the distribution as bytes: one CBOR array each, its kind first, described in
+ * docs/raft.md. A reader takes exactly what a writer gave. What is missing, follows, has the wrong
+ * type or goes beyond a bound is an error that names the field.
  */
 public final class DistributionCodec {
     private static final Limits.Sizes SIZES = Limits.standard().sizes();
 
-    /** Characters of the longest key, and of what a refusal says. */
-    private static final int LONGEST_KEY = 512;
+    /** Characters of the longest key. */
+    private static final int MAX_KEY_LENGTH = 512;
 
-    private static final int LONGEST_PLACE = 500;
+    /** Characters of the longest detail of a rejection; longer ones are cut. */
+    private static final int MAX_DETAIL_LENGTH = 500;
 
     /** The kinds of messages, in the order of their numbers on the wire. */
     private enum Kind {
@@ -42,6 +43,7 @@
 
     private DistributionCodec() {}
 
+    /** Encodes a message; a detail that is too long is cut. */
     public static byte[] write(DistributionMessage message) throws IOException {
         CborWriter out = new CborWriter();
         out.startArray();
@@ -56,31 +58,33 @@
         } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
             write(out, heartbeat);
         } else if (message instanceof DistributionMessage.Notice notice) {
-            head(out, Kind.NOTICE, notice)
+            writeHeader(out, Kind.NOTICE, notice)
                     .text(notice.reason().code())
-                    .text(place(notice.detail()));
+                    .text(truncated(notice.detail()));
         } else if (message instanceof DistributionMessage.Rejected rejected) {
-            head(out, Kind.REJECTED, rejected)
+            writeHeader(out, Kind.REJECTED, rejected)
                     .text(rejected.reason().code())
-                    .text(place(rejected.detail()))
+                    .text(truncated(rejected.detail()))
                     .add(rejected.retryAfterMillis());
         }
         out.endArray();
         return out.end();
     }
 
-    private static CborWriter head(CborWriter out, Kind kind, DistributionMessage message)
+    private static CborWriter writeHeader(CborWriter out, Kind kind, DistributionMessage message)
             throws IOException {
         return out.add(kind.ordinal(), message.scopeEpoch());
     }
 
-    private static String place(String place) {
-        return place.length() <= LONGEST_PLACE ? place : place.substring(0, LONGEST_PLACE);
+    private static String truncated(String detail) {
+        return detail.length() <= MAX_DETAIL_LENGTH
+                ? detail
+                : detail.substring(0, MAX_DETAIL_LENGTH);
     }
 
     private static void write(CborWriter out, DistributionMessage.Subscribe message)
             throws IOException {
-        head(out, Kind.SUBSCRIBE, message).text(message.subscriber());
+        writeHeader(out, Kind.SUBSCRIBE, message).text(message.subscriber());
         write(out, message.scope());
         write(out, message.held());
         out.add(message.sentMillis());
@@ -88,7 +92,7 @@
 
     private static void write(CborWriter out, DistributionMessage.Acknowledge message)
             throws IOException {
-        head(out, Kind.ACKNOWLEDGE, message);
+        writeHeader(out, Kind.ACKNOWLEDGE, message);
         write(out, message.inForce());
         Summary summary = message.summary();
         out.add(
@@ -103,7 +107,7 @@
 
     private static void write(CborWriter out, DistributionMessage.SnapshotPart message)
             throws IOException {
-        head(out, Kind.SNAPSHOT_PART, message);
+        writeHeader(out, Kind.SNAPSHOT_PART, message);
         write(out, message.revision());
         out.add(message.part(), message.parts(), message.digest(), message.items().size());
         for (Item item : message.items()) {
@@ -113,7 +117,7 @@
 
     private static void write(CborWriter out, DistributionMessage.Difference message)
             throws IOException {
-        head(out, Kind.DIFFERENCE, message);
+        writeHeader(out, Kind.DIFFERENCE, message);
         write(out, message.from());
         write(out, message.to());
         out.add(message.digest(), message.updates().size());
@@ -125,7 +129,7 @@
 
     private static void write(CborWriter out, DistributionMessage.Heartbeat message)
             throws IOException {
-        head(out, Kind.HEARTBEAT, message);
+        writeHeader(out, Kind.HEARTBEAT, message);
         write(out, message.current());
         out.add(message.digest(), message.staleMillis(), message.echoMillis());
     }
@@ -151,6 +155,11 @@
         out.text(item.key()).text(item.service()).text(item.zone()).binary(item.value());
     }
 
+    /**
+     * Decodes a message.
+     *
+     * @throws IOException naming the field that is wrong
+     */
     public static DistributionMessage read(byte[] bytes) throws IOException {
         CborReader in = new CborReader(bytes, 0, bytes.length);
         in.at("message").startArray();
@@ -183,12 +192,12 @@
                                     in.at("echoMillis").number());
                     case NOTICE ->
                             new DistributionMessage.Notice(
-                                    epoch, reason(in), in.at("place").text(LONGEST_PLACE));
+                                    epoch, reason(in), in.at("place").text(MAX_DETAIL_LENGTH));
                     case REJECTED ->
                             new DistributionMessage.Rejected(
                                     epoch,
                                     reason(in),
-                                    in.at("place").text(LONGEST_PLACE),
+                                    in.at("place").text(MAX_DETAIL_LENGTH),
                                     count(in, "retryAfterMillis"));
                 };
         in.at("message").end();
@@ -199,19 +208,19 @@
         return in.at(field).number(0, Long.MAX_VALUE);
     }
 
-    private static int whole(CborReader in, String field) throws IOException {
+    private static int intCount(CborReader in, String field) throws IOException {
         return in.at(field).whole(Integer.MAX_VALUE);
     }
 
     private static DistributionMessage acknowledge(CborReader in, long epoch) throws IOException {
         Revision inForce = revision(in, "inForce");
-        int snapshotParts = whole(in, "snapshotParts");
+        int snapshotParts = intCount(in, "snapshotParts");
         Summary summary =
                 new Summary(
                         count(in, "summary.lowestRevision"),
-                        whole(in, "summary.subscribers"),
-                        whole(in, "summary.behind"),
-                        whole(in, "summary.unreachable"),
+                        intCount(in, "summary.subscribers"),
+                        intCount(in, "summary.behind"),
+                        intCount(in, "summary.unreachable"),
                         in.at("summary.fingerprint").number());
         return new DistributionMessage.Acknowledge(
                 epoch, inForce, snapshotParts, summary, in.at("sentMillis").number());
@@ -219,8 +228,8 @@
 
     private static DistributionMessage snapshotPart(CborReader in, long epoch) throws IOException {
         Revision revision = revision(in, "revision");
-        int part = whole(in, "part");
-        int parts = whole(in, "parts");
+        int part = intCount(in, "part");
+        int parts = intCount(in, "parts");
         long digest = in.at("digest").number();
         List<Item> items = new ArrayList<>();
         for (int left = in.at("items").whole(SIZES.maxPartItems()); left > 0; left--) {
@@ -241,7 +250,7 @@
 
     private static Item item(CborReader in, String list) throws IOException {
         return new Item(
-                in.at(list + ".key").text(LONGEST_KEY),
+                in.at(list + ".key").text(MAX_KEY_LENGTH),
                 in.at(list + ".service").text(SIZES.maxNameLength()),
                 in.at(list + ".zone").text(SIZES.maxNameLength()),
                 in.at(list + ".value").bytes(SIZES.maxItemBytes()));
@@ -269,7 +278,7 @@
     }
 
     private static RejectionReason reason(CborReader in) throws IOException {
-        String code = in.at("reason").text(LONGEST_PLACE);
+        String code = in.at("reason").text(MAX_DETAIL_LENGTH);
         RejectionReason reason = RejectionReason.byCode(code);
         if (reason == null) {
             throw in.wrong("'" + code + "' is no reason");
--- a/src/main/java/rockshift/distribution/wire/DistributionListener.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionListener.java
@@ -7,26 +7,26 @@
 import rockshift.distribution.Update;
 
 /**
- * Hears what a {@link DistributionClient} holds. Calls come one at a time, on a thread that carries
- * other clients as well: a listener must not wait. It runs {@code inForce}, on any thread, once
- * what it was told has taken effect.
+ * Takes the state of a {@link DistributionClient}. Calls come one at a time, on a thread that
+ * carries other clients as well: a listener must not wait. It runs {@code inForce}, on any thread,
+ * once what it was handed has taken effect.
  */
 public interface DistributionListener {
-    /** A whole state takes the place of what was held. */
+    /** A whole state takes the place of the one before. */
     void snapshot(Revision revision, List<Item> items, Runnable inForce);
 
-    /** Updates to what was held. */
+    /** Updates to the state. */
     void difference(Revision revision, List<Update> updates, Runnable inForce);
 
-    /** What was held stands unchanged at a later revision. */
+    /** The state stands unchanged at a later revision. */
     default void advanced(Revision revision) {}
 
     /** The upstream tells something while the subscription goes on. */
-    default void notice(RejectionReason reason, String place) {}
+    default void notice(RejectionReason reason, String detail) {}
 
-    /** What is held may be older than is tolerated, or nothing was held in that time. */
+    /** The state may be older than is tolerated, or there was none in that time. */
     default void stale(long ageMillis) {}
 
-    /** What is held is up to date again. */
+    /** The state is up to date again. */
     default void freshAgain(long afterMillis) {}
 }
--- a/src/main/java/rockshift/distribution/wire/DistributionReactor.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionReactor.java
@@ -32,57 +32,58 @@
     private static final Logger LOG = LoggerFactory.getLogger(DistributionReactor.class);
 
     /** Bytes read from one connection before the others have their turn. */
-    private static final int READ_BUFFER = 64 << 10;
+    private static final int READ_BUFFER_BYTES = 64 << 10;
 
     /** Connections that may wait to be taken: all subscribers dialling at once. */
-    private static final int BACKLOG = 1_024;
+    private static final int ACCEPT_BACKLOG = 1_024;
 
-    private static final int DIAL_TIMEOUT_MS = 1_000;
-    private static final int SELECT_INTERVAL_MS = 250;
-    private static final int FAREWELL_MS = 300;
-    private static final int TICK_MS = 50;
+    private static final int DIAL_TIMEOUT_MILLIS = 1_000;
+    private static final int SELECT_INTERVAL_MILLIS = 250;
+    private static final int SHUTDOWN_GRACE_MILLIS = 300;
+    private static final int TICK_INTERVAL_MILLIS = 50;
 
     private final DefaultListeningIOReactor reactor;
     private final ScheduledExecutorService timer =
-            Executors.newSingleThreadScheduledExecutor(daemons("distribution-timer"));
-    private final Set<Runnable> ticking = ConcurrentHashMap.newKeySet();
+            Executors.newSingleThreadScheduledExecutor(daemonThreads("distribution-timer"));
+    private final Set<Runnable> tickTasks = ConcurrentHashMap.newKeySet();
     private final ConnectionLog upstreamLog = new ConnectionLog(LOG, "upstream");
-    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER);
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
     /** Makes the handler of a connection that was dialled or taken. */
     interface ConnectionFactory {
         FramedConnection create(IOSession session, ByteBuffer readBuffer);
     }
 
+    /** Starts both threads; no connection and no task is there yet. */
     public DistributionReactor() {
         IOReactorConfig oneThread =
                 IOReactorConfig.custom()
                         .setIoThreadCount(1)
-                        .setBacklogSize(BACKLOG)
+                        .setBacklogSize(ACCEPT_BACKLOG)
                         .setSoReuseAddress(true)
                         .setTcpNoDelay(true)
-                        .setSelectInterval(TimeValue.ofMilliseconds(SELECT_INTERVAL_MS))
+                        .setSelectInterval(TimeValue.ofMilliseconds(SELECT_INTERVAL_MILLIS))
                         .build();
         reactor =
                 new DefaultListeningIOReactor(
                         (session, factory) ->
                                 ((ConnectionFactory) factory).create(session, readBuffer),
                         oneThread,
-                        daemons("distribution-io"),
-                        daemons("distribution-listener"),
+                        daemonThreads("distribution-io"),
+                        daemonThreads("distribution-listener"),
                         null,
-                        failure -> LOG.error("failure of the distribution's connections", failure),
+                        failure -> LOG.error("distribution reactor failed", failure),
                         null,
                         session -> session.close(CloseMode.IMMEDIATE));
         reactor.start();
         timer.scheduleWithFixedDelay(
-                () -> ticking.forEach(DistributionReactor::guarded),
-                TICK_MS,
-                TICK_MS,
+                () -> tickTasks.forEach(DistributionReactor::runGuarded),
+                TICK_INTERVAL_MILLIS,
+                TICK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private static ThreadFactory daemons(String name) {
+    private static ThreadFactory daemonThreads(String name) {
         return work -> {
             Thread thread = new Thread(work, name);
             thread.setDaemon(true);
@@ -115,7 +116,7 @@
                 new HttpHost(address.getHostString(), address.getPort()),
                 address,
                 null,
-                Timeout.ofMilliseconds(DIAL_TIMEOUT_MS),
+                Timeout.ofMilliseconds(DIAL_TIMEOUT_MILLIS),
                 factory,
                 new FutureCallback<>() {
                     @Override
@@ -136,16 +137,16 @@
     }
 
     /**
-     * Has a task run every 50 ms on the timer's thread; a failure is logged and the next run comes
-     * all the same.
+     * Runs a task every 50 ms on the timer's thread; a failure is logged and the next run comes all
+     * the same.
      */
-    void tick(Runnable task) {
-        ticking.add(task);
+    void addTickTask(Runnable task) {
+        tickTasks.add(task);
     }
 
-    /** Has a task run no more. */
-    void stopTicking(Runnable task) {
-        ticking.remove(task);
+    /** Runs a task no more. */
+    void removeTickTask(Runnable task) {
+        tickTasks.remove(task);
     }
 
     /** The log of connections that were dialled. */
@@ -156,17 +157,17 @@
     /** Runs a task once, soon, on the timer's thread; not at all once the reactor is closed. */
     void execute(Runnable task) {
         try {
-            timer.execute(() -> guarded(task));
+            timer.execute(() -> runGuarded(task));
         } catch (RejectedExecutionException closed) {
-            LOG.debug("closed already");
+            LOG.debug("task dropped reason=closed");
         }
     }
 
-    private static void guarded(Runnable task) {
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException failure) {
-            LOG.error("failure in the distribution", failure);
+            LOG.error("distribution task failed", failure);
         }
     }
 
@@ -175,6 +176,6 @@
     public void close() throws InterruptedException {
         timer.shutdownNow();
         reactor.initiateShutdown();
-        reactor.awaitShutdown(TimeValue.ofMilliseconds(FAREWELL_MS));
+        reactor.awaitShutdown(TimeValue.ofMilliseconds(SHUTDOWN_GRACE_MILLIS));
     }
 }
--- a/src/main/java/rockshift/distribution/wire/DistributionSettings.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionSettings.java
@@ -10,13 +10,12 @@
 import rockshift.distribution.Scope;
 
 /**
- * What a governor or relay is told in the block {@code distribution} of the operator's file. It is
- * what one reading found and never changes.
+ * The block {@code distribution} of the operator's file, for a controller or relay. Immutable.
  *
- * @param name by which publishers know it; each governor and relay has its own
+ * @param name by which publishers know it; each controller and relay has its own
  * @param upstreams by label, in the order in which they are tried: relays, or members
  * @param scope what it asks for
- * @param relay what a relay serves; null for a governor
+ * @param relay what a relay serves; null for a controller
  * @param limits bounds and intervals
  */
 public record DistributionSettings(
@@ -25,11 +24,13 @@
         Scope scope,
         RelaySettings relay,
         Limits limits) {
-    /** Subscribers that a publisher serves if nothing is told, and at most. */
+    /** Subscribers that a publisher serves where nothing is configured. */
     public static final int DEFAULT_SUBSCRIBERS = 1_024;
 
+    /** Subscribers that a publisher may be configured to serve. */
     public static final int MAX_SUBSCRIBERS = 65_536;
-    private static final int LONGEST_NAME = Limits.standard().sizes().maxNameLength();
+
+    private static final int MAX_NAME_LENGTH = Limits.standard().sizes().maxNameLength();
 
     /**
      * What a relay serves.
@@ -46,8 +47,8 @@
             return null;
         }
         String name = block.text("name", null);
-        if (name.length() > LONGEST_NAME) {
-            throw block.wrong("name", "must be at most " + LONGEST_NAME + " characters");
+        if (name.length() > MAX_NAME_LENGTH) {
+            throw block.wrong("name", "must be at most " + MAX_NAME_LENGTH + " characters");
         }
         Map<String, InetSocketAddress> upstreams = new LinkedHashMap<>();
         for (Map.Entry<String, Section> each : block.blocks("upstream").entrySet()) {
@@ -88,7 +89,7 @@
     }
 
     private static Set<String> names(Section scope, String field) throws InvalidFileException {
-        Set<String> names = scope.texts(field, LONGEST_NAME);
+        Set<String> names = scope.texts(field, MAX_NAME_LENGTH);
         if (names.size() > Limits.standard().sizes().maxScopeNames()) {
             throw scope.wrong(
                     field, "names more than " + Limits.standard().sizes().maxScopeNames());
@@ -96,13 +97,13 @@
         return names;
     }
 
-    /** The usual bounds of a publisher, for so many connections. */
+    /** The standard limits of a publisher, for so many connections. */
     public static Limits limits(int subscribers) {
-        Limits usual = Limits.standard();
-        Limits.Admission admission = usual.admission();
+        Limits standard = Limits.standard();
+        Limits.Admission admission = standard.admission();
         return new Limits(
-                usual.timing(),
-                usual.sizes(),
+                standard.timing(),
+                standard.sizes(),
                 new Limits.Admission(
                         subscribers,
                         admission.subscriptionsPerSecond(),
--- a/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
+++ b/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
@@ -18,17 +18,20 @@
  * The connections of a publisher's subscribers: it numbers them, turns frames into messages and
  * back, and bounds what waits on the way in and out. Whom to take and what to send decides the
  * publisher.
+ *
+ * <p>Thread-safe: connections call it on the reactor's thread, the publisher on its owner's.
  */
-public final class DownstreamConnections implements Publisher.Effects {
+public final class DownstreamConnections
+        implements Publisher.Transport, DistributionConnection.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(DownstreamConnections.class);
 
     /** Connections beyond those that the publisher serves: they are told that it is busy. */
-    private static final int TO_BE_REFUSED = 64;
+    private static final int MAX_REJECTED_CONNECTIONS = 64;
 
     /** Messages of one subscriber, and of all, that may wait for the publisher. */
-    private static final int MOST_WAITING_OF_ONE = 128;
+    private static final int MAX_QUEUED_PER_SUBSCRIBER = 128;
 
-    private static final int MOST_WAITING = 20_000;
+    private static final int MAX_QUEUED = 20_000;
 
     /**
      * The publisher's owner, which hands events on in the order in which they came, on whatever
@@ -38,42 +41,47 @@
         /** Runs a step of the publisher, now or later. */
         void execute(Runnable step);
 
+        /** A subscriber connected. */
         void connected(long connection);
 
+        /** A message came. */
         void received(long connection, DistributionMessage message);
 
-        void undecodable(long connection, RejectionReason reason, String place);
+        /** A message came that can't be decoded. */
+        void undecodable(long connection, RejectionReason reason, String detail);
 
+        /** A connection has ended. */
         void disconnected(long connection);
     }
 
     /** One subscriber's connection. */
-    private record Peer(long number, FramedConnection connection, AtomicInteger waiting) {}
+    private record Peer(long number, FramedConnection connection, AtomicInteger queued) {}
 
-    private final int served;
+    private final int maxServed;
     private final Owner owner;
     private final ConnectionLog log = new ConnectionLog(LOG, "subscriber");
     private final AtomicLong numbers = new AtomicLong();
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queued = new AtomicInteger();
     private final Map<FramedConnection, Peer> byConnection = new ConcurrentHashMap<>();
     private final Map<Long, Peer> byNumber = new ConcurrentHashMap<>();
 
     /**
-     * @param served connections that the publisher serves at most
+     * @param maxServed connections that the publisher serves at most
      */
-    public DownstreamConnections(int served, Owner owner) {
-        this.served = served;
+    public DownstreamConnections(int maxServed, Owner owner) {
+        this.maxServed = maxServed;
         this.owner = owner;
     }
 
     /** Connections that may be open at a time, those that are told to come again included. */
-    public int most() {
-        return served + TO_BE_REFUSED;
+    public int maxOpen() {
+        return maxServed + MAX_REJECTED_CONNECTIONS;
     }
 
     /** A connection of a subscriber came up; ends it where there are too many. */
+    @Override
     public void opened(FramedConnection connection) {
-        if (byConnection.size() >= most()) {
+        if (byConnection.size() >= maxOpen()) {
             connection.end("crowded", "");
             return;
         }
@@ -84,6 +92,7 @@
     }
 
     /** A frame's payload came. */
+    @Override
     public void received(FramedConnection connection, byte[] payload) {
         Peer peer = byConnection.get(connection);
         if (peer == null) {
@@ -104,21 +113,22 @@
     }
 
     private void queue(Peer peer, Runnable step) {
-        if (peer.waiting.get() >= MOST_WAITING_OF_ONE || waiting.get() >= MOST_WAITING) {
-            peer.connection.end("flood", peer.waiting + " messages wait, " + waiting + " of all");
+        if (peer.queued.get() >= MAX_QUEUED_PER_SUBSCRIBER || queued.get() >= MAX_QUEUED) {
+            peer.connection.end("flood", peer.queued + " messages wait, " + queued + " of all");
             return;
         }
-        peer.waiting.incrementAndGet();
-        waiting.incrementAndGet();
+        peer.queued.incrementAndGet();
+        queued.incrementAndGet();
         owner.execute(
                 () -> {
-                    peer.waiting.decrementAndGet();
-                    waiting.decrementAndGet();
+                    peer.queued.decrementAndGet();
+                    queued.decrementAndGet();
                     step.run();
                 });
     }
 
     /** A connection has ended, whether it had become a subscriber's or not. */
+    @Override
     public void ended(FramedConnection connection) {
         String code = connection.reason() == null ? "stopping" : connection.reason();
         log.ended(connection.from(), code, connection.about());
@@ -141,16 +151,16 @@
                 peer.connection.end("not-reading", "too much waits to be read");
             }
         } catch (IOException impossible) {
-            LOG.error("a message that can't be written", impossible);
+            LOG.error("message not encodable peer={}", peer.connection.from(), impossible);
             peer.connection.end("failure", String.valueOf(impossible.getMessage()));
         }
     }
 
     @Override
-    public void close(long number, RejectionReason why, String place) {
+    public void close(long number, RejectionReason reason, String detail) {
         Peer peer = byNumber.remove(number);
         if (peer != null) {
-            peer.connection.endWhenSent(why.code(), place);
+            peer.connection.endWhenSent(reason.code(), detail);
         }
     }
 
--- a/src/main/java/rockshift/distribution/wire/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -2,12 +2,9 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import org.apache.hc.core5.reactor.IOSession;
-import org.apache.hc.core5.util.Timeout;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.distribution.DistributionMessage;
@@ -15,18 +12,18 @@
 import rockshift.distribution.Relay;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Summary;
-import rockshift.wire.FramedConnection;
-import rockshift.wire.Frames;
 
 /**
  * A relay on sockets: it subscribes upstream and serves subscribers of its own. Each decision is
- * the {@link Relay}'s; its steps run one at a time, on the threads of the reactor.
+ * the {@link Relay}'s.
+ *
+ * <p>The relay's steps run one at a time under this object's monitor, on the reactor's threads.
  */
 public final class RelayProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RelayProcess.class);
 
     /** Bytes that may wait for one subscriber: all that it need not have acknowledged. */
-    private static final int MOST_UNSENT = 4 << 20;
+    private static final int MAX_UNSENT_BYTES = 4 << 20;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -35,12 +32,12 @@
     private final UpstreamConnector upstream;
     private final DownstreamConnections downstream;
     private final Relay relay;
-    private final StalenessMonitor cutOff;
+    private final StalenessMonitor staleness;
     private final Runnable tick = this::tick;
     private boolean closed;
     private int port;
 
-    /** A relay that holds nothing; {@link #start} has it begin. */
+    /** A relay without a state; {@link #start} has it begin. */
     public RelayProcess(
             DistributionSettings settings, DistributionReactor reactor, RandomGenerator random) {
         this.settings = settings;
@@ -57,48 +54,45 @@
                         settings.upstreams().size(),
                         settings.limits(),
                         random,
-                        new Effects());
-        cutOff =
+                        upstream,
+                        downstream,
+                        this::logNotice);
+        staleness =
                 new StalenessMonitor(
                         settings.limits().timing().staleThresholdMillis(),
-                        now(),
-                        age ->
-                                LOG.warn(
-                                        "relay {} is cut off: what it holds, revision {}, is {} ms"
-                                                + " old",
-                                        settings.name(),
-                                        revision(),
-                                        age),
-                        after ->
-                                LOG.info(
-                                        "relay {} is up to date again after {} ms, revision {}",
-                                        settings.name(),
-                                        after,
-                                        revision()));
+                        nowMillis(),
+                        this::logStale,
+                        this::logFreshAgain);
     }
 
-    private static long now() {
+    private static long nowMillis() {
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
     /** Listens, and begins to connect upstream. */
     public void start() throws IOException, InterruptedException {
         InetSocketAddress listen = settings.relay().listen();
-        port = reactor.listen(listen, DownstreamConnection::new);
-        reactor.tick(tick);
+        port =
+                reactor.listen(
+                        listen,
+                        (session, readBuffer) ->
+                                new DistributionConnection(
+                                        session, readBuffer, MAX_UNSENT_BYTES, downstream));
+        reactor.addTickTask(tick);
         LOG.info(
-                "relay {} listens on {}, port {}, upstreams {}",
+                "relay listening name={} address={} port={} upstreams={}",
                 settings.name(),
                 listen.getHostString(),
                 port,
                 settings.upstreams().keySet());
     }
 
+    /** Where it listens, once it was started. */
     public int port() {
         return port;
     }
 
-    /** What it holds. */
+    /** The revision of its state. */
     public synchronized Revision revision() {
         return relay.store().current();
     }
@@ -108,7 +102,7 @@
         return relay.publisher().summary();
     }
 
-    /** Connections of subscribers. */
+    /** How many connections of subscribers are open. */
     public synchronized int connections() {
         return relay.publisher().connections();
     }
@@ -120,12 +114,12 @@
 
     private synchronized void tick() {
         if (!closed) {
-            relay.tick(now());
-            cutOff.look(relay.subscriber().freshAtMillis(), now());
+            relay.tick(nowMillis());
+            staleness.check(relay.subscriber().freshAtMillis(), nowMillis());
         }
     }
 
-    private synchronized void step(Runnable step) {
+    private synchronized void execute(Runnable step) {
         if (!closed) {
             step.run();
         }
@@ -135,71 +129,59 @@
     @Override
     public synchronized void close() {
         closed = true;
-        reactor.stopTicking(tick);
+        reactor.removeTickTask(tick);
         upstream.close();
     }
 
-    /** A subscriber's connection. */
-    private final class DownstreamConnection extends FramedConnection {
-        DownstreamConnection(IOSession session, ByteBuffer readBuffer) {
-            super(session, readBuffer, MOST_UNSENT);
-        }
-
-        @Override
-        public void connected(IOSession same) {
-            session().setSocketTimeout(Timeout.DISABLED);
-            downstream.opened(this);
-        }
-
-        @Override
-        protected void take(Frames.Frame frame) throws IOException {
-            if (frame.kind() != Frames.WATCH) {
-                throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
-            }
-            downstream.received(this, frame.payload());
-        }
-
-        @Override
-        protected void quiet() {
-            end(RejectionReason.SILENT.code(), "");
-        }
+    private void logNotice(RejectionReason reason, String detail) {
+        LOG.warn(
+                "upstream notice relay={} reason={} detail=\"{}\"",
+                settings.name(),
+                reason.code(),
+                detail);
+    }
 
-        @Override
-        protected void failed(Exception failure) {
-            LOG.error("failure on a subscriber's connection", failure);
-        }
+    private void logStale(long ageMillis) {
+        LOG.warn(
+                "relay stale name={} revision={} ageMillis={}",
+                settings.name(),
+                revision(),
+                ageMillis);
+    }
 
-        @Override
-        protected void ended() {
-            downstream.ended(this);
-        }
+    private void logFreshAgain(long afterMillis) {
+        LOG.info(
+                "relay up to date again name={} revision={} afterMillis={}",
+                settings.name(),
+                revision(),
+                afterMillis);
     }
 
     /** Hands the events of subscribers' connections to the relay. */
     private final class DownstreamOwner implements DownstreamConnections.Owner {
         @Override
         public void execute(Runnable step) {
-            step(step);
+            RelayProcess.this.execute(step);
         }
 
         @Override
         public void connected(long connection) {
-            relay.connected(connection, now());
+            relay.connected(connection, nowMillis());
         }
 
         @Override
         public void received(long connection, DistributionMessage message) {
-            relay.received(connection, message, now());
+            relay.received(connection, message, nowMillis());
         }
 
         @Override
-        public void undecodable(long connection, RejectionReason reason, String place) {
-            relay.undecodable(connection, reason, place, now());
+        public void undecodable(long connection, RejectionReason reason, String detail) {
+            relay.undecodable(connection, reason, detail, nowMillis());
         }
 
         @Override
         public void disconnected(long connection) {
-            relay.disconnected(connection, now());
+            relay.disconnected(connection, nowMillis());
         }
     }
 
@@ -207,60 +189,27 @@
     private final class UpstreamOwner implements UpstreamConnector.Owner {
         @Override
         public void execute(Runnable step) {
-            step(step);
+            RelayProcess.this.execute(step);
         }
 
         @Override
         public void connected() {
-            relay.upstreamConnected(now());
+            relay.upstreamConnected(nowMillis());
         }
 
         @Override
         public void received(DistributionMessage message) {
-            relay.upstreamReceived(message, now());
+            relay.upstreamReceived(message, nowMillis());
         }
 
         @Override
-        public void undecodable(RejectionReason reason, String place) {
-            relay.upstreamUndecodable(reason, place, now());
+        public void undecodable(RejectionReason reason, String detail) {
+            relay.upstreamUndecodable(reason, detail, nowMillis());
         }
 
         @Override
         public void disconnected() {
-            relay.upstreamDisconnected(now());
-        }
-    }
-
-    /** Carries out what the relay decides. */
-    private final class Effects implements Relay.Effects {
-        @Override
-        public void connect(int number) {
-            upstream.connect(number);
-        }
-
-        @Override
-        public void disconnect(RejectionReason why, String place) {
-            upstream.disconnect(why, place);
-        }
-
-        @Override
-        public void send(DistributionMessage message) {
-            upstream.send(message);
-        }
-
-        @Override
-        public void notice(RejectionReason reason, String place) {
-            LOG.warn("upstream of relay {}: {} {}", settings.name(), reason.code(), place);
-        }
-
-        @Override
-        public void send(long connection, DistributionMessage message) {
-            downstream.send(connection, message);
-        }
-
-        @Override
-        public void close(long connection, RejectionReason why, String place) {
-            downstream.close(connection, why, place);
+            relay.upstreamDisconnected(nowMillis());
         }
     }
 }
--- a/src/main/java/rockshift/distribution/wire/StalenessMonitor.java
+++ b/src/main/java/rockshift/distribution/wire/StalenessMonitor.java
@@ -3,44 +3,47 @@
 import java.util.function.LongConsumer;
 
 /**
- * Tells when what a subscriber holds has become older than is tolerated, and when it is up to date
- * again.
+ * Reports when the state of a subscriber has become older than is tolerated, and when it is up to
+ * date again. Owned by the subscriber's thread.
  */
 final class StalenessMonitor {
-    private final long tolerated;
-    private final long startedAt;
-    private final LongConsumer cutOff;
-    private final LongConsumer back;
-    private long lastFresh;
-    private boolean isCutOff;
+    private final long toleratedMillis;
+    private final long startedAtMillis;
+    private final LongConsumer onStale;
+    private final LongConsumer onFreshAgain;
+    private long lastFreshAtMillis;
+    private boolean stale;
 
     /**
-     * A watch that begins now.
+     * A monitor that begins now.
      *
-     * @param tolerated ms that what is held may be old
-     * @param cutOff is told how old it is
-     * @param back is told for how long nothing newer came
+     * @param toleratedMillis how old the state may be
+     * @param onStale gets the age of the state, in milliseconds
+     * @param onFreshAgain gets for how long nothing newer came, in milliseconds
      */
-    StalenessMonitor(long tolerated, long nowMs, LongConsumer cutOff, LongConsumer back) {
-        this.tolerated = tolerated;
-        this.startedAt = nowMs;
-        this.lastFresh = nowMs;
-        this.cutOff = cutOff;
-        this.back = back;
+    StalenessMonitor(
+            long toleratedMillis, long nowMillis, LongConsumer onStale, LongConsumer onFreshAgain) {
+        this.toleratedMillis = toleratedMillis;
+        this.startedAtMillis = nowMillis;
+        this.lastFreshAtMillis = nowMillis;
+        this.onStale = onStale;
+        this.onFreshAgain = onFreshAgain;
     }
 
     /**
-     * @param freshAt when what is held was the newest; the lowest long if it never was
+     * Reports a change, once.
+     *
+     * @param freshAtMillis when the state was the newest; the lowest long if it never was
      */
-    void look(long freshAt, long nowMs) {
-        long since = Math.max(freshAt, startedAt);
-        boolean old = nowMs - since > tolerated;
-        if (old && !isCutOff) {
-            cutOff.accept(nowMs - since);
-        } else if (!old && isCutOff) {
-            back.accept(nowMs - lastFresh);
+    void check(long freshAtMillis, long nowMillis) {
+        long sinceMillis = Math.max(freshAtMillis, startedAtMillis);
+        boolean old = nowMillis - sinceMillis > toleratedMillis;
+        if (old && !stale) {
+            onStale.accept(nowMillis - sinceMillis);
+        } else if (!old && stale) {
+            onFreshAgain.accept(nowMillis - lastFreshAtMillis);
         }
-        isCutOff = old;
-        lastFresh = since;
+        stale = old;
+        lastFreshAtMillis = sinceMillis;
     }
 }
--- a/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
@@ -2,48 +2,54 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.util.List;
-import org.apache.hc.core5.reactor.IOSession;
-import org.apache.hc.core5.util.Timeout;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.distribution.DistributionMessage;
 import rockshift.distribution.RejectionReason;
+import rockshift.distribution.Subscriber;
 import rockshift.wire.FramedConnection;
 import rockshift.wire.Frames;
 
 /**
  * A subscriber's connection to one upstream at a time: it dials, turns messages into frames and
- * back, and tells of nothing that belongs to a connection which was given up. Where to dial, and
- * when, decides the subscriber.
+ * back, and reports nothing of a connection that was given up. Where to dial, and when, decides the
+ * subscriber.
+ *
+ * <p>Events come on the reactor's threads and are handed to the owner's steps, one at a time; all
+ * fields that change belong to these steps.
  */
-final class UpstreamConnector {
+final class UpstreamConnector implements Subscriber.Transport {
     private static final Logger LOG = LoggerFactory.getLogger(UpstreamConnector.class);
 
     /** Bytes that may wait to be sent upstream: some thousand acknowledgements. */
-    private static final int MOST_UNSENT = 256 << 10;
+    private static final int MAX_UNSENT_BYTES = 256 << 10;
+
+    private static final int NOT_DIALLED = -1;
 
     /** The subscriber's owner, which has one step run at a time. */
     interface Owner {
         /** Runs a step of the subscriber. */
         void execute(Runnable step);
 
+        /** The connection is up. */
         void connected();
 
+        /** A message came. */
         void received(DistributionMessage message);
 
-        void undecodable(RejectionReason reason, String place);
+        /** A message came that can't be decoded. */
+        void undecodable(RejectionReason reason, String detail);
 
+        /** The connection, or the attempt at one, has ended. */
         void disconnected();
     }
 
     private final DistributionReactor reactor;
     private final List<InetSocketAddress> upstreams;
     private final Owner owner;
-    // Used within the owner's steps alone.
     private Attempt current;
-    private int upstream = -1;
+    private int upstream = NOT_DIALLED;
 
     UpstreamConnector(DistributionReactor reactor, List<InetSocketAddress> upstreams, Owner owner) {
         this.reactor = reactor;
@@ -51,161 +57,133 @@
         this.owner = owner;
     }
 
+    /** Dials an upstream. The name is looked up anew each time. */
+    @Override
+    public void connect(int number) {
+        InetSocketAddress address = upstreams.get(number);
+        upstream = number;
+        Attempt attempt = new Attempt(address);
+        current = attempt;
+        reactor.dial(
+                new InetSocketAddress(address.getHostString(), address.getPort()),
+                (session, readBuffer) ->
+                        new DistributionConnection(session, readBuffer, MAX_UNSENT_BYTES, attempt),
+                attempt::failed);
+    }
+
+    /** Gives up the connection, or the attempt at one. */
+    @Override
+    public void disconnect(RejectionReason reason, String detail) {
+        if (current != null) {
+            current.giveUp(reason, detail);
+            current = null;
+        }
+    }
+
+    /** Sends a message; where too much waits already the connection ends. */
+    @Override
+    public void send(DistributionMessage message) {
+        if (current == null || current.connection == null) {
+            return;
+        }
+        FramedConnection connection = current.connection;
+        try {
+            if (!connection.send(Frames.WATCH, DistributionCodec.write(message))) {
+                connection.end("not-reading", "too much waits to be read");
+            }
+        } catch (IOException impossible) {
+            LOG.error("message not encodable peer={}", connection.from(), impossible);
+            connection.end("failure", String.valueOf(impossible.getMessage()));
+        }
+    }
+
+    /** Ends the connection for good. */
+    void close() {
+        if (current != null && current.connection != null) {
+            current.connection.endWhenSent("stopping", "");
+        }
+        current = null;
+    }
+
+    /** The upstream dialled last, by its index in the list; -1 before the first. */
+    int upstream() {
+        return upstream;
+    }
+
     /** One dial, and the connection that came of it. */
-    private final class Attempt {
+    private final class Attempt implements DistributionConnection.Handler {
         private final InetSocketAddress address;
-        private UpstreamConnection connection;
-        private RejectionReason givenUp;
-        private String place = "";
+        private FramedConnection connection;
+        private RejectionReason abandonReason;
+        private String abandonDetail = "";
 
         Attempt(InetSocketAddress address) {
             this.address = address;
         }
 
-        /** Runs a step of the owner unless this attempt was given up meanwhile. */
-        void step(Runnable step) {
-            owner.execute(
-                    () -> {
-                        if (current == this) {
-                            step.run();
-                        }
-                    });
+        void giveUp(RejectionReason reason, String detail) {
+            abandonReason = reason;
+            abandonDetail = detail;
+            if (connection != null) {
+                connection.endWhenSent(reason.code(), detail);
+            }
         }
 
+        /** The dial failed. Never handled within a step: a dial may fail as it is begun. */
         void failed(String why) {
-            // Never from within a step: a dial may fail as it is begun.
-            reactor.execute(
-                    () ->
-                            step(
-                                    () -> {
-                                        reactor.upstreamLog()
-                                                .ended(
-                                                        address,
-                                                        RejectionReason.UNREACHABLE.code(),
-                                                        why);
-                                        current = null;
-                                        owner.disconnected();
-                                    }));
+            reactor.execute(() -> executeIfCurrent(() -> unreachable(why)));
         }
 
-        void opened(UpstreamConnection opened) {
+        @Override
+        public void opened(FramedConnection opened) {
             owner.execute(
                     () -> {
                         connection = opened;
                         if (current == this) {
                             owner.connected();
                         } else {
-                            opened.endWhenSent(
-                                    givenUp == null ? "stopping" : givenUp.code(), place);
+                            String code = abandonReason == null ? "stopping" : abandonReason.code();
+                            opened.endWhenSent(code, abandonDetail);
                         }
                     });
         }
 
-        void giveUp(RejectionReason why, String where) {
-            givenUp = why;
-            place = where;
-            if (connection != null) {
-                connection.endWhenSent(why.code(), where);
-            }
-        }
-    }
-
-    /** The connection of an attempt. */
-    private final class UpstreamConnection extends FramedConnection {
-        private final Attempt attempt;
-
-        UpstreamConnection(IOSession session, ByteBuffer readBuffer, Attempt attempt) {
-            super(session, readBuffer, MOST_UNSENT);
-            this.attempt = attempt;
-        }
-
         @Override
-        public void connected(IOSession same) {
-            session().setSocketTimeout(Timeout.DISABLED);
-            attempt.opened(this);
-        }
-
-        @Override
-        protected void take(Frames.Frame frame) throws IOException {
-            if (frame.kind() != Frames.WATCH) {
-                throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
-            }
+        public void received(FramedConnection same, byte[] payload) {
             try {
-                DistributionMessage message = DistributionCodec.read(frame.payload());
-                attempt.step(() -> owner.received(message));
+                DistributionMessage message = DistributionCodec.read(payload);
+                executeIfCurrent(() -> owner.received(message));
             } catch (IOException malformed) {
-                attempt.step(
-                        () -> owner.undecodable(RejectionReason.MALFORMED, malformed.getMessage()));
+                String detail = malformed.getMessage();
+                executeIfCurrent(() -> owner.undecodable(RejectionReason.MALFORMED, detail));
             }
         }
 
         @Override
-        protected void quiet() {
-            end(RejectionReason.SILENT.code(), "");
+        public void ended(FramedConnection same) {
+            String code = same.reason() == null ? "stopping" : same.reason();
+            reactor.upstreamLog().ended(address, code, same.about());
+            executeIfCurrent(this::disconnected);
         }
 
-        @Override
-        protected void failed(Exception failure) {
-            LOG.error("failure on an upstream connection", failure);
+        private void unreachable(String why) {
+            reactor.upstreamLog().ended(address, RejectionReason.UNREACHABLE.code(), why);
+            disconnected();
         }
 
-        @Override
-        protected void ended() {
-            reactor.upstreamLog()
-                    .ended(attempt.address, reason() == null ? "stopping" : reason(), about());
-            attempt.step(
-                    () -> {
-                        current = null;
-                        owner.disconnected();
-                    });
-        }
-    }
-
-    /** Dials an upstream. The name is looked up anew each time. */
-    void connect(int number) {
-        InetSocketAddress told = upstreams.get(number);
-        upstream = number;
-        Attempt attempt = new Attempt(told);
-        current = attempt;
-        reactor.dial(
-                new InetSocketAddress(told.getHostString(), told.getPort()),
-                (session, readBuffer) -> new UpstreamConnection(session, readBuffer, attempt),
-                attempt::failed);
-    }
-
-    /** Gives up the connection, or the attempt at one. */
-    void disconnect(RejectionReason why, String place) {
-        if (current != null) {
-            current.giveUp(why, place);
+        private void disconnected() {
             current = null;
+            owner.disconnected();
         }
-    }
-
-    /** Sends a message; where too much waits already the connection ends. */
-    void send(DistributionMessage message) {
-        if (current == null || current.connection == null) {
-            return;
-        }
-        try {
-            if (!current.connection.send(Frames.WATCH, DistributionCodec.write(message))) {
-                current.connection.end("not-reading", "too much waits to be read");
-            }
-        } catch (IOException impossible) {
-            LOG.error("a message that can't be written", impossible);
-            current.connection.end("failure", String.valueOf(impossible.getMessage()));
-        }
-    }
 
-    /** Ends the connection for good. */
-    void close() {
-        if (current != null && current.connection != null) {
-            current.connection.endWhenSent("stopping", "");
+        /** Runs a step of the owner unless this attempt was given up meanwhile. */
+        private void executeIfCurrent(Runnable step) {
+            owner.execute(
+                    () -> {
+                        if (current == this) {
+                            step.run();
+                        }
+                    });
         }
-        current = null;
-    }
-
-    /** The upstream dialled last, by its place in the list; -1 before the first. */
-    int upstream() {
-        return upstream;
     }
 }
