--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -6,6 +6,7 @@
 import rockshift.cluster.ClusterMember;
 import rockshift.cluster.ClusterSettings;
 import rockshift.cluster.LocalController;
+import rockshift.model.ControlScope;
 import rockshift.model.Endpoint;
 import rockshift.server.AgreedChangesReceiver;
 import rockshift.server.AgreedChangesSource;
@@ -46,7 +47,12 @@
 
     @Override
     public void reach(LocalController.Reach reach) {
-        receiver.reach(rockshift.model.ControlScope.valueOf(reach.name()));
+        receiver.reach(
+                switch (reach) {
+                    case FULL -> ControlScope.FULL;
+                    case WITHDRAW -> ControlScope.REMOVALS_ONLY;
+                    case HOLD -> ControlScope.NONE;
+                });
     }
 
     @Override
--- a/src/main/java/rockshift/model/ControlScope.java
+++ b/src/main/java/rockshift/model/ControlScope.java
@@ -1,11 +1,14 @@
 package rockshift.model;
 
-/**
- * What a governor may order: everything; what the rules owe, as it is cut off from most others;
- * nothing.
- */
+/** How much a controller may change at present. */
 public enum ControlScope {
+    /** Everything. */
     FULL,
-    WITHDRAW,
-    HOLD
+    /**
+     * Only what safety requires, as the controller is out of touch with most others: replicas that
+     * drain or left come out of the tables, and no table stays empty.
+     */
+    REMOVALS_ONLY,
+    /** Nothing. */
+    NONE
 }
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -448,7 +448,7 @@
                 place == null
                         || !place.laid
                         || place.filled == 0
-                        || setControlScope == ControlScope.HOLD;
+                        || setControlScope == ControlScope.NONE;
         return none
                 ? Double.MAX_VALUE
                 : brief ? place.shared.filled + 2 : place.filled + 2 * classes;
@@ -476,7 +476,7 @@
             return back != null;
         }
         // Once a turn: what has changed since is told in the next one.
-        if (warnedAt == now || setControlScope == ControlScope.HOLD) {
+        if (warnedAt == now || setControlScope == ControlScope.NONE) {
             return false;
         }
         warnedAt = now;
@@ -1092,8 +1092,8 @@
                             || cold && 2 * change.to < old
                             || place.bound == 0
                             || place.sent > 0 && old == 0 && change.path != null;
-            if (setControlScope == ControlScope.HOLD
-                    || setControlScope == ControlScope.WITHDRAW && !owed
+            if (setControlScope == ControlScope.NONE
+                    || setControlScope == ControlScope.REMOVALS_ONLY && !owed
                     || !gathered && !atOnce) {
                 continue;
             }
--- a/src/main/java/rockshift/planner/PlannerState.java
+++ b/src/main/java/rockshift/planner/PlannerState.java
@@ -182,7 +182,7 @@
         this.now = now;
         urgent |= to != setControlScope;
         setControlScope = to;
-        notes.add("orders " + to);
+        notes.add("controlScope scope=" + to);
     }
 
     /** A proxy's stream is up; the proxy holds what it held. */
