--- a/src/main/java/rockshift/server/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/server/AgreedChangesReceiver.java
@@ -4,6 +4,7 @@
 import java.util.Map;
 import rockshift.model.ControlScope;
 import rockshift.model.Endpoint;
+import rockshift.settings.SettingOverrides;
 
 /**
  * Hands the changes that controllers agree on to this one's planner, through the event loop's queue
@@ -45,18 +46,21 @@
      *
      * @param drains by replica name, the latest start that is drained, in ticks of 100 us
      */
-    public void applyAgreed(long version, Map<String, Long> drains, Map<String, String> terms) {
-        applyAgreed(version, drains, terms, () -> {});
+    public void applyAgreed(long version, Map<String, Long> drains, SettingOverrides overrides) {
+        applyAgreed(version, drains, overrides, () -> {});
     }
 
     /**
      * The same, and runs a task on the event loop's thread once the planner goes by the changes.
      */
     public void applyAgreed(
-            long version, Map<String, Long> drains, Map<String, String> terms, Runnable onApplied) {
+            long version,
+            Map<String, Long> drains,
+            SettingOverrides overrides,
+            Runnable onApplied) {
         Map<Long, Long> drainsById = new HashMap<>();
         drains.forEach((name, start) -> drainsById.put(ReplicaIds.idOf(name), start));
-        loop.submit(new PlannerEvent.AgreedChanges(version, drainsById, terms, onApplied));
+        loop.submit(new PlannerEvent.AgreedChanges(version, drainsById, overrides, onApplied));
     }
 
     /** Sets how far the planner may change tables. */
--- a/src/main/java/rockshift/server/ControllerProcess.java
+++ b/src/main/java/rockshift/server/ControllerProcess.java
@@ -53,9 +53,6 @@
         } catch (ControllerConfiguration.InvalidFileException invalid) {
             System.err.println(invalid.getMessage());
             return INVALID_USAGE;
-        } catch (NumberFormatException invalid) {
-            System.err.println(file + ": field settings: " + invalid.getMessage());
-            return INVALID_USAGE;
         } catch (IOException failure) {
             System.err.println(failure.getMessage());
             return FAILED;
--- a/src/main/java/rockshift/server/ControllerServer.java
+++ b/src/main/java/rockshift/server/ControllerServer.java
@@ -39,14 +39,14 @@
     ControllerServer(ControllerConfiguration configuration, AgreedChangesSource source) {
         this.configuration = configuration;
         this.source = source;
-        loop = new EventLoop(configuration.seed(), configuration.terms());
+        loop = new EventLoop(configuration.seed(), configuration.settings());
         receiver = source == null ? null : new AgreedChangesReceiver(loop);
         loop.submitEndpoints(configuration.known());
         loopThread = new Thread(loop, "event-loop");
         discovery =
                 new DiscoveryWatch(configuration.discovery(), loop, DiscoveryWatch.newHttpClient());
         connections =
-                new ProxyConnections(loop, configuration.terms(), configuration.descriptors());
+                new ProxyConnections(loop, configuration.settings(), configuration.descriptors());
         listener = new ProxyListener(connections);
     }
 
--- a/src/main/java/rockshift/server/EndpointListReader.java
+++ b/src/main/java/rockshift/server/EndpointListReader.java
@@ -10,7 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import rockshift.model.Endpoint;
-import rockshift.settings.SettingNames;
 
 /** Reads discovery's JSON form of a list of replicas; fields that it does not know are skipped. */
 final class EndpointListReader {
@@ -82,7 +81,7 @@
                 case "instanceId" -> name = readText();
                 case "zone" -> zone = readText();
                 case "machineType" -> machineType = readText();
-                case "lifecycle" -> health = SettingNames.health(readText());
+                case "lifecycle" -> health = Endpoint.Health.fromWireName(readText());
                 case "startedAtMs" ->
                         startedAtTicks =
                                 Math.round(json.getDoubleValue() * EventLoop.TICKS_PER_MILLI);
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -10,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.planner.Planner;
-import rockshift.settings.ClassNames;
+import rockshift.settings.PlannerSettings;
 
 /**
  * The thread that owns the planner, and the queue through which everything else reaches it. A turn
@@ -72,10 +71,10 @@
     /** Publishes to the loop's thread that no further turn may begin. */
     private volatile boolean closed;
 
-    EventLoop(long seed, Map<String, String> terms) {
-        planner = new Planner(now(), seed, terms);
-        tables = new PublishedTables(ClassNames.of(terms), delay -> wakeAtTicks = now() + delay);
-        turnSpacingTicks = Long.parseLong(terms.getOrDefault("turn.spacing", "0"));
+    EventLoop(long seed, PlannerSettings settings) {
+        planner = new Planner(now(), seed, settings);
+        tables = new PublishedTables(settings.classNames(), delay -> wakeAtTicks = now() + delay);
+        turnSpacingTicks = settings.turnSpacingTicks();
     }
 
     /** The planner's clock, in ticks: monotonic, and Unix time as the process starts. */
--- a/src/main/java/rockshift/server/MessageValidator.java
+++ b/src/main/java/rockshift/server/MessageValidator.java
@@ -1,9 +1,8 @@
 package rockshift.server;
 
-import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import rockshift.settings.ClassNames;
+import rockshift.settings.PlannerSettings;
 
 /**
  * The checks that the message types share: that a field names a zone, proxy or class of this
@@ -29,13 +28,11 @@
     private final int proxyCount;
     private final boolean requiresUtilization;
 
-    MessageValidator(Map<String, String> terms) {
-        zones = Set.of(terms.get("zones").split(","));
-        classes = ClassNames.of(terms);
-        proxyCount = (int) Double.parseDouble(terms.get("proxies"));
-        requiresUtilization =
-                List.of(terms.getOrDefault("load.values", "").split(","))
-                        .contains(RespCodec.UTILIZATION);
+    MessageValidator(PlannerSettings settings) {
+        zones = Set.copyOf(settings.zones());
+        classes = settings.classNames();
+        proxyCount = settings.expectedProxies();
+        requiresUtilization = settings.loadMetricNames().contains(RespCodec.UTILIZATION);
     }
 
     /** How many peers the deployment has: each proxy and one collector a zone. */
--- a/src/main/java/rockshift/server/PlannerEvent.java
+++ b/src/main/java/rockshift/server/PlannerEvent.java
@@ -3,6 +3,7 @@
 import java.util.Map;
 import rockshift.model.ControlScope;
 import rockshift.planner.Planner;
+import rockshift.settings.SettingOverrides;
 
 /**
  * One input of the planner. Socket threads create events and queue them on the {@link EventLoop};
@@ -91,12 +92,12 @@
      * @param onApplied run by the event loop's thread once the planner goes by the changes
      */
     record AgreedChanges(
-            long version, Map<Long, Long> drains, Map<String, String> terms, Runnable onApplied)
+            long version, Map<Long, Long> drains, SettingOverrides overrides, Runnable onApplied)
             implements PlannerEvent {
         @Override
         public void apply(long nowTicks, Planner planner, PublishedTables tables) {
             tables.agreedChangesReceived();
-            planner.applyAgreedChanges(nowTicks, version, drains, terms);
+            planner.applyAgreedChanges(nowTicks, version, drains, overrides);
             onApplied.run();
         }
     }
--- a/src/main/java/rockshift/server/ProxyConnections.java
+++ b/src/main/java/rockshift/server/ProxyConnections.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import org.apache.hc.core5.reactor.IOSession;
+import rockshift.settings.PlannerSettings;
 
 /**
  * The open connections of proxies, collectors and unidentified peers: how many there may be, and
@@ -33,9 +34,9 @@
     /** The newest connection of each identified peer, by the peer's label. */
     private final Map<String, ProxyConnection> newest = new HashMap<>();
 
-    ProxyConnections(EventLoop loop, Map<String, String> terms, int descriptors) {
+    ProxyConnections(EventLoop loop, PlannerSettings settings, int descriptors) {
         this.loop = loop;
-        validator = new MessageValidator(terms);
+        validator = new MessageValidator(settings);
         maxConnections = Math.max(1, descriptors - RESERVED_DESCRIPTORS);
     }
 
--- a/src/test/java/rockshift/server/ControllerStartTest.java
+++ b/src/test/java/rockshift/server/ControllerStartTest.java
@@ -143,4 +143,25 @@
                     .doesNotContain("\n");
         }
     }
+
+    /** A setting that cannot be parsed once failed in each planning round instead. */
+    @ParameterizedTest
+    @CsvSource({
+        "'\"fixed_cost\":3.0', '\"push_price\":\"dear\"', domain.push_price: a number from 0",
+        "'\"backlog\":5000.0', '\"backlog\":-1', domain.backlog: a number from 0",
+        "'\"proxy_count\":8', '\"proxy_count\":\"few\"', domain.proxy_count: a number from 0",
+        "'\"granularity_us\":5000', '\"granularity_us\":\"x\"', granularity_us: a time in"
+                + " microseconds"
+    })
+    void unparsableSettingIsReportedWithItsField(String field, String bad, String expected)
+            throws Exception {
+        String settings = SETTINGS.replace(field, bad);
+        assertThat(settings).isNotEqualTo(SETTINGS);
+        String file = configuration("127.0.0.1:0", 1024, settings, entry("s-1", "Ready", 0));
+        assertThat(ControllerProcess.run(Map.of("RELAY_CONFIG", file), new ProcessSignals(), null))
+                .isEqualTo(2);
+        assertThat(errorOutput.toString(StandardCharsets.UTF_8).trim())
+                .startsWith(file + ": field settings: " + expected + ", not '")
+                .doesNotContain("\n");
+    }
 }
