--- /dev/null
+++ b/src/test/java/rockshift/distribution/SimulatedRelay.java
@@ -0,0 +1,94 @@
+package rockshift.distribution;
+
+/** A relay below all members. */
+final class SimulatedRelay extends SimulatedServer
+        implements SimulatedNetwork.Client, Subscriber.Transport {
+    private Relay relay;
+    private SimulatedNetwork.Link link;
+
+    SimulatedRelay(DistributionWorld world, String name) {
+        super(world, name);
+    }
+
+    void begin() {
+        restart();
+        world.tick(host, () -> relay.tick(world.now()));
+    }
+
+    /** Starts again with nothing. */
+    void restart() {
+        world.network.stop(host);
+        world.network.start(host);
+        link = null;
+        relay =
+                new Relay(
+                        host.name,
+                        Scope.all(),
+                        world.members.size(),
+                        world.limits,
+                        world.newRandom(),
+                        this,
+                        this,
+                        (reason, detail) -> {});
+    }
+
+    Relay relay() {
+        return relay;
+    }
+
+    @Override
+    Publisher publisher() {
+        return relay.publisher();
+    }
+
+    @Override
+    ConfigurationStore store() {
+        return relay.store();
+    }
+
+    @Override
+    public void connect(int upstream) {
+        SimulatedMember member = world.members.get(upstream);
+        link = world.network.connect(host, this, member.host, member);
+    }
+
+    @Override
+    public void disconnect(RejectionReason reason, String detail) {
+        world.network.closeAtClient(link);
+    }
+
+    @Override
+    public void send(DistributionMessage message) {
+        world.network.sendUp(link, message);
+    }
+
+    @Override
+    public void connected(long at) {
+        relay.upstreamConnected(at);
+    }
+
+    @Override
+    public void disconnected(long at) {
+        relay.upstreamDisconnected(at);
+    }
+
+    @Override
+    public void received(DistributionMessage message, long at) {
+        relay.upstreamReceived(message, at);
+    }
+
+    @Override
+    public void connected(long connection, long at) {
+        relay.connected(connection, at);
+    }
+
+    @Override
+    public void disconnected(long connection, long at) {
+        relay.disconnected(connection, at);
+    }
+
+    @Override
+    public void received(long connection, DistributionMessage message, long at) {
+        relay.received(connection, message, at);
+    }
+}
