--- /dev/null
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -0,0 +1,243 @@
+package rockshift.planner;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Locale;
+import rockshift.model.Ticks;
+import rockshift.settings.AdmissionMode;
+import rockshift.settings.ClassSettings;
+
+/**
+ * Sets the fraction of each class that proxies admit: no more than the fleet can answer, and the
+ * class refused first whose refusal costs the goal least.
+ *
+ * <p>Inputs: arrivals and attempts with the ticks that they cover, the fleet's capacity in answers
+ * a tick and its load, the median failure ratio. Acts only where levels are fractions.
+ *
+ * <p>Guards against queues that outgrow the latency objective, whether demand rose or capacity was
+ * lost, and against congestion collapse, where servers work on what nobody waits for any more.
+ * Shows as levels below 1; {@code admissionPaused reason=congestionCollapse median=...} for the
+ * second. Holds because refusals never depend on the estimates alone: a fleet that is not busy
+ * refuses nothing. It may refuse too much while capacity is underrated.
+ */
+final class AdmissionController {
+    /** Fraction of the fleet's capacity that may be admitted. */
+    private static final double TARGET_UTILIZATION = 0.8;
+
+    /** Mean load of the fleet below which nothing is refused. */
+    private static final double MIN_LOAD = 0.6;
+
+    /** Mean load of the fleet from which it counts as overloaded. */
+    private static final double OVERLOAD = 0.8;
+
+    /** Level gained a round at most: admitted all at once, those who waited would be too many. */
+    private static final double MAX_INCREASE_PER_ROUND = 0.2;
+
+    /** Least level of any class. */
+    private static final double MIN_LEVEL = 0.05;
+
+    /** Median failure ratio up to which the fleet counts as calm, and its capacity as known. */
+    private static final double CALM_FAILURE_RATIO = 0.05;
+
+    /** Part of the way that the calm capacity moves a round. */
+    private static final double CALM_CAPACITY_STEP_FRACTION = 0.3;
+
+    /** Fraction of the calm capacity that counts as there in a congestion collapse. */
+    private static final double COLLAPSE_CAPACITY_FRACTION = 0.75;
+
+    /** Median failure ratio that means a congestion collapse. */
+    private static final double COLLAPSE_FAILURE_RATIO = 0.6;
+
+    /** Time until reports tell how a pause ended. */
+    private static final long PAUSE_SETTLING_TICKS = 5 * Ticks.TICKS_PER_SECOND;
+
+    /** How often a refused client comes again, at most. */
+    private static final double MAX_CLIENT_RETRIES = 3;
+
+    /** Fraction refused from which the client retries can be learned. */
+    private static final double MIN_REFUSED_FRACTION = 0.15;
+
+    /** Part of the way that the client retries move a round. */
+    private static final double CLIENT_RETRIES_STEP_FRACTION = 0.2;
+
+    private final boolean enabled;
+    private final List<ClassSettings> classes;
+    private final DecisionLog log;
+    private final double[] levels;
+    private double clientRetries;
+    private double calmRatePerBaselineRate;
+    private long pausedUntilTicks;
+
+    AdmissionController(AdmissionMode mode, List<ClassSettings> classes, DecisionLog log) {
+        enabled = mode == AdmissionMode.FRACTION;
+        this.classes = classes;
+        this.log = log;
+        levels = new double[classes.size()];
+        Arrays.fill(levels, 1);
+    }
+
+    /** The fraction of a class that is admitted. */
+    double level(int classNumber) {
+        return levels[classNumber];
+    }
+
+    /** A copy, by class. */
+    double[] levels() {
+        return levels.clone();
+    }
+
+    /**
+     * Updates the levels.
+     *
+     * @param worstClassWeight weight of the class with the worst result in the goal, 0 to 1
+     */
+    void update(
+            TrafficWindows traffic,
+            BaselineRates baseline,
+            FleetCapacity capacity,
+            double medianFailureRatio,
+            double worstClassWeight,
+            long now) {
+        if (!enabled || traffic.isEmpty()) {
+            return;
+        }
+        learnClientRetries(traffic);
+        boolean overloaded = !(capacity.load() < OVERLOAD);
+        double[] demand = demandPerTick(traffic, baseline, overloaded);
+        double admissible =
+                admissiblePerTick(traffic, baseline, capacity, medianFailureRatio, overloaded);
+        pauseOnCongestionCollapse(capacity, medianFailureRatio, now);
+        setLevels(demand, admissible, capacity.load() < MIN_LOAD, worstClassWeight, now);
+    }
+
+    /**
+     * How often a refused client comes again, learned from what was admitted beyond the attempts
+     * seen; slowly, as attempts end late. Taken for new demand, retries would have ever more
+     * refused.
+     */
+    private void learnClientRetries(TrafficWindows traffic) {
+        double admitted = traffic.admittedArrivals();
+        double refusedFraction = 1 - admitted / traffic.arrivals();
+        double excess = admitted / Math.max(1, traffic.attempts()) - 1;
+        double found = Math.max(0, Math.min(MAX_CLIENT_RETRIES, excess / refusedFraction));
+        if (refusedFraction > MIN_REFUSED_FRACTION) {
+            clientRetries += CLIENT_RETRIES_STEP_FRACTION * (found - clientRetries);
+        }
+    }
+
+    /**
+     * First attempts a tick, by class. The careful time counts arrivals too low at a start, up to a
+     * half: only an overloaded fleet, where more comes than is reported yet, goes by it.
+     */
+    private double[] demandPerTick(
+            TrafficWindows traffic, BaselineRates baseline, boolean overloaded) {
+        double fromFirst = traffic.coveredTicksFromFirstReport();
+        double covered = overloaded ? Math.max(traffic.coveredTicks(), fromFirst / 2) : fromFirst;
+        double growth = baseline.growthSinceTrafficWindow();
+        double[] demand = new double[classes.size()];
+        for (int k = 0; k < demand.length; k++) {
+            demand[k] =
+                    growth
+                            * traffic.arrivals(k)
+                            / covered
+                            / (1 + clientRetries * (1 - traffic.admittedFraction(k)));
+        }
+        return demand;
+    }
+
+    /**
+     * What may be admitted a tick. In a congestion collapse answers fall though the capacity is
+     * there, and refusing by them would refuse nearly all: a part of what was there in calmer times
+     * is admitted. That is too much where much capacity is really lost.
+     */
+    private double admissiblePerTick(
+            TrafficWindows traffic,
+            BaselineRates baseline,
+            FleetCapacity capacity,
+            double medianFailureRatio,
+            boolean overloaded) {
+        double usual = baseline.currentPerSecond();
+        double step =
+                calmRatePerBaselineRate == 0
+                        ? 1
+                        : medianFailureRatio < CALM_FAILURE_RATIO ? CALM_CAPACITY_STEP_FRACTION : 0;
+        double ratePerBaselineRate = capacity.answersPerTick() / Math.max(usual, Double.MIN_NORMAL);
+        calmRatePerBaselineRate += step * (ratePerBaselineRate - calmRatePerBaselineRate);
+        double answersPerTick =
+                overloaded
+                        ? capacity.answersPerTick()
+                        : capacity.answersPerTick()
+                                * traffic.capacityTicks()
+                                / traffic.capacityTicksFromFirstReport();
+        double inCollapse = COLLAPSE_CAPACITY_FRACTION * calmRatePerBaselineRate * usual;
+        return TARGET_UTILIZATION * Math.max(answersPerTick, inCollapse);
+    }
+
+    /**
+     * In a full congestion collapse servers work on requests that have timed out, whatever is still
+     * admitted. Admitting next to nothing until the oldest has timed out frees them at once.
+     */
+    private void pauseOnCongestionCollapse(
+            FleetCapacity capacity, double medianFailureRatio, long now) {
+        if (medianFailureRatio > COLLAPSE_FAILURE_RATIO
+                && capacity.load() > OVERLOAD
+                && now > pausedUntilTicks + PAUSE_SETTLING_TICKS) {
+            for (ClassSettings each : classes) {
+                pausedUntilTicks = Math.max(pausedUntilTicks, now + each.timeoutTicks());
+            }
+            log.add(
+                    String.format(
+                            Locale.ROOT,
+                            "admissionPaused reason=congestionCollapse median=%.2f",
+                            medianFailureRatio));
+        }
+    }
+
+    private void setLevels(
+            double[] demandPerTick,
+            double admissiblePerTick,
+            boolean admitAll,
+            double worstClassWeight,
+            long now) {
+        double total = 0;
+        for (double each : demandPerTick) {
+            total += each;
+        }
+        int first = firstRefused(demandPerTick, total, worstClassWeight);
+        double own = first < 0 ? total : demandPerTick[first];
+        double rest = total - own;
+        double low = limit((admissiblePerTick - rest) / own);
+        double high = rest > 0 ? limit((admissiblePerTick - low * own) / rest) : 1;
+        for (int k = 0; k < levels.length; k++) {
+            double target = admitAll ? 1 : first < 0 || k == first ? low : high;
+            levels[k] =
+                    now < pausedUntilTicks
+                            ? MIN_LEVEL
+                            : Math.min(target, levels[k] + MAX_INCREASE_PER_ROUND);
+        }
+    }
+
+    private static double limit(double level) {
+        return Math.max(MIN_LEVEL, Math.min(1, level));
+    }
+
+    /** The class whose refusal costs the goal least a request; -1 where all refused alike do. */
+    private int firstRefused(double[] demandPerTick, double total, double worstClassWeight) {
+        double weightedDemand = 0;
+        for (int k = 0; k < classes.size(); k++) {
+            weightedDemand += demandPerTick[k] * classes.get(k).priorityWeight();
+        }
+        int first = -1;
+        double leastLoss = 1 / total;
+        for (int k = 0; k < classes.size(); k++) {
+            double loss =
+                    (1 - worstClassWeight) * classes.get(k).priorityWeight() / weightedDemand
+                            + worstClassWeight / demandPerTick[k];
+            if (loss < leastLoss) {
+                first = k;
+                leastLoss = loss;
+            }
+        }
+        return first;
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -0,0 +1,163 @@
+package rockshift.planner;
+
+import java.util.Collection;
+import java.util.DoubleSummaryStatistics;
+import java.util.List;
+import java.util.TreeMap;
+import rockshift.model.Ticks;
+
+/**
+ * Estimates capacities: what each replica would answer if it were busy all the time, as a share of
+ * the fleet.
+ *
+ * <p>Inputs: answers to this controller's proxies, and load as a fraction of time that the replica
+ * was busy for everyone. Their quotient is the capacity scaled by this controller's part of it,
+ * which needs no word from other controllers. Few answers lean on the mean of the machine type.
+ *
+ * <p>Guards against weights that feed on themselves: the answered rate alone follows the weight
+ * that a replica was given, and one replica draws ever more. It shows as one replica with many
+ * times the mean weight. Holds because a higher answered rate comes with a higher load.
+ */
+final class CapacityEstimator {
+    /** Memory of answers and loads. */
+    static final double MEMORY_TICKS = 8 * Ticks.TICKS_PER_SECOND;
+
+    /** A replica with fewer answers leans on the mean of its machine type. */
+    private static final double PRIOR_ANSWERS = 15;
+
+    /** A load report below it is mostly noise, and so would be a rate over it. */
+    private static final double MIN_LOAD = 0.05;
+
+    /**
+     * Answers that wait for a smaller fraction of their time may as well have brought less work.
+     */
+    private static final double MIN_WAITING_FRACTION = 0.25;
+
+    private final SlowStart slowStart;
+    private final RouteEligibility eligibility;
+    private final OutlierDetector outlierDetector;
+    private double loadWithoutReport = 1;
+
+    CapacityEstimator(
+            SlowStart slowStart, RouteEligibility eligibility, OutlierDetector outlierDetector) {
+        this.slowStart = slowStart;
+        this.eligibility = eligibility;
+        this.outlierDetector = outlierDetector;
+    }
+
+    /** The part of the evidence that is left after some time. */
+    static double keptFraction(long elapsedTicks) {
+        return Math.exp(-elapsedTicks / MEMORY_TICKS);
+    }
+
+    /** Lets evidence count less; what a cold replica answers tells nothing of a warm one. */
+    void decay(Collection<Replica> replicas, long elapsedTicks, long now) {
+        double kept = keptFraction(elapsedTicks);
+        for (Replica replica : replicas) {
+            replica.loadEvidence().decay(slowStart.isCold(replica, now) ? 0 : kept);
+        }
+    }
+
+    /**
+     * Sets the capacities of replicas in use, as shares of their sum.
+     *
+     * @param expectedPerTick transactions that the joined proxies bring
+     */
+    FleetCapacity estimate(
+            List<Replica> replicas,
+            TrafficWindows traffic,
+            BaselineRates baseline,
+            double expectedPerTick,
+            long now) {
+        updateLoadWithoutReport(replicas, traffic);
+        MachineTypeMeans means = new MachineTypeMeans(replicas);
+        double sum = 0;
+        double reachable = 0;
+        double busy = 0;
+        for (Replica replica : replicas) {
+            replica.beginCapacityRound();
+            replica.setCapacity(estimate(replica, means, now));
+            sum += replica.capacity();
+            // What no proxy can reach, as behind a cut network, is no capacity to admit by.
+            if (replica.routesInUse().stream().anyMatch(eligibility::isOpen)) {
+                reachable += replica.capacity();
+                busy += replica.capacity() * loadOf(replica);
+            }
+        }
+        double rate = traffic.capacityTicks() > 0 ? reachable / traffic.capacityTicks() : 0;
+        double asked = Math.max(expectedPerTick, traffic.attemptsPerTick());
+        normalize(replicas, rate > 0 ? asked / rate : 0, sum, now);
+        return new FleetCapacity(
+                baseline.growthSinceCapacityWindow() * rate, reachable > 0 ? busy / reachable : 0);
+    }
+
+    /**
+     * Where no replica reports a load, what answers waited tells it: with two cores on one queue
+     * the waiting fraction is the square of the load. Taken for fully busy, a fleet would be let in
+     * a fraction of what it just answered, and ever less.
+     */
+    private void updateLoadWithoutReport(List<Replica> replicas, TrafficWindows traffic) {
+        boolean reported = replicas.stream().anyMatch(replica -> replica.loadEvidence().hasLoad());
+        loadWithoutReport =
+                reported
+                        ? 1
+                        : Math.sqrt(
+                                Math.max(MIN_WAITING_FRACTION, traffic.updateWaitingFraction()));
+    }
+
+    private double estimate(Replica replica, MachineTypeMeans means, long now) {
+        double available =
+                replica.isEjected() || !replica.acceptsNewWork()
+                        ? 0
+                        : outlierDetector.recoveryFactor(replica, now)
+                                * slowStart.factor(replica, now);
+        double answers = replica.loadEvidence().answers();
+        double whenBusy = answers / loadOf(replica);
+        double mean = means.of(replica.machineType());
+        return available * (answers * whenBusy + PRIOR_ANSWERS * mean) / (answers + PRIOR_ANSWERS);
+    }
+
+    /**
+     * Turns capacities into shares of their sum. Where much more is attempted than the fleet can
+     * do, or much of it is cold, cold replicas get only as much as they can bear.
+     */
+    private void normalize(List<Replica> replicas, double loadRatio, double sum, long now) {
+        double safe = slowStart.safeLoadRatio();
+        for (Replica replica : replicas) {
+            double guard =
+                    slowStart.isCold(replica, now) && loadRatio > safe ? safe / loadRatio : 1;
+            double guarded = replica.capacity() * guard;
+            replica.setCapacity(sum > 0 ? guarded / sum : 0);
+        }
+    }
+
+    /** Fraction of its time that a replica is busy, for all who send to it. */
+    double loadOf(Replica replica) {
+        LoadEvidence evidence = replica.loadEvidence();
+        return Math.max(MIN_LOAD, evidence.hasLoad() ? evidence.meanLoad() : loadWithoutReport);
+    }
+
+    /** Mean answers of a busy replica, by machine type. */
+    private final class MachineTypeMeans {
+        private final TreeMap<String, DoubleSummaryStatistics> byType = new TreeMap<>();
+        private final DoubleSummaryStatistics fleet = new DoubleSummaryStatistics();
+
+        MachineTypeMeans(List<Replica> replicas) {
+            for (Replica replica : replicas) {
+                double answers = replica.loadEvidence().answers();
+                if (replica.acceptsNewWork() && answers >= 1) {
+                    double whenBusy = answers / loadOf(replica);
+                    fleet.accept(whenBusy);
+                    byType.computeIfAbsent(
+                                    replica.machineType(), type -> new DoubleSummaryStatistics())
+                            .accept(whenBusy);
+                }
+            }
+        }
+
+        /** The type's mean, or the fleet's where nothing is known of the type. */
+        double of(String machineType) {
+            return fleet.getCount() > 0 ? byType.getOrDefault(machineType, fleet).getAverage() : 1;
+        }
+    }
+}
--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -3,99 +3,207 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import rockshift.model.Ticks;
+import rockshift.settings.PlannerSettings;
 
 /**
- * The way to the proxies: what was written in this turn, what waits, and what nobody has answered
- * yet.
+ * Says how much may still be queued on the way to the proxies, and what a proxy may be sent now.
+ *
+ * <p>Inputs: table entries posted for each proxy, acknowledgements, and time in ticks. The queue is
+ * what the channel's usual rate has not carried yet, or what no proxy has acknowledged but for what
+ * is in transit, whichever is more.
+ *
+ * <p>Guards against a drain that stands behind less urgent entries until its grace is over, and
+ * against a proxy that drops messages above its quota. Shows as late drains with messages in
+ * flight. Holds because deferrable entries only ever fill a part of the queue and of the quota, and
+ * because unacknowledged entries count where the channel is slower than its usual rate.
  */
 final class ChannelPacer {
-    private static final int LAST_SERIAL = 65_535;
+    /** What a proxy's quota leaves at present. */
+    enum Allowance {
+        ANY,
+        /** Only what safety requires. */
+        URGENT_ONLY,
+        NONE
+    }
+
+    /** Fraction of the quota left to what is deferrable; urgent messages space out the rest. */
+    static final double DEFERRABLE_QUOTA_FRACTION = 0.6;
 
-    private final double head;
+    /** Fraction of the queue limit that deferrable entries may fill. */
+    private static final double DEFERRABLE_QUEUE_FRACTION = 0.5;
 
-    /** Lines a tenth of a millisecond. */
-    private final double pace;
+    /** Fraction of the queue limit that urgent entries may fill; the rest is for a slow channel. */
+    private static final double URGENT_QUEUE_FRACTION = 0.6;
 
-    private final List<Proxy> written = new ArrayList<>();
-    private double queued;
-    private double unanswered;
-    private long at;
+    /** Fraction of the drain grace that deferrable entries may take of the channel. */
+    private static final double DEFERRABLE_GRACE_FRACTION = 0.2;
+
+    /** For how long a message without an acknowledgement counts as in flight. */
+    private static final long IN_FLIGHT_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
+
+    private static final int LAST_SERIAL = 65_535;
+
+    private final double messageOverheadEntries;
+    private final double entriesPerTick;
+    private final double queueLimitEntries;
+    private final double drainGraceTicks;
+    private final double messageQuota;
+    private final double quotaWindowTicks;
+    private final double transitTicks;
+    private final Collection<Proxy> proxies;
+    private final List<Proxy> writtenThisTurn = new ArrayList<>();
+    private double queuedEntries;
+    private double unacknowledgedEntries;
+    private long queueUpdatedAtTicks;
     private int serial;
 
-    ChannelPacer(double head, double pace, long now) {
-        this.head = head;
-        this.pace = pace;
-        at = now;
+    /**
+     * An empty channel.
+     *
+     * @param proxies a live view of the proxies that it leads to
+     */
+    ChannelPacer(PlannerSettings settings, Collection<Proxy> proxies, long now) {
+        messageOverheadEntries = settings.messageOverheadEntries();
+        entriesPerTick = settings.channelEntriesPerSecond() / Ticks.TICKS_PER_SECOND;
+        queueLimitEntries = settings.channelQueueLimitEntries();
+        drainGraceTicks = settings.drainGraceTicks();
+        messageQuota = turnQuota(settings);
+        quotaWindowTicks = settings.messageQuotaWindowTicks();
+        transitTicks = settings.transitTicks();
+        this.proxies = proxies;
+        queueUpdatedAtTicks = now;
+    }
+
+    /** Turns in which a proxy may be sent something, as one turn may take several messages. */
+    private static double turnQuota(PlannerSettings settings) {
+        int classCount = settings.sharded() ? 0 : settings.classes().size();
+        int furtherMessages = Math.max(0, classCount - 1) / ProxyCommands.MAX_PARTS_PER_MESSAGE;
+        double quota = settings.messageQuota();
+        return quota > 0 ? Math.max(1, quota - furtherMessages) : 0;
     }
 
+    // ---- the queue -----------------------------------------------------------------------------
+
     /**
-     * Counts lines of the message that a proxy gets in this turn; the first bring its head and the
-     * mark.
+     * Entries that wait. Messages leave in the order in which they were written, so none written
+     * before one that any proxy acknowledged still waits, however silent its own proxy is.
      */
-    void post(Proxy proxy, double lines, long now) {
-        if (proxy.lines == 0) {
-            proxy.messages.add(now);
-            written.add(proxy);
+    double queue(long now) {
+        if (now != queueUpdatedAtTicks) {
+            double carried = (now - queueUpdatedAtTicks) * entriesPerTick;
+            queuedEntries = Math.max(0, queuedEntries - carried);
+            queueUpdatedAtTicks = now;
+            countUnacknowledged(now);
         }
-        double all = lines + (proxy.lines == 0 ? head + 1 : 0);
-        proxy.lines += all;
-        queued += all;
-        unanswered += all;
+        return Math.max(queuedEntries, unacknowledgedEntries - transitTicks * entriesPerTick);
     }
 
-    /** Counts a message beside the first of a turn: it has a head of its own, and no mark. */
-    private void countFurther(Proxy proxy, long now) {
-        proxy.messages.add(now);
-        proxy.lines += head;
-        queued += head;
-        unanswered += head;
+    private void countUnacknowledged(long now) {
+        unacknowledgedEntries = 0;
+        long leftUntil =
+                proxies.stream()
+                        .mapToLong(proxy -> proxy.channel().acknowledgedWriteTicks())
+                        .max()
+                        .orElse(0);
+        for (Proxy proxy : proxies) {
+            proxy.channel().expireInFlight(now - IN_FLIGHT_MEMORY_TICKS);
+            unacknowledgedEntries += proxy.channel().entriesInFlightSince(leftUntil);
+        }
     }
 
-    /** Closes the turn's messages under one number; false where there is none. */
-    boolean mark(ProxyCommands orders, long now) {
-        if (written.isEmpty()) {
-            return false;
+    /** Entries that may wait before deferrable ones; one message to each proxy goes in any case. */
+    double deferrableBacklog() {
+        double usual =
+                Math.max(
+                        DEFERRABLE_GRACE_FRACTION * drainGraceTicks * entriesPerTick,
+                        proxies.size() * (messageOverheadEntries + 2));
+        return Math.min(deferrableQueueLimit(), usual);
+    }
+
+    /** The most that may wait with deferrable entries. */
+    double deferrableQueueLimit() {
+        return queueLimitEntries * DEFERRABLE_QUEUE_FRACTION;
+    }
+
+    /** The most that may wait with urgent entries. */
+    double urgentQueueLimit() {
+        return queueLimitEntries * URGENT_QUEUE_FRACTION;
+    }
+
+    double entriesPerTick() {
+        return entriesPerTick;
+    }
+
+    /** Entries that a message takes beside its own; a turn's first one also has a serial number. */
+    double messageOverheadEntries() {
+        return messageOverheadEntries;
+    }
+
+    // ---- quota ---------------------------------------------------------------------------------
+
+    /** Whether a proxy has had a fraction of the messages that it may be sent in a window. */
+    boolean isQuotaSpent(Proxy proxy, double fraction) {
+        return messageQuota > 0 && proxy.channel().messageCount() >= messageQuota * fraction;
+    }
+
+    /** Forgets messages that the quota's window has passed. */
+    void expireMessages(long now) {
+        for (Proxy proxy : proxies) {
+            proxy.channel().expireMessages(now - quotaWindowTicks);
         }
-        serial = serial % LAST_SERIAL + 1;
-        for (Proxy proxy : written) {
-            for (int further = orders.messageCount(proxy.number) - 1; further > 0; further--) {
-                countFurther(proxy, now);
-            }
-            proxy.marks.add(new long[] {serial, now, (long) proxy.lines});
-            proxy.lines = 0;
+    }
+
+    /** What a proxy may be sent now: urgent messages space out what deferrable ones leave. */
+    Allowance allowance(Proxy proxy, long now) {
+        ProxyChannel channel = proxy.channel();
+        double deferrable = Math.floor(messageQuota * DEFERRABLE_QUOTA_FRACTION);
+        if (messageQuota <= 0 || channel.messageCount() < deferrable) {
+            return Allowance.ANY;
         }
-        written.clear();
-        orders.requestAcknowledgement(serial);
-        return true;
+        double spacingTicks = quotaWindowTicks / (messageQuota - deferrable);
+        return channel.messageCount() >= messageQuota
+                        || now - channel.lastMessageAtTicks() < spacingTicks
+                ? Allowance.NONE
+                : Allowance.URGENT_ONLY;
     }
 
-    static void answered(Proxy proxy, int serial) {
-        if (proxy.marks.stream().anyMatch(mark -> mark[0] == serial)) {
-            while (proxy.marks.getFirst()[0] != serial) {
-                proxy.marks.removeFirst();
-            }
-            proxy.answered = proxy.marks.removeFirst()[1];
+    // ---- messages ------------------------------------------------------------------------------
+
+    /** Counts entries of this turn's message to a proxy; the first bring the message overhead. */
+    void post(Proxy proxy, double entries, long now) {
+        ProxyChannel channel = proxy.channel();
+        double withOverhead = entries;
+        if (channel.entriesThisTurn() == 0) {
+            channel.countMessage(now);
+            writtenThisTurn.add(proxy);
+            withOverhead = entries + (messageOverheadEntries + 1);
         }
+        count(channel, withOverhead);
     }
 
-    /**
-     * Lines that wait: by the usual pace, or as many as nobody has answered but for those on the
-     * way. Messages leave in turn, so none written before one that any proxy answered still waits,
-     * however silent its own is.
-     */
-    double queue(long now, double way, long remembered, Collection<Proxy> proxies) {
-        if (now != at) {
-            queued = Math.max(0, queued - (now - at) * pace);
-            at = now;
-            unanswered = 0;
-            long left = proxies.stream().mapToLong(proxy -> proxy.answered).max().orElse(0);
-            for (Proxy proxy : proxies) {
-                proxy.marks.removeIf(mark -> mark[1] < now - remembered);
-                for (long[] mark : proxy.marks) {
-                    unanswered += mark[1] < left ? 0 : mark[2];
-                }
+    /** Closes the turn's messages under one serial number; false where there is none. */
+    boolean closeTurn(ProxyCommands commands, long now) {
+        if (writtenThisTurn.isEmpty()) {
+            return false;
+        }
+        serial = serial % LAST_SERIAL + 1;
+        for (Proxy proxy : writtenThisTurn) {
+            ProxyChannel channel = proxy.channel();
+            for (int further = commands.messageCount(proxy.number()) - 1; further > 0; further--) {
+                channel.countMessage(now);
+                count(channel, messageOverheadEntries);
             }
+            channel.closeMessage(serial, now);
         }
-        return Math.max(queued, unanswered - way * pace);
+        writtenThisTurn.clear();
+        commands.requestAcknowledgement(serial);
+        return true;
+    }
+
+    private void count(ProxyChannel channel, double entries) {
+        channel.addEntries(entries);
+        queuedEntries += entries;
+        unacknowledgedEntries += entries;
     }
 }
--- /dev/null
+++ b/src/main/java/rockshift/planner/ClassDemand.java
@@ -0,0 +1,58 @@
+package rockshift.planner;
+
+import rockshift.model.Ticks;
+
+/** What one proxy brings of one class: an estimated rate, and what was reported since. */
+final class ClassDemand {
+    private double ratePerSecond;
+    private double arrivals;
+    private double coveredTicks;
+    private long reportedUntilTicks;
+
+    /**
+     * Starts with the rate that the proxy usually gets.
+     *
+     * @param reportedUntilTicks until when its arrivals count as known
+     */
+    ClassDemand(double usualRatePerSecond, long reportedUntilTicks) {
+        ratePerSecond = usualRatePerSecond;
+        this.reportedUntilTicks = reportedUntilTicks;
+    }
+
+    double ratePerSecond() {
+        return ratePerSecond;
+    }
+
+    /** Time that the reports since the last estimate cover. */
+    double coveredTicks() {
+        return coveredTicks;
+    }
+
+    /**
+     * Takes in a report of the arrivals in a span. Proxies report nothing of a span without
+     * arrivals, so the next report covers the quiet spans before it as well.
+     */
+    void addReport(int count, long spanTicks, long now) {
+        double spans = (now - reportedUntilTicks) / (double) spanTicks;
+        long covered = spanTicks * Math.max(1, Math.round(spans));
+        arrivals += count;
+        coveredTicks += covered;
+        reportedUntilTicks += covered;
+    }
+
+    /** Where nothing was reported for two periods, nothing came in the first of them. */
+    void expireSilence(long reportPeriodTicks, long now) {
+        if (now - reportedUntilTicks > 2 * reportPeriodTicks) {
+            coveredTicks += reportPeriodTicks;
+            reportedUntilTicks += reportPeriodTicks;
+        }
+    }
+
+    /** Moves the rate by a fraction of the way to what was reported, and starts a new span. */
+    void updateRate(double stepFraction) {
+        double reported = arrivals * Ticks.TICKS_PER_SECOND / Math.max(1, coveredTicks);
+        ratePerSecond += stepFraction * (reported - ratePerSecond);
+        arrivals = 0;
+        coveredTicks = 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/DemandEstimator.java
@@ -0,0 +1,86 @@
+package rockshift.planner;
+
+import java.util.Collection;
+import java.util.List;
+import rockshift.model.Ticks;
+
+/**
+ * Estimates what each table is asked for: shares of all demand, by group and class.
+ *
+ * <p>Inputs: arrivals that proxies report, with the ticks that they cover. Each proxy's rate moves
+ * towards its reports; it starts with the rate that the proxy usually gets.
+ *
+ * <p>Guards against tables that follow chance: a proxy with less than one arrival a report would
+ * move its group's tables by its last spans alone. It shows as weights that change at every round
+ * in calm. Holds because a rate reaches back for some arrivals, and all tables in use share a
+ * floor.
+ */
+final class DemandEstimator {
+    /** Memory of a proxy's rate: short, as callers come and go, but some reports long. */
+    private static final double MEMORY_TICKS = 1.5 * Ticks.TICKS_PER_SECOND;
+
+    /** Arrivals that a rate reaches back for, no further than capacities do. */
+    private static final double MIN_ARRIVALS = 3;
+
+    /** Demand that all tables in use share beside their own, so that each keeps a fair table. */
+    private static final double SHARED_DEMAND_FRACTION = 0.02;
+
+    /** Memory of the hottest rate. */
+    private static final double HOTTEST_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
+
+    private double expectedPerTick;
+    private double hottestRatePerSecond;
+    private long updatedAtTicks;
+
+    DemandEstimator(long now) {
+        updatedAtTicks = now;
+    }
+
+    /** Updates the rates of proxies, the hottest ones, and the demand shares of tables in use. */
+    void update(
+            Collection<Proxy> proxies,
+            List<ProxyGroup> groups,
+            List<RoutingTable> tablesInUse,
+            long now) {
+        hottestRatePerSecond *= Math.exp((updatedAtTicks - now) / HOTTEST_MEMORY_TICKS);
+        updatedAtTicks = now;
+        groups.forEach(ProxyGroup::resetDemand);
+        expectedPerTick = 0;
+        for (Proxy proxy : proxies) {
+            if (proxy.group() != null) {
+                update(proxy);
+            }
+        }
+        double total = Math.max(expectedPerTick * Ticks.TICKS_PER_SECOND, Double.MIN_NORMAL);
+        double shared = SHARED_DEMAND_FRACTION / tablesInUse.size();
+        for (RoutingTable table : tablesInUse) {
+            double own = table.demandShare() / total;
+            table.setDemandShare((own + shared) / (1 + SHARED_DEMAND_FRACTION));
+        }
+    }
+
+    private void update(Proxy proxy) {
+        for (int k = 0; k < proxy.demands().size(); k++) {
+            ClassDemand demand = proxy.demands().get(k);
+            double reachTicks =
+                    Math.min(
+                            CapacityEstimator.MEMORY_TICKS,
+                            MIN_ARRIVALS * Ticks.TICKS_PER_SECOND / demand.ratePerSecond());
+            demand.updateRate(1 - Math.exp(-demand.coveredTicks() / (MEMORY_TICKS + reachTicks)));
+            double rate = demand.ratePerSecond();
+            proxy.group().addDemand(k, rate);
+            expectedPerTick += rate / Ticks.TICKS_PER_SECOND;
+            hottestRatePerSecond = Math.max(hottestRatePerSecond, rate);
+        }
+    }
+
+    /** Transactions a tick that the joined proxies bring. */
+    double expectedPerTick() {
+        return expectedPerTick;
+    }
+
+    /** The most of one class that one proxy brought of late: any may be the next. */
+    double hottestRatePerSecond() {
+        return hottestRatePerSecond;
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -0,0 +1,108 @@
+package rockshift.planner;
+
+import java.util.List;
+import rockshift.model.ControlScope;
+import rockshift.settings.PlannerSettings;
+
+/**
+ * Tells proxies that wait for their tables to keep off replicas that left, and later that these may
+ * be used again.
+ *
+ * <p>Inputs: entries that wait in the channel and the rate at which it carries them, the drain
+ * grace in ticks.
+ *
+ * <p>Guards against work for drained replicas from proxies that still have the tables they came
+ * with, where the channel is too slow to bind them within the grace. Shows as attempts at replicas
+ * that are listed as draining. Holds because a notice is only sent where it is shorter than the
+ * tables, while the queue and the proxy's quota have room for it. Replicas that are back are let in
+ * when nobody waits, so that no cold one meets old weights; that loses some of their work.
+ */
+final class DrainNotifier {
+    private final double longestTransitTicks;
+    private final double bindingDeadlineTicks;
+    private final ChannelPacer pacer;
+    private final ReplicaRegistry replicas;
+    private final ProxyRegistry proxies;
+    private long notifiedAtTicks;
+
+    DrainNotifier(
+            PlannerSettings settings,
+            ChannelPacer pacer,
+            ReplicaRegistry replicas,
+            ProxyRegistry proxies) {
+        longestTransitTicks = settings.longestTransitTicks();
+        bindingDeadlineTicks = TableScheduler.bindingDeadlineTicks(settings);
+        this.pacer = pacer;
+        this.replicas = replicas;
+        this.proxies = proxies;
+    }
+
+    /** Sends notices, if any are due; whether it did. */
+    boolean notifyNext(ProxyCommands commands, ControlScope scope, long now) {
+        if (proxies.waiting().isEmpty()) {
+            return scope == ControlScope.FULL && letInNext(commands, now);
+        }
+        // Once a turn: what has changed since is told in the next one.
+        if (notifiedAtTicks == now || scope == ControlScope.NONE) {
+            return false;
+        }
+        notifiedAtTicks = now;
+        return notifyWaiting(commands, now);
+    }
+
+    /** Tells all proxies of one replica that is back. */
+    private boolean letInNext(ProxyCommands commands, long now) {
+        for (Replica replica : replicas.all()) {
+            if (replica.acceptsNewWork() && replica.isDrainNotified()) {
+                replica.setDrainNotified(false);
+                for (Proxy proxy : proxies.all()) {
+                    send(commands, proxy, List.of(replica), false, now);
+                }
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Tells those who would get their tables too late of all replicas that left. */
+    private boolean notifyWaiting(ProxyCommands commands, long now) {
+        List<Replica> left =
+                replicas.all().stream().filter(replica -> !replica.acceptsNewWork()).toList();
+        double overhead = pacer.messageOverheadEntries();
+        double entriesAhead = pacer.queue(now);
+        boolean notified = false;
+        for (Proxy proxy : proxies.waiting()) {
+            double cost = proxy.bindingCost(true);
+            entriesAhead += cost + overhead + 1;
+            if (isTooLate(proxy, entriesAhead, now)
+                    && proxy.drainNotifiedAtTicks() < replicas.lastDepartureTicks()
+                    && left.size() < cost
+                    && pacer.queue(now) + left.size() + overhead + 1 <= pacer.urgentQueueLimit()
+                    && !pacer.isQuotaSpent(proxy, 1)) {
+                proxy.setDrainNotifiedAtTicks(now);
+                send(commands, proxy, left, true, now);
+                notified = true;
+            }
+        }
+        return notified;
+    }
+
+    private boolean isTooLate(Proxy proxy, double entriesAhead, long now) {
+        long waitsSince = Math.max(proxy.joinedAtTicks(), proxy.drainNotifiedAtTicks());
+        double boundAfterTicks =
+                now - waitsSince + entriesAhead / pacer.entriesPerTick() + longestTransitTicks;
+        return boundAfterTicks > bindingDeadlineTicks;
+    }
+
+    private void send(
+            ProxyCommands commands, Proxy proxy, List<Replica> about, boolean draining, long now) {
+        int cost = 0;
+        for (Replica replica : about) {
+            replica.setDrainNotified(draining);
+            cost += commands.notifyDraining(replica.id(), draining, proxy.number());
+        }
+        if (cost > 0) {
+            pacer.post(proxy, cost, now);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/GroupBatch.java
@@ -0,0 +1,52 @@
+package rockshift.planner;
+
+/** What a batch of changes sends to each bound proxy of one group, and what it may still send. */
+final class GroupBatch {
+    private final ProxyGroup group;
+    private final double messageOverheadEntries;
+    private double entries;
+    private double provisionalTableEntries;
+    private boolean urgentOnly;
+    private boolean blocked;
+
+    GroupBatch(ProxyGroup group, double messageOverheadEntries) {
+        this.group = group;
+        this.messageOverheadEntries = messageOverheadEntries;
+    }
+
+    /** Takes one of its proxies into account: the strictest allowance holds for all. */
+    void restrict(ChannelPacer.Allowance allowance) {
+        urgentOnly |= allowance != ChannelPacer.Allowance.ANY;
+        blocked |= allowance == ChannelPacer.Allowance.NONE;
+    }
+
+    boolean allows(boolean urgent) {
+        return urgent ? !blocked : !urgentOnly;
+    }
+
+    int boundProxies() {
+        return group.boundProxies();
+    }
+
+    /** Whether something was sent, so that further changes need no message of their own. */
+    boolean isStarted() {
+        return entries > 0;
+    }
+
+    /** Entries that one more change takes of the channel; the first brings the message overhead. */
+    double cost() {
+        return group.boundProxies() * (isStarted() ? 1 : 2 + messageOverheadEntries);
+    }
+
+    void add(RoutingTable table, int entriesSent) {
+        entries += entriesSent;
+        if (table == group.provisionalTable()) {
+            provisionalTableEntries += entriesSent;
+        }
+    }
+
+    /** Entries that concern a bound proxy. */
+    double entriesFor(Proxy proxy) {
+        return proxy.isProvisional() ? provisionalTableEntries : entries;
+    }
+}
--- a/src/main/java/rockshift/planner/Proxy.java
+++ b/src/main/java/rockshift/planner/Proxy.java
@@ -1,60 +1,122 @@
 package rockshift.planner;
 
-import java.util.ArrayDeque;
-import java.util.Arrays;
+import java.util.ArrayList;
+import java.util.List;
 
-/** A joined proxy: what comes to it, and what it was sent. */
+/** A proxy whose stream is up: its group and tables, what it brings, and what it was sent. */
 final class Proxy {
-    final int number;
-    final int zone;
-    final double usualRate;
+    /** The binding cost where there are no tables to bind: above any budget. */
+    static final double NOT_BINDABLE = Double.MAX_VALUE;
+
+    private static final long NEVER = Long.MIN_VALUE / 2;
+
+    private final int number;
+    private final int zoneIndex;
+    private final long joinedAtTicks;
+    private final double usualRatePerSecond;
+    private final List<ClassDemand> demands = new ArrayList<>();
+    private final ProxyChannel channel = new ProxyChannel();
+    private long drainNotifiedAtTicks = NEVER;
+    private ProxyGroup group;
+    private boolean bound;
+    private boolean provisional;
+
+    /**
+     * A proxy without a group.
+     *
+     * @param usualRatePerSecond transactions that it usually gets, of all classes together
+     * @param reportedUntilTicks until when its arrivals count as known
+     */
+    Proxy(
+            int number,
+            int zoneIndex,
+            int classCount,
+            double usualRatePerSecond,
+            long joinedAtTicks,
+            long reportedUntilTicks) {
+        this.number = number;
+        this.zoneIndex = zoneIndex;
+        this.joinedAtTicks = joinedAtTicks;
+        for (int k = 0; k < classCount; k++) {
+            demands.add(new ClassDemand(usualRatePerSecond / classCount, reportedUntilTicks));
+        }
+        this.usualRatePerSecond = demands.stream().mapToDouble(ClassDemand::ratePerSecond).sum();
+    }
+
+    int number() {
+        return number;
+    }
+
+    int zoneIndex() {
+        return zoneIndex;
+    }
 
-    /** By class: transactions a second, and what was reported since that was last reckoned. */
-    final double[] rate;
+    long joinedAtTicks() {
+        return joinedAtTicks;
+    }
 
-    final double[] came;
-    final double[] span;
+    double usualRatePerSecond() {
+        return usualRatePerSecond;
+    }
+
+    /** By class. */
+    List<ClassDemand> demands() {
+        return demands;
+    }
 
-    /** By class, until when it is known what came, about: reports lag. */
-    final long[] toldAt;
+    /** What it was sent; {@link ChannelPacer} keeps it. */
+    ProxyChannel channel() {
+        return channel;
+    }
 
-    long joinedAt;
+    /** When it was last told of all replicas that left. */
+    long drainNotifiedAtTicks() {
+        return drainNotifiedAtTicks;
+    }
 
-    /** When it was last told to keep off all who left. */
-    long warnedAt = Long.MIN_VALUE / 2;
+    void setDrainNotifiedAtTicks(long now) {
+        drainNotifiedAtTicks = now;
+    }
 
-    /** Times of the messages that count against the limit. */
-    final ArrayDeque<Long> messages = new ArrayDeque<>();
+    // ---- group and tables ----------------------------------------------------------------------
 
-    /** Marks without an answer: serial, time, lines. */
-    final ArrayDeque<long[]> marks = new ArrayDeque<>();
+    /** Null until groups exist. */
+    ProxyGroup group() {
+        return group;
+    }
 
-    /** When the newest message that it has answered was written. */
-    long answered;
+    void joinGroup(ProxyGroup joined) {
+        group = joined;
+        group.proxyJoined();
+    }
 
-    /** Lines of the message that it gets in this turn. */
-    double lines;
+    void leaveGroup() {
+        if (group != null) {
+            group.proxyLeft(bound);
+        }
+    }
 
-    ProxyGroup place;
+    /** Whether it has tables of this controller. */
+    boolean isBound() {
+        return bound;
+    }
 
-    /** Whether it has its tables, and whether one of them does for all classes as yet. */
-    boolean bound;
+    /** Whether one table does for all classes as yet. */
+    boolean isProvisional() {
+        return provisional;
+    }
 
-    boolean brief;
+    /** Notes that the tables of its group, or the provisional one, were bound. */
+    void bind(boolean provisionally) {
+        if (!bound) {
+            group.proxyBound();
+        }
+        bound = true;
+        provisional = provisionally;
+    }
 
-    Proxy(int number, int zone, double[] rate) {
-        this.number = number;
-        this.zone = zone;
-        this.rate = rate;
-        usualRate = Arrays.stream(rate).sum();
-        came = new double[rate.length];
-        span = new double[rate.length];
-        toldAt = new long[rate.length];
-    }
-
-    /** Moves a class's rate by a part of the way to what was reported since the last reckoning. */
-    void reckon(int type, double step) {
-        rate[type] += step * (came[type] * 10_000 / Math.max(1, span[type]) - rate[type]);
-        came[type] = span[type] = 0;
+    /** Entries that binding its tables takes; {@link #NOT_BINDABLE} where there are none yet. */
+    double bindingCost(boolean provisionally) {
+        return group == null ? NOT_BINDABLE : group.bindingCost(provisionally);
     }
 }
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -1,109 +1,159 @@
 package rockshift.planner;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.List;
 import java.util.TreeMap;
 
-/** Proxies of a zone that share tables, and the replicas dealt to them. */
+/**
+ * Proxies of one zone that share routing tables, and the subset of replicas in these tables. Where
+ * tables of the whole fleet fit, a zone has one group and the subset is the fleet.
+ */
 final class ProxyGroup {
-    final int number;
-    final String zone;
-    final TreeMap<Long, Replica> members = new TreeMap<>();
-    final List<RoutingTable> requests = new ArrayList<>();
+    private final int number;
+    private final String zone;
+    private final TreeMap<Long, Replica> subset = new TreeMap<>();
+    private final List<RoutingTable> tables = new ArrayList<>();
+    private final RoutingTable provisionalTable;
+    private double hottestRatePerSecond;
+    private int joinedProxies;
+    private int boundProxies;
+    private boolean published;
+    private int entryCount;
 
-    /** The one whose table does for all classes where it must. */
-    final RoutingTable shared;
+    /**
+     * A group without replicas.
+     *
+     * @param provisionalClass the class whose table can do for all classes
+     */
+    ProxyGroup(int number, String zone, int classCount, int provisionalClass) {
+        this.number = number;
+        this.zone = zone;
+        for (int k = 0; k < classCount; k++) {
+            tables.add(new RoutingTable(this, k, number * classCount + k));
+        }
+        provisionalTable = tables.get(provisionalClass);
+    }
 
-    /** Transactions a second of a class that its hottest proxy brings. */
-    double hottest;
+    int number() {
+        return number;
+    }
 
-    int joined;
-    int bound;
+    /** One table a class, in the order of the classes. */
+    List<RoutingTable> tables() {
+        return tables;
+    }
 
-    /** Whether the tables are in use and up to the last batch. */
-    boolean laid;
+    /** The table that does for all classes while a proxy waits for its own tables. */
+    RoutingTable provisionalTable() {
+        return provisionalTable;
+    }
 
-    /** Lines that its tables have together. */
-    int filled;
+    // ---- subset --------------------------------------------------------------------------------
 
-    // While a batch is published: lines so far, and whether a proxy may get no more messages, or
-    // none now.
-    double sent;
-    boolean full;
-    boolean barred;
+    boolean isInZoneOf(Replica replica) {
+        return zone.equals(replica.zone());
+    }
 
-    ProxyGroup(int number, String zone, int classes, int strictest) {
-        this.number = number;
-        this.zone = zone;
-        for (int k = 0; k < classes; k++) {
-            requests.add(new RoutingTable(this, k, number * classes + k));
-        }
-        shared = requests.get(strictest);
+    /** Whether it could take a replica, from its own zone or from the others. */
+    boolean canAdd(Replica replica, boolean fromOwnZone) {
+        return isInZoneOf(replica) == fromOwnZone && !contains(replica);
     }
 
-    boolean near(Replica replica) {
-        return zone.equals(replica.zone);
+    boolean contains(Replica replica) {
+        return subset.containsKey(replica.id());
     }
 
-    /** Whether it could take a replica, from its zone or from the others. */
-    boolean lacks(Replica replica, boolean near) {
-        return near(replica) == near && !members.containsKey(replica.id);
+    Collection<Replica> subset() {
+        return subset.values();
+    }
+
+    int subsetSize() {
+        return subset.size();
     }
 
     void add(Replica replica) {
-        members.put(replica.id, replica);
-        count(replica, 1);
+        subset.put(replica.id(), replica);
+        replica.joinedGroup(isInZoneOf(replica));
     }
 
     void remove(Replica replica) {
-        if (members.remove(replica.id) != null) {
-            count(replica, -1);
+        if (subset.remove(replica.id()) != null) {
+            replica.leftGroup(isInZoneOf(replica));
         }
     }
 
-    /**
-     * Ends the batch: the tables of a place that has proxies are up to it. Others keep no lines, as
-     * no batch would take out who leaves; they are laid anew for who joins.
-     */
-    void published(ProxyCommands orders) {
-        laid = joined > 0;
-        filled = 0;
-        for (RoutingTable request : requests) {
-            request.filled =
-                    !laid
-                            ? 0
-                            : (int)
-                                    request.paths.values().stream()
-                                            .filter(path -> path.published > 0)
-                                            .count();
-            request.sent = 0;
-            filled += request.filled;
-        }
-        sent = 0;
-        full = barred = false;
-        if (!laid) {
-            requests.stream()
-                    .flatMap(request -> request.paths.values().stream())
-                    .filter(path -> path.published > 0)
-                    .forEach(
-                            path -> {
-                                path.published = 0;
-                                orders.setTableEntry(path.request.number, path.link.id, 0);
-                            });
-        }
+    // ---- proxies -------------------------------------------------------------------------------
+
+    void proxyJoined() {
+        joinedProxies++;
     }
 
-    /** Begins a new reckoning of demand. */
-    void reckon() {
-        hottest = 0;
-        for (RoutingTable request : requests) {
-            request.oldWeight = request.weight;
-            request.weight = 0;
+    void proxyBound() {
+        boundProxies++;
+    }
+
+    /** A proxy left. Without any, the tables are no longer kept up to date. */
+    void proxyLeft(boolean wasBound) {
+        joinedProxies--;
+        boundProxies -= wasBound ? 1 : 0;
+        published &= joinedProxies > 0;
+    }
+
+    boolean hasProxies() {
+        return joinedProxies > 0;
+    }
+
+    int boundProxies() {
+        return boundProxies;
+    }
+
+    // ---- demand --------------------------------------------------------------------------------
+
+    /** The most transactions a second of one class that one of its proxies brings. */
+    double hottestRatePerSecond() {
+        return hottestRatePerSecond;
+    }
+
+    void resetDemand() {
+        hottestRatePerSecond = 0;
+        tables.forEach(RoutingTable::resetDemand);
+    }
+
+    void addDemand(int classNumber, double ratePerSecond) {
+        tables.get(classNumber).addDemand(ratePerSecond);
+        hottestRatePerSecond = Math.max(hottestRatePerSecond, ratePerSecond);
+    }
+
+    // ---- publication ---------------------------------------------------------------------------
+
+    /** Whether the tables have proxies and are up to the last batch. */
+    boolean isPublished() {
+        return published;
+    }
+
+    /** Entries that a proxy is sent beside the message overhead as it is bound to these tables. */
+    double bindingCost(boolean provisional) {
+        if (!published || entryCount == 0) {
+            return Proxy.NOT_BINDABLE;
         }
+        return provisional ? provisionalTable.entryCount() + 2 : entryCount + 2 * tables.size();
     }
 
-    private void count(Replica replica, int one) {
-        replica.heldNear += near(replica) ? one : 0;
-        replica.heldFar += near(replica) ? 0 : one;
+    /**
+     * Ends a batch. A group without proxies keeps no entries, as no batch would take out of its
+     * tables who leaves; they are published anew for the next proxy.
+     */
+    void endBatch(ProxyCommands commands) {
+        published = joinedProxies > 0;
+        entryCount = 0;
+        for (RoutingTable table : tables) {
+            if (published) {
+                table.countEntries();
+            } else {
+                table.clear(commands);
+            }
+            entryCount += table.entryCount();
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/rockshift/planner/ProxyRegistry.java
@@ -0,0 +1,82 @@
+package rockshift.planner;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.TreeMap;
+import rockshift.settings.PlannerSettings;
+
+/** The proxies whose streams are up, and those of them that wait for their first tables. */
+final class ProxyRegistry {
+    private final List<String> zones;
+    private final int classCount;
+    private final long reportPeriodTicks;
+    private final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
+
+    /** In the order of joining. */
+    private final LinkedHashMap<Integer, Proxy> waiting = new LinkedHashMap<>();
+
+    ProxyRegistry(PlannerSettings settings, int classCount) {
+        zones = settings.zones();
+        this.classCount = classCount;
+        reportPeriodTicks = settings.reportPeriodTicks();
+    }
+
+    /** In the order of their numbers; a live view. */
+    Collection<Proxy> all() {
+        return proxies.values();
+    }
+
+    /** Proxies without tables of this controller, in the order of joining; a live view. */
+    Collection<Proxy> waiting() {
+        return waiting.values();
+    }
+
+    /** The proxy with a number, or null. */
+    Proxy get(int number) {
+        return proxies.get(number);
+    }
+
+    /** A stream came up. It replaces an older one of the same proxy. */
+    void join(long now, int number, String zone, double usualRatePerSecond) {
+        leave(number);
+        Proxy proxy =
+                new Proxy(
+                        number,
+                        Math.max(0, zones.indexOf(zone)),
+                        classCount,
+                        usualRatePerSecond,
+                        now,
+                        now + reportPeriodTicks);
+        proxies.put(number, proxy);
+        waiting.put(number, proxy);
+    }
+
+    void leave(int number) {
+        Proxy proxy = proxies.remove(number);
+        waiting.remove(number);
+        if (proxy != null) {
+            proxy.leaveGroup();
+        }
+    }
+
+    /** The proxy gets its first tables. */
+    void stopWaiting(Proxy proxy) {
+        waiting.remove(proxy.number());
+    }
+
+    /** Counts periods without a report as periods without arrivals. */
+    void expireSilence(long now) {
+        if (reportPeriodTicks <= 0) {
+            return;
+        }
+        for (Proxy proxy : proxies.values()) {
+            proxy.demands().forEach(demand -> demand.expireSilence(reportPeriodTicks, now));
+        }
+    }
+
+    /** Transactions a second that all joined proxies usually get. */
+    double usualRatePerSecond() {
+        return proxies.values().stream().mapToDouble(Proxy::usualRatePerSecond).sum();
+    }
+}
--- a/src/main/java/rockshift/planner/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -4,86 +4,214 @@
 import java.util.List;
 import rockshift.model.Endpoint;
 
-/** What is known of a replica: the one link of all paths that lead to it. */
+/**
+ * A replica as the planner knows it; in the paper's terms a link, shared by all routes that lead to
+ * it. Each part has one writer: {@link ReplicaRegistry} the endpoint, {@link OperatorDrains} and
+ * {@link DrainNotifier} their marks, {@link CapacityEstimator} the capacity, {@link ProxyGroup} the
+ * membership counts, {@link ActiveRoutes} the routes in use.
+ */
 final class Replica {
-    final long id;
-    String zone = "";
-    String kind;
-    Endpoint.Health health = Endpoint.Health.READY;
-    long started;
-    long changed;
-
-    /** Whether staff asked that it take nothing new, and the fleet can spare it. */
-    boolean keptOut;
-
-    /** Whether a proxy was told to keep off whatever its tables say. */
-    boolean withdrawn;
-
-    // Evidence, faded: for the capacity, then for the health.
-    double answered;
-    double busySum;
-    double busyTries;
-    final ReplicaObservations near = new ReplicaObservations();
-    final ReplicaObservations far = new ReplicaObservations();
-    double capacity;
-    double oldCapacity;
-
-    /**
-     * All paths here, and those of requests in use; how many places of its zone and of others hold
-     * it.
-     */
-    final List<Route> paths = new ArrayList<>();
-
-    final List<Route> used = new ArrayList<>();
-    int heldNear;
-    int heldFar;
+    private final long id;
+    private String zone = "";
+    private String machineType;
+    private Endpoint.Health health = Endpoint.Health.READY;
+    private long startedAtTicks;
+    private long changedAtTicks;
+    private boolean drainedByOperator;
+    private boolean drainNotified;
+    private final LoadEvidence loadEvidence = new LoadEvidence();
+    private final ReplicaObservations ownZoneObservations = new ReplicaObservations();
+    private final ReplicaObservations otherZoneObservations = new ReplicaObservations();
+    private double capacity;
+    private double previousCapacity;
+    private final List<Route> routes = new ArrayList<>();
+    private final List<Route> routesInUse = new ArrayList<>();
+    private int ownZoneGroups;
+    private int otherZoneGroups;
 
     Replica(long id) {
         this.id = id;
     }
 
-    /** Listed as fit for new work, and not kept out by staff. */
-    boolean usable() {
-        return health == Endpoint.Health.READY && !keptOut;
+    long id() {
+        return id;
     }
 
-    boolean inTables() {
-        return paths.stream().anyMatch(path -> path.published > 0);
+    // ---- endpoint -------------------------------------------------------------------------------
+
+    String zone() {
+        return zone;
+    }
+
+    String machineType() {
+        return machineType;
+    }
+
+    Endpoint.Health health() {
+        return health;
+    }
+
+    /** When it last started; 0 for long past. */
+    long startedAtTicks() {
+        return startedAtTicks;
+    }
+
+    /** When its health last changed, or it restarted. */
+    long changedAtTicks() {
+        return changedAtTicks;
+    }
+
+    /** Moves to where the endpoint is listed; evidence of an earlier process is dropped. */
+    void place(Endpoint endpoint) {
+        if (endpoint.startedAtTicks() > startedAtTicks) {
+            startedAtTicks = endpoint.startedAtTicks();
+            loadEvidence.reset();
+            resetObservations();
+        }
+        zone = endpoint.zone();
+        machineType = endpoint.machineType();
+    }
+
+    void changeHealth(Endpoint.Health to, long now) {
+        health = to;
+        changedAtTicks = now;
+    }
+
+    // ---- drains ---------------------------------------------------------------------------------
+
+    /** Whether it may get new work: listed as ready, and not drained by an operator. */
+    boolean acceptsNewWork() {
+        return health == Endpoint.Health.READY && !drainedByOperator;
+    }
+
+    boolean isDrainedByOperator() {
+        return drainedByOperator;
+    }
+
+    void setDrainedByOperator(boolean drained) {
+        drainedByOperator = drained;
+    }
+
+    /** Whether a proxy was told to keep off it, whatever its tables say. */
+    boolean isDrainNotified() {
+        return drainNotified;
+    }
+
+    void setDrainNotified(boolean notified) {
+        drainNotified = notified;
+    }
+
+    // ---- evidence and capacity ------------------------------------------------------------------
+
+    /** Takes in a report of proxies in a zone; the load is null if the replica reported none. */
+    void recordReport(String fromZone, int attempts, int failures, int lateAnswers, Double load) {
+        boolean ownZone = fromZone.equals(zone);
+        ReplicaObservations observations = ownZone ? ownZoneObservations : otherZoneObservations;
+        double loadSum = load == null ? 0 : attempts * load;
+        observations.add(attempts, failures, ownZone ? 0 : lateAnswers, loadSum);
+        loadEvidence.add(attempts, failures, load);
+    }
+
+    LoadEvidence loadEvidence() {
+        return loadEvidence;
+    }
+
+    ReplicaObservations ownZoneObservations() {
+        return ownZoneObservations;
+    }
+
+    ReplicaObservations otherZoneObservations() {
+        return otherZoneObservations;
+    }
+
+    ReplicaObservations allObservations() {
+        return ReplicaObservations.combined(ownZoneObservations, otherZoneObservations);
+    }
+
+    double failures() {
+        return ownZoneObservations.failures() + otherZoneObservations.failures();
+    }
+
+    void resetObservations() {
+        ownZoneObservations.reset();
+        otherZoneObservations.reset();
+    }
+
+    /** Ejected for all proxies. */
+    boolean isEjected() {
+        return ownZoneObservations.ejection().isActive();
+    }
+
+    /** Ejected for proxies of other zones, while those of its own still use it. */
+    boolean isEjectedForOtherZones() {
+        return otherZoneObservations.ejection().isActive();
+    }
+
+    /** Fraction of the capacity of all replicas in use. */
+    double capacity() {
+        return capacity;
+    }
+
+    /** The capacity of the round before. */
+    double previousCapacity() {
+        return previousCapacity;
+    }
+
+    void beginCapacityRound() {
+        previousCapacity = capacity;
+    }
+
+    void setCapacity(double value) {
+        capacity = value;
+    }
+
+    // ---- routes and groups ----------------------------------------------------------------------
+
+    void attach(Route route) {
+        routes.add(route);
+    }
+
+    /** Forgets a route; whether it was there. */
+    boolean detach(Route route) {
+        return routes.remove(route);
+    }
+
+    /** Whether a published table has an entry for it. */
+    boolean isInTables() {
+        return routes.stream().anyMatch(route -> route.publishedWeight() > 0);
+    }
+
+    /** Its routes from tables that have proxies now. */
+    List<Route> routesInUse() {
+        return routesInUse;
     }
 
-    ReplicaObservations view(String from) {
-        return from.equals(zone) ? near : far;
+    void clearRoutesInUse() {
+        routesInUse.clear();
     }
 
-    double lost() {
-        return near.lost + far.lost;
+    void addRouteInUse(Route route) {
+        routesInUse.add(route);
     }
 
-    ReplicaObservations seen() {
-        ReplicaObservations all = new ReplicaObservations();
-        all.add(near.tries + far.tries, lost(), far.late, near.busy + far.busy);
-        return all;
+    /** How many groups of its own zone, or of the others, have it in their subset. */
+    int groupCount(boolean ownZone) {
+        return ownZone ? ownZoneGroups : otherZoneGroups;
     }
 
-    void heard(String from, int count, int failed, int late, Double load) {
-        view(from)
-                .add(count, failed, from.equals(zone) ? 0 : late, load == null ? 0 : count * load);
-        answered += Math.max(0, count - failed);
-        busySum += load == null ? 0 : count * load;
-        busyTries += load == null ? 0 : count;
+    void joinedGroup(boolean ownZone) {
+        countGroup(ownZone, 1);
     }
 
-    void forget() {
-        answered = busySum = busyTries = 0;
-        near.forget();
-        far.forget();
+    void leftGroup(boolean ownZone) {
+        countGroup(ownZone, -1);
     }
 
-    void fade(double capacityKept, double healthKept) {
-        answered *= capacityKept;
-        busySum *= capacityKept;
-        busyTries *= capacityKept;
-        near.fade(healthKept);
-        far.fade(healthKept);
+    private void countGroup(boolean ownZone, int change) {
+        if (ownZone) {
+            ownZoneGroups += change;
+        } else {
+            otherZoneGroups += change;
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/rockshift/planner/ReplicaRegistry.java
@@ -0,0 +1,100 @@
+package rockshift.planner;
+
+import java.util.Collection;
+import java.util.List;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import rockshift.model.Endpoint;
+import rockshift.model.Ticks;
+
+/**
+ * The replicas that discovery listed, those gone for less than a minute among them. Logs each
+ * change as {@code endpoint replica=... health=...}.
+ */
+final class ReplicaRegistry {
+    /** For how long a gone replica is known, as proxies may join with old tables. */
+    private static final long GONE_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
+
+    private final DecisionLog log;
+    private final TreeMap<Long, Replica> replicas = new TreeMap<>();
+    private long lastDepartureTicks = Long.MIN_VALUE / 2;
+
+    ReplicaRegistry(DecisionLog log) {
+        this.log = log;
+    }
+
+    /** In the order of their ids; a live view. */
+    Collection<Replica> all() {
+        return replicas.values();
+    }
+
+    /** Those that may get new work, in the order of their ids. */
+    List<Replica> acceptingNewWork() {
+        return replicas.values().stream().filter(Replica::acceptsNewWork).toList();
+    }
+
+    /** The replica with an id, or null. */
+    Replica get(long id) {
+        return replicas.get(id);
+    }
+
+    /** When a replica last stopped taking new work, by discovery or by an operator. */
+    long lastDepartureTicks() {
+        return lastDepartureTicks;
+    }
+
+    void recordDeparture(long now) {
+        lastDepartureTicks = now;
+    }
+
+    /**
+     * Takes in a list of endpoints: changes only, or all that there are.
+     *
+     * @return whether a replica changed that stands in a published table
+     */
+    boolean update(long now, List<Endpoint> entries, boolean changesOnly) {
+        TreeSet<Long> missing = new TreeSet<>(changesOnly ? List.of() : replicas.keySet());
+        boolean tablesAffected = false;
+        for (Endpoint entry : entries) {
+            missing.remove(entry.replicaId());
+            Replica replica = replicas.computeIfAbsent(entry.replicaId(), Replica::new);
+            boolean restarted = entry.startedAtTicks() > replica.startedAtTicks();
+            replica.place(entry);
+            tablesAffected |= changeHealth(replica, entry.health(), restarted, now);
+        }
+        for (long id : missing) {
+            tablesAffected |= changeHealth(replicas.get(id), Endpoint.Health.GONE, false, now);
+        }
+        return tablesAffected;
+    }
+
+    private boolean changeHealth(
+            Replica replica, Endpoint.Health health, boolean restarted, long now) {
+        if (health == replica.health() && !restarted) {
+            return false;
+        }
+        replica.changeHealth(health, now);
+        if (health != Endpoint.Health.READY) {
+            recordDeparture(now);
+        }
+        log.add(
+                "endpoint replica="
+                        + replica.id()
+                        + " health="
+                        + health
+                        + (restarted ? " started=true" : ""));
+        return replica.isInTables();
+    }
+
+    /** Forgets replicas that left long ago and stand in no table, here and at the host. */
+    void forgetGone(ProxyCommands commands, long now) {
+        for (Replica replica : List.copyOf(replicas.values())) {
+            if (replica.health() == Endpoint.Health.GONE
+                    && !replica.isInTables()
+                    && now > replica.changedAtTicks() + GONE_MEMORY_TICKS) {
+                replicas.remove(replica.id());
+                commands.forgetReplica(replica.id());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -0,0 +1,223 @@
+package rockshift.planner;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+import java.util.SplittableRandom;
+import rockshift.model.Ticks;
+import rockshift.settings.ClassSettings;
+import rockshift.settings.PlannerSettings;
+
+/**
+ * Splits the proxies of each zone into groups, and assigns each group the subset of replicas that
+ * its tables have entries for.
+ *
+ * <p>Inputs: the channel's limit in entries, the number of proxies, and what proxies usually bring
+ * in transactions a second. Where tables of the whole fleet fit, each zone has one group, with all
+ * replicas.
+ *
+ * <p>Guards against tables that the channel can't carry in time, and whose connections close idle
+ * between two transactions. Shows as late drains, and at proxies as a new connection for nearly
+ * each transaction. Holds because a table is no longer than both allow, each replica is in several
+ * tables so that load can shift, and a group grows while its demand is near what it reaches. What
+ * was assigned stays, and the choice is the same at every controller and after a restart, so that a
+ * proxy that moves finds its replicas again.
+ */
+final class ReplicaSubsetter {
+    /** Transactions an entry should get before its idle connection closes. */
+    private static final double TRANSACTIONS_PER_IDLE_TIME = 3.3;
+
+    /** Tables that should have each replica, so that load can shift. */
+    private static final double TABLES_PER_REPLICA = 12;
+
+    private static final double MIN_ENTRIES = 8;
+
+    /** Fraction of a group's subset from its own zone. */
+    private static final double OWN_ZONE_FRACTION = 0.75;
+
+    /** Times its demand that a group should reach, as a few proxies may bring most of it. */
+    private static final double CAPACITY_RESERVE_RATIO = 1.5;
+
+    /** Times the entries wanted up to which a table has the whole fleet. */
+    private static final double WHOLE_FLEET_RATIO = 1.5;
+
+    /** Fraction of the entries needed below which a group gets more replicas. */
+    private static final double REFILL_FRACTION = 0.75;
+
+    private final PlannerSettings settings;
+    private final int classCount;
+    private final List<String> zones;
+    private final List<ProxyGroup> groups = new ArrayList<>();
+
+    /** Entries that a table should have; without bound for the whole fleet. */
+    private double entriesPerTable;
+
+    ReplicaSubsetter(PlannerSettings settings, int classCount) {
+        this.settings = settings;
+        this.classCount = classCount;
+        zones = settings.zones();
+    }
+
+    /** All groups, numbered in this order; none until replicas and proxies are known. */
+    List<ProxyGroup> groups() {
+        return groups;
+    }
+
+    /** Whether tables have entries for the whole fleet. */
+    boolean coversWholeFleet() {
+        return entriesPerTable == Double.MAX_VALUE;
+    }
+
+    // ---- groups --------------------------------------------------------------------------------
+
+    /**
+     * Puts a proxy into its group, if there are groups.
+     *
+     * @return whether a planning round must come first, as the group has no tables up to date
+     */
+    boolean assignToGroup(Proxy proxy) {
+        int perZone = groups.size() / zones.size();
+        if (perZone == 0) {
+            return true;
+        }
+        if (proxy.group() == null) {
+            int index = proxy.zoneIndex() * perZone + proxy.number() % perZone;
+            proxy.joinGroup(groups.get(index));
+        }
+        return !proxy.group().isPublished();
+    }
+
+    private void createGroups(int usableReplicas, Collection<Proxy> proxies) {
+        entriesPerTable = Math.max(MIN_ENTRIES, Math.floor(affordableEntries(proxies)));
+        if (usableReplicas <= WHOLE_FLEET_RATIO * entriesPerTable) {
+            entriesPerTable = Double.MAX_VALUE;
+        }
+        double tables = TABLES_PER_REPLICA * usableReplicas / entriesPerTable;
+        int perZone = (int) Math.max(1, Math.ceil(tables / zones.size()));
+        for (String zone : zones) {
+            for (int i = 0; i < perZone; i++) {
+                groups.add(new ProxyGroup(groups.size(), zone, classCount, strictestClass()));
+            }
+        }
+    }
+
+    /** Entries that keep their connections open, and that the channel carries for all proxies. */
+    private double affordableEntries(Collection<Proxy> proxies) {
+        double usualRatePerSecond =
+                proxies.stream()
+                                .flatMap(proxy -> proxy.demands().stream())
+                                .mapToDouble(ClassDemand::ratePerSecond)
+                                .sum()
+                        / proxies.size();
+        double keptOpen =
+                usualRatePerSecond
+                        * settings.idleCloseTicks()
+                        / Ticks.TICKS_PER_SECOND
+                        / TRANSACTIONS_PER_IDLE_TIME;
+        double allProxies = Math.max(proxies.size(), settings.expectedProxies());
+        double perProxy =
+                settings.channelQueueLimitEntries() * settings.controllerCount() / allProxies;
+        double carried = (perProxy - settings.messageOverheadEntries()) / classCount - 2;
+        return Math.min(keptOpen, carried);
+    }
+
+    /** The first class that must stay in its zone, else class 0. */
+    private int strictestClass() {
+        List<ClassSettings> classes = settings.classes();
+        for (int k = 0; k < classes.size(); k++) {
+            if (classes.get(k).staysInZone()) {
+                return k;
+            }
+        }
+        return 0;
+    }
+
+    // ---- subsets -------------------------------------------------------------------------------
+
+    /**
+     * Brings the groups' subsets up to date; creates the groups with the first proxies and
+     * replicas.
+     *
+     * @return whether groups were created: their tables take a further round
+     */
+    boolean assignSubsets(ReplicaRegistry replicas, ProxyRegistry proxies) {
+        List<Replica> usable = replicas.acceptingNewWork();
+        boolean creates =
+                groups.isEmpty() && !usable.isEmpty() && !proxies.all().isEmpty() && classCount > 0;
+        if (creates) {
+            createGroups(usable.size(), proxies.all());
+            proxies.all().forEach(this::assignToGroup);
+        }
+        removeUnusable(replicas);
+        for (ProxyGroup group : groups) {
+            refill(group, usable, proxies.waiting().isEmpty());
+        }
+        double perReplica = groups.size() * entriesPerTable / usable.size();
+        for (Replica replica : usable) {
+            double ownZone = Math.max(1, Math.floor(perReplica * OWN_ZONE_FRACTION));
+            spreadReplica(replica, true, ownZone - replica.groupCount(true));
+            double otherZones = Math.floor(perReplica * (1 - OWN_ZONE_FRACTION));
+            spreadReplica(replica, false, otherZones - replica.groupCount(false));
+        }
+        for (ProxyGroup group : groups) {
+            for (RoutingTable table : group.tables()) {
+                group.subset().forEach(table::addRouteIfAbsent);
+            }
+        }
+        return creates;
+    }
+
+    private void removeUnusable(ReplicaRegistry replicas) {
+        for (Replica replica : replicas.all()) {
+            boolean inGroups = replica.groupCount(true) + replica.groupCount(false) > 0;
+            if (!replica.acceptsNewWork() && inGroups) {
+                groups.forEach(group -> group.remove(replica));
+            }
+        }
+    }
+
+    /** Fills a group that has lost many replicas, or whose demand is near what it reaches. */
+    private void refill(ProxyGroup group, List<Replica> usable, boolean nobodyWaits) {
+        double size = group.subsetSize();
+        double demand = group.tables().stream().mapToDouble(RoutingTable::demandShare).sum();
+        double reachable = nobodyWaits ? group.tables().get(0).reachableCapacity() : 0;
+        double forDemand = reachable > 0 ? size * CAPACITY_RESERVE_RATIO * demand / reachable : 0;
+        double needed = Math.max(entriesPerTable, forDemand);
+        if (size < REFILL_FRACTION * Math.min(needed, usable.size())) {
+            double missing = needed - size;
+            fillGroup(group, usable, true, Math.ceil(missing * OWN_ZONE_FRACTION));
+            fillGroup(group, usable, false, Math.floor(missing * (1 - OWN_ZONE_FRACTION)));
+        }
+    }
+
+    /** Adds replicas that the fewest groups have, of the group's zone or of the others. */
+    private static void fillGroup(
+            ProxyGroup group, List<Replica> usable, boolean ownZone, double count) {
+        usable.stream()
+                .filter(replica -> group.canAdd(replica, ownZone) && !replica.isEjected())
+                .sorted(
+                        Comparator.comparingInt((Replica replica) -> replica.groupCount(ownZone))
+                                .thenComparingLong(replica -> order(group, replica)))
+                .limit((long) Math.max(0, count))
+                .forEach(group::add);
+    }
+
+    /** Adds a replica that too few groups have to the smallest ones of its zone or the others. */
+    private void spreadReplica(Replica replica, boolean ownZone, double count) {
+        if (count >= 1) {
+            groups.stream()
+                    .filter(group -> group.canAdd(replica, ownZone))
+                    .sorted(
+                            Comparator.comparingInt(ProxyGroup::subsetSize)
+                                    .thenComparingLong(group -> order(group, replica)))
+                    .limit((long) count)
+                    .forEach(group -> group.add(replica));
+        }
+    }
+
+    /** An order by chance that depends on nothing but the group and the replica. */
+    private static long order(ProxyGroup group, Replica replica) {
+        return new SplittableRandom(replica.id() * Short.MAX_VALUE + group.number()).nextLong();
+    }
+}
--- a/src/main/java/rockshift/planner/RoutingTable.java
+++ b/src/main/java/rockshift/planner/RoutingTable.java
@@ -1,69 +1,168 @@
 package rockshift.planner;
 
-import java.util.List;
+import java.util.Collection;
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import rockshift.model.ClassSet;
 
-/** A class at a place: a table, numbered as the request, over the paths dealt to the place. */
+/**
+ * The table of one class at one {@link ProxyGroup}; in the paper's terms a request, with the routes
+ * to the group's replicas as its paths.
+ */
 final class RoutingTable {
-    final ProxyGroup place;
-    final int type;
-    final int number;
-
-    /** The class alone, as the host is told of it. */
-    final ClassSet classes;
-
-    final TreeMap<Long, Route> paths = new TreeMap<>();
-    double weight;
-    double oldWeight;
-    double utopic;
-    double total;
-    double sentLevel;
-
-    /**
-     * Lines that its table has since the last batch; lines sent of it so far, while one is
-     * published.
-     */
-    int filled;
-
-    double sent;
-
-    /** What the standing weights sum to, where the targets sum to 1. */
-    double scale = 1;
-
-    RoutingTable(ProxyGroup place, int type, int number) {
-        this.place = place;
-        this.type = type;
+    private final ProxyGroup group;
+    private final int classNumber;
+    private final int number;
+    private final ClassSet classes;
+    private final TreeMap<Long, Route> routes = new TreeMap<>();
+    private double demandShare;
+    private double previousDemandShare;
+    private double reachableCapacity;
+    private double classTotal;
+    private double publishedLevel;
+    private int entryCount;
+    private double weightScale = 1;
+
+    RoutingTable(ProxyGroup group, int classNumber, int number) {
+        this.group = group;
+        this.classNumber = classNumber;
         this.number = number;
-        classes = ClassSet.of(type);
-    }
-
-    /** The capacity of the links at the end of such paths. */
-    double reach(Predicate<Route> such) {
-        return paths.values().stream().filter(such).mapToDouble(path -> path.link.capacity).sum();
-    }
-
-    /**
-     * The paper's start of the penalty, from utopic totals and lower bounds; the weights sum to 1.
-     */
-    static double penalty(List<RoutingTable> requests, double alpha) {
-        double lowest =
-                requests.stream()
-                        .filter(request -> request.utopic > 0)
-                        .mapToDouble(request -> request.weight * request.utopic)
-                        .min()
-                        .orElse(1);
-        double least = Double.MAX_VALUE;
-        double most = 0;
-        for (RoutingTable request : requests) {
-            double midpoint = request.weight * request.utopic;
-            double bound = Math.pow(lowest, 1 - 1 / alpha) * Math.pow(midpoint, 1 / alpha);
-            if (midpoint > 0) {
-                least = Math.min(least, request.weight / Math.pow(request.utopic, alpha + 1));
-                most = Math.max(most, request.weight / Math.pow(bound, alpha + 1));
+        classes = ClassSet.of(classNumber);
+    }
+
+    ProxyGroup group() {
+        return group;
+    }
+
+    int classNumber() {
+        return classNumber;
+    }
+
+    /** The number by which the host knows the table. */
+    int number() {
+        return number;
+    }
+
+    /** The one class that it is for. */
+    ClassSet classes() {
+        return classes;
+    }
+
+    // ---- routes --------------------------------------------------------------------------------
+
+    /** In the order of the replicas' ids. */
+    Collection<Route> routes() {
+        return routes.values();
+    }
+
+    void addRouteIfAbsent(Replica replica) {
+        routes.computeIfAbsent(replica.id(), id -> new Route(this, replica));
+    }
+
+    /** Forgets the routes that are neither published nor allowed any more. */
+    void removeUnusedRoutes() {
+        routes.values()
+                .removeIf(
+                        route ->
+                                route.publishedWeight() == 0
+                                        && !route.isAllowed()
+                                        && route.replica().detach(route));
+    }
+
+    /** Whether no published entry leads to a replica that may get new work. */
+    boolean hasNoUsableEntry() {
+        return routes.values().stream()
+                .noneMatch(route -> route.publishedWeight() > 0 && route.isAllowed());
+    }
+
+    /** The capacity of the replicas at the end of some routes. */
+    double capacityOf(Predicate<Route> included) {
+        return routes.values().stream()
+                .filter(included)
+                .mapToDouble(route -> route.replica().capacity())
+                .sum();
+    }
+
+    // ---- demand and solution -------------------------------------------------------------------
+
+    /** The table's share of all demand: the weight of the request in the paper. */
+    double demandShare() {
+        return demandShare;
+    }
+
+    /** The share of the round before; 0 for a table that was not in use. */
+    double previousDemandShare() {
+        return previousDemandShare;
+    }
+
+    void resetDemand() {
+        previousDemandShare = demandShare;
+        demandShare = 0;
+    }
+
+    void addDemand(double ratePerSecond) {
+        demandShare += ratePerSecond;
+    }
+
+    void setDemandShare(double share) {
+        demandShare = share;
+    }
+
+    /** The capacity of all open routes: the paper's utopic total. */
+    double reachableCapacity() {
+        return reachableCapacity;
+    }
+
+    void setReachableCapacity(double capacity) {
+        reachableCapacity = capacity;
+    }
+
+    /** The solver's rate of the whole class: y in the paper. */
+    double classTotal() {
+        return classTotal;
+    }
+
+    void setClassTotal(double total) {
+        classTotal = total;
+    }
+
+    // ---- publication ---------------------------------------------------------------------------
+
+    double publishedLevel() {
+        return publishedLevel;
+    }
+
+    void setPublishedLevel(double level) {
+        publishedLevel = level;
+    }
+
+    /** Entries that the published table has since the last batch. */
+    int entryCount() {
+        return entryCount;
+    }
+
+    void countEntries() {
+        entryCount =
+                (int) routes.values().stream().filter(route -> route.publishedWeight() > 0).count();
+    }
+
+    /** Withdraws all entries: the table has no proxies that would need them. */
+    void clear(ProxyCommands commands) {
+        entryCount = 0;
+        for (Route route : routes.values()) {
+            if (route.publishedWeight() > 0) {
+                route.setPublishedWeight(0);
+                commands.setTableEntry(number, route.replica().id(), 0);
             }
         }
-        return most > 0 ? alpha / Math.sqrt(least * most) : 1;
+    }
+
+    /** What the published weights sum to where the target fractions sum to 1. */
+    double weightScale() {
+        return weightScale;
+    }
+
+    void setWeightScale(double scale) {
+        weightScale = scale;
     }
 }
--- a/src/main/java/rockshift/planner/SimplexProjection.java
+++ b/src/main/java/rockshift/planner/SimplexProjection.java
@@ -3,23 +3,23 @@
 import java.util.Arrays;
 
 /**
- * The nearest point whose sum stays within a limit: one and the same amount less of each, and
- * nothing below zero.
+ * Projection onto the points of values above zero whose sum stays within a limit: the nearest one
+ * has the same amount less of each value, and zero where that would be negative.
  */
 final class SimplexProjection {
     private SimplexProjection() {}
 
     /** That amount; 0 where the sum fits already. Sorts the values that it is given. */
-    static double cut(double[] values, double limit) {
+    static double excess(double[] values, double limit) {
         Arrays.sort(values);
-        double prefix = 0;
-        double cut = 0;
+        double prefixSum = 0;
+        double excess = 0;
         for (int i = 1; i <= values.length; i++) {
             double value = values[values.length - i];
-            prefix += value;
-            double level = (prefix - limit) / i;
-            cut = level <= value ? Math.max(0, level) : cut;
+            prefixSum += value;
+            double candidate = (prefixSum - limit) / i;
+            excess = candidate <= value ? Math.max(0, candidate) : excess;
         }
-        return cut;
+        return excess;
     }
 }
--- /dev/null
+++ b/src/main/java/rockshift/planner/SlowStart.java
@@ -0,0 +1,59 @@
+package rockshift.planner;
+
+/**
+ * Says whether a replica is cold, and how much of its capacity it has then.
+ *
+ * <p>Inputs: when the replica started and the time now, in ticks. The factor grows evenly from the
+ * initial fraction to 1.
+ *
+ * <p>Guards against overload of a replica that has just started: caches are empty, and it fails
+ * above a multiple of the little that it can do. Shows as failures soon after {@code endpoint
+ * replica=... started=true}. Holds because every weight and every capacity goes by the factor, and
+ * the factor goes by the replica's own start and not by when it was first seen.
+ */
+final class SlowStart {
+    /**
+     * Fraction of what pushes a cold replica over that it may be sent, by the attempts now made.
+     */
+    private static final double SAFE_OVERLOAD_FRACTION = 0.3;
+
+    private final double initialFraction;
+    private final double durationTicks;
+    private final double safeLoadRatio;
+
+    /**
+     * The settings of a deployment.
+     *
+     * @param initialFraction factor at the start
+     * @param durationTicks time after which the factor is 1
+     * @param overloadMultiple load, as a multiple of its present capacity, that a cold replica
+     *     fails above
+     */
+    SlowStart(double initialFraction, double durationTicks, double overloadMultiple) {
+        this.initialFraction = initialFraction;
+        this.durationTicks = durationTicks;
+        safeLoadRatio = SAFE_OVERLOAD_FRACTION * overloadMultiple;
+    }
+
+    /** The fraction of its full capacity that a replica has at least. */
+    double factor(Replica replica, long now) {
+        double ageTicks = Math.max(0, now - replica.startedAtTicks());
+        return replica.startedAtTicks() == 0 || ageTicks >= durationTicks
+                ? 1
+                : initialFraction + (1 - initialFraction) * ageTicks / durationTicks;
+    }
+
+    boolean isCold(Replica replica, long now) {
+        return factor(replica, now) < 1;
+    }
+
+    /** Load, as a multiple of its present capacity, that a cold replica may be sent. */
+    double safeLoadRatio() {
+        return safeLoadRatio;
+    }
+
+    /** {@link #SAFE_OVERLOAD_FRACTION} of a rate: what one caller may bring beside others. */
+    static double safeFractionOf(double rate) {
+        return SAFE_OVERLOAD_FRACTION * rate;
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/TableChange.java
@@ -0,0 +1,45 @@
+package rockshift.planner;
+
+/** A difference between what is published and what should be. */
+sealed interface TableChange {
+    RoutingTable table();
+
+    /** Changes of higher priority are sent first. */
+    double priority();
+
+    /** A new admission level for a table's class. */
+    record Level(RoutingTable table, double level) implements TableChange {
+        @Override
+        public double priority() {
+            return 1;
+        }
+    }
+
+    /** A new weight for a table's entry; 0 removes it. */
+    record Entry(Route route, double weight, double priority) implements TableChange {
+        @Override
+        public RoutingTable table() {
+            return route.table();
+        }
+
+        boolean isRemoval() {
+            return weight == 0;
+        }
+
+        boolean isNew() {
+            return route.publishedWeight() == 0;
+        }
+
+        boolean isDecrease() {
+            return weight < route.publishedWeight();
+        }
+
+        boolean isMoreThanHalved() {
+            return 2 * weight < route.publishedWeight();
+        }
+
+        boolean isMoreThanDoubled() {
+            return route.publishedWeight() > 0 && weight > 2 * route.publishedWeight();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -0,0 +1,59 @@
+package rockshift.planner;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/** Finds what differs enough between the published tables and their targets to be sent. */
+final class TableDifferences {
+    /** Relative change of an entry's weight below which it is not sent. */
+    private static final double MIN_WEIGHT_CHANGE_RATIO = 0.1;
+
+    /** Change of a level below which it is not sent. */
+    private static final double MIN_LEVEL_CHANGE = 0.02;
+
+    private static final double REMOVAL_PRIORITY = 2;
+
+    private final AdmissionController admission;
+    private final TargetWeights targetWeights;
+
+    TableDifferences(AdmissionController admission, TargetWeights targetWeights) {
+        this.admission = admission;
+        this.targetWeights = targetWeights;
+    }
+
+    /** Removals first, then levels and new entries, then changed weights by their size. */
+    List<TableChange> find(List<RoutingTable> tables, TargetWeights.Round round) {
+        List<TableChange> changes = new ArrayList<>();
+        for (RoutingTable table : tables) {
+            addLevelChange(changes, table);
+            targetWeights.update(table, round);
+            table.routes().forEach(route -> addEntryChange(changes, route));
+        }
+        changes.sort(Comparator.comparingDouble(TableChange::priority).reversed());
+        return changes;
+    }
+
+    private void addLevelChange(List<TableChange> changes, RoutingTable table) {
+        double level = Math.round(admission.level(table.classNumber()) * 100) / 100.0;
+        double published = table.publishedLevel();
+        if (Math.abs(level - published) > MIN_LEVEL_CHANGE || level == 1 && published < 1) {
+            changes.add(new TableChange.Level(table, level));
+        }
+    }
+
+    private static void addEntryChange(List<TableChange> changes, Route route) {
+        double scale = route.table().weightScale();
+        double published = route.publishedWeight();
+        double weight = route.isAllowed() ? (float) (route.targetFraction() * scale) : 0;
+        double size = Math.abs(weight - published) / scale;
+        if (weight == 0) {
+            if (published > 0) {
+                changes.add(new TableChange.Entry(route, weight, REMOVAL_PRIORITY));
+            }
+        } else if (size * scale > MIN_WEIGHT_CHANGE_RATIO * published) {
+            double priority = published == 0 ? 1 + size : size;
+            changes.add(new TableChange.Entry(route, weight, priority));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/planner/TrafficWindows.java
@@ -0,0 +1,152 @@
+package rockshift.planner;
+
+import java.util.ArrayList;
+import java.util.List;
+import rockshift.model.Ticks;
+
+/**
+ * What the proxies lately brought and attempted, and the time that this covers. Everything decays
+ * alike, counts and time, so that their quotient is a rate.
+ *
+ * <p>Each time is kept twice. The careful one starts with the capacity memory or not at all, as
+ * reports arrive late; the one from the first report starts with the span of that report. They
+ * approach each other; until then the careful one gives the lower rate.
+ */
+final class TrafficWindows {
+    /** Memory of arrivals and attempts: two to four report periods. */
+    static final double MEMORY_TICKS = 4 * Ticks.TICKS_PER_SECOND;
+
+    /** One class: its arrivals, and the fraction that was admitted while they came. */
+    private static final class ClassTraffic {
+        private double arrivals;
+        private double admittedFraction = 1;
+    }
+
+    private final List<ClassTraffic> classes = new ArrayList<>();
+    private double attempts;
+    private double answers;
+    private double answerTicks;
+    private double shortestMeanAnswerTicks = Double.MAX_VALUE;
+    private double coveredTicks;
+    private double coveredTicksFromFirstReport;
+    private double capacityTicks;
+    private double capacityTicksFromFirstReport;
+
+    TrafficWindows(int classCount) {
+        for (int k = 0; k < classCount; k++) {
+            classes.add(new ClassTraffic());
+        }
+    }
+
+    /** Takes in the attempts of a report, their failures, and the mean time of its answers. */
+    void addAttempts(int count, int failed, long meanAnswerTicks, long spanTicks) {
+        int answered = Math.max(0, count - failed);
+        attempts += count;
+        answers += answered;
+        answerTicks += answered * (double) meanAnswerTicks;
+        capacityTicks = capacityTicks == 0 ? spanTicks : capacityTicks;
+    }
+
+    void addArrivals(int classNumber, int count) {
+        classes.get(classNumber).arrivals += count;
+    }
+
+    /**
+     * Lets what was reported count less. Does nothing before the first report.
+     *
+     * @param admittedFractions by class, what was admitted since the last call
+     */
+    void decay(long elapsedTicks, double[] admittedFractions) {
+        if (capacityTicks <= 0) {
+            return;
+        }
+        double kept = Math.exp(-elapsedTicks / MEMORY_TICKS);
+        double capacityKept = CapacityEstimator.keptFraction(elapsedTicks);
+        boolean first = coveredTicks == 0;
+        coveredTicksFromFirstReport =
+                first
+                        ? capacityTicks * kept
+                        : coveredTicksFromFirstReport * kept + MEMORY_TICKS * (1 - kept);
+        double capacityGained = CapacityEstimator.MEMORY_TICKS * (1 - capacityKept);
+        capacityTicksFromFirstReport =
+                (first ? capacityTicks : capacityTicksFromFirstReport) * capacityKept
+                        + (first ? 0 : capacityGained);
+        capacityTicks = capacityTicks * capacityKept + capacityGained;
+        coveredTicks = coveredTicks * kept + MEMORY_TICKS * (1 - kept);
+        attempts *= kept;
+        answers *= kept;
+        answerTicks *= kept;
+        for (int k = 0; k < classes.size(); k++) {
+            ClassTraffic traffic = classes.get(k);
+            traffic.arrivals *= kept;
+            traffic.admittedFraction =
+                    traffic.admittedFraction * kept + admittedFractions[k] * (1 - kept);
+        }
+    }
+
+    /** Whether anything is covered yet. */
+    boolean isEmpty() {
+        return coveredTicks == 0;
+    }
+
+    // ---- attempts ------------------------------------------------------------------------------
+
+    double attempts() {
+        return attempts;
+    }
+
+    double attemptsPerTick() {
+        return coveredTicks > 0 ? attempts / coveredTicks : 0;
+    }
+
+    /**
+     * The fraction of their time that answers lately waited: what they take beyond the shortest
+     * mean so far, which this call may lower.
+     */
+    double updateWaitingFraction() {
+        double meanTicks = answers > 0 ? answerTicks / answers : Double.MAX_VALUE;
+        shortestMeanAnswerTicks = Math.min(shortestMeanAnswerTicks, meanTicks);
+        return meanTicks > 0 ? 1 - shortestMeanAnswerTicks / meanTicks : 0;
+    }
+
+    // ---- arrivals ------------------------------------------------------------------------------
+
+    double arrivals(int classNumber) {
+        return classes.get(classNumber).arrivals;
+    }
+
+    double arrivals() {
+        return classes.stream().mapToDouble(traffic -> traffic.arrivals).sum();
+    }
+
+    /** Arrivals of all classes that were admitted. */
+    double admittedArrivals() {
+        return classes.stream()
+                .mapToDouble(traffic -> traffic.arrivals * traffic.admittedFraction)
+                .sum();
+    }
+
+    double admittedFraction(int classNumber) {
+        return classes.get(classNumber).admittedFraction;
+    }
+
+    // ---- time covered --------------------------------------------------------------------------
+
+    /** Time that attempts and arrivals cover, the careful one. */
+    double coveredTicks() {
+        return coveredTicks;
+    }
+
+    double coveredTicksFromFirstReport() {
+        return coveredTicksFromFirstReport;
+    }
+
+    /** Time that the evidence of capacities covers, the careful one; 0 before the first report. */
+    double capacityTicks() {
+        return capacityTicks;
+    }
+
+    double capacityTicksFromFirstReport() {
+        return capacityTicksFromFirstReport;
+    }
+}
--- a/src/main/java/rockshift/server/PublishedTables.java
+++ b/src/main/java/rockshift/server/PublishedTables.java
@@ -29,7 +29,7 @@
  */
 final class PublishedTables implements ProxyCommands {
     private static final Logger LOG = LoggerFactory.getLogger(PublishedTables.class);
-    private static final Pattern NUMBERED = Pattern.compile("replica (\\d+)");
+    private static final Pattern NUMBERED = Pattern.compile("replica=(\\d+)");
 
     /**
      * Suspects that are kept, those gone among them: under a megabyte. With more, all replicas are
@@ -291,7 +291,7 @@
                 NUMBERED.matcher(line)
                         .replaceAll(
                                 found ->
-                                        "replica "
+                                        "replica="
                                                 + Matcher.quoteReplacement(
                                                         names.get(
                                                                 Long.parseLong(found.group(1))))));
