--- a/src/main/java/rockshift/server/PublishedTables.java
+++ b/src/main/java/rockshift/server/PublishedTables.java
@@ -26,7 +26,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(PublishedTables.class);
 
     /** A replica in a log line of the planner, which knows replicas by number only. */
-    private static final Pattern REPLICA_NUMBER = Pattern.compile("(?<=\\breplica[ =])\\d+");
+    private static final Pattern REPLICA_NUMBER = Pattern.compile("(?<=\\breplica=)\\d+");
 
     private final LongConsumer waker;
     private final UpdatePartEncoder encoder;
