--- a/src/main/java/rockshift/capacity/Region.java
+++ b/src/main/java/rockshift/capacity/Region.java
@@ -19,7 +19,7 @@
  */
 final class Region implements AutoCloseable {
     static final int RELAYS = 2;
-    private static final Pattern PORT = Pattern.compile("listens on .*, port (\\d+)");
+    private static final Pattern PORT = Pattern.compile("relay listening .* port=(\\d+)");
 
     private final String name;
     private final Path folder;
