--- a/src/main/java/rockshift/capacity/ControllerInRegion.java
+++ b/src/main/java/rockshift/capacity/ControllerInRegion.java
@@ -20,7 +20,8 @@
 final class ControllerInRegion implements AutoCloseable {
     private static final FleetShape SHAPE = new FleetShape(36, 2, 16, 3);
     private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
-    private static final Pattern IN_FORCE = Pattern.compile("agreed state in force revision=([0-9a-f]+)/(\\d+) ");
+    private static final Pattern IN_FORCE =
+            Pattern.compile("agreed state in force revision=([0-9a-f]+)/(\\d+) ");
 
     private final String name;
     private final ScaleChecker checker;
--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -44,7 +44,7 @@
         if (seed != null) {
             SimulatedCluster.Result result =
                     new SimulatedCluster(seed, members, new FaultInjection(), true).run();
-            result.account().forEach(out::println);
+            result.trace().forEach(out::println);
             out.println(
                     "seed "
                             + seed
@@ -60,8 +60,8 @@
                             Math.min(STEP, seeds - done),
                             members,
                             FaultInjection::new);
-            all = all.and(part);
-            part.broken()
+            all = all.plus(part);
+            part.violations()
                     .forEach(
                             result ->
                                     out.println(
@@ -70,7 +70,7 @@
                 System.err.print("\r" + Math.min(seeds, done + STEP) + " of " + seeds);
             }
         }
-        out.println(all.line());
-        return all.broken().isEmpty() ? Commands.SUCCESS : Commands.FAILURE;
+        out.println(all.summary());
+        return all.violations().isEmpty() ? Commands.SUCCESS : Commands.FAILURE;
     }
 }
--- a/src/main/java/rockshift/testkit/FaultInjection.java
+++ b/src/main/java/rockshift/testkit/FaultInjection.java
@@ -7,10 +7,11 @@
 import rockshift.raft.TermAndVote;
 
 /**
- * The points at which a simulated world can be made to do wrong. As it stands nothing is wrong; a
+ * The points at which the code of simulated members can be made wrong. As it stands nothing is; a
  * test of the checks overrides one method, and the explorer must find it.
  */
 public class FaultInjection {
+    /** The safety conditions that the members go by. */
     public SafetyRules rules() {
         return new SafetyRules();
     }
@@ -20,27 +21,27 @@
         return false;
     }
 
-    /** The ballot as it reaches the disk. */
-    public TermAndVote saved(TermAndVote ballot) {
-        return ballot;
+    /** The vote as it reaches the disk. */
+    public TermAndVote persistedVote(TermAndVote vote) {
+        return vote;
     }
 
     /** The sessions as a member takes them from its own disk. */
-    public List<ClientSessions.Session> recovered(List<ClientSessions.Session> sessions) {
+    public List<ClientSessions.Session> recoveredSessions(List<ClientSessions.Session> sessions) {
         return sessions;
     }
 
     /** The number of a member whose disk was wiped. */
-    public long numberAfterWipe(long before, RandomGenerator chance) {
-        return number(chance);
+    public long memberIdAfterWipe(long before, RandomGenerator random) {
+        return randomId(random);
     }
 
-    static long number(RandomGenerator chance) {
-        return chance.nextLong() >>> 1 | 1;
+    static long randomId(RandomGenerator random) {
+        return random.nextLong() >>> 1 | 1;
     }
 
-    /** How far clocks run from the true rate, at most. */
-    public double clocksApart() {
+    /** How far clocks drift from the true rate at most, as a fraction. */
+    public double maxClockDrift() {
         return 0.04;
     }
 }
