--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -1,46 +1,55 @@
 package rockshift.distribution;
 
 import java.util.Collection;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
 /**
- * The upstream side of a governor or relay: keeps one subscription going over a choice of
- * upstreams, and knows how old what it holds may be. Whatever comes wrong is refused whole, and
- * what was held stays.
+ * The upstream side of a controller or relay: keeps one subscription going over a choice of
+ * upstreams, and knows how old its state may be. An invalid message ends the connection and leaves
+ * the state as it was.
+ *
+ * <p>Not thread-safe: the host calls it from one thread at a time. To read on: {@link
+ * UpstreamRotation} decides where and when to dial, {@link StateReceiver} what becomes of the
+ * state.
  */
 public final class Subscriber {
     /**
-     * What the host carries out. Calls into the subscriber from within these are not allowed, but
-     * for {@link #acknowledged}.
+     * The host's connection to one upstream at a time. Calls into the subscriber from within these
+     * are not allowed.
      */
-    public interface Effects {
+    public interface Transport {
         /**
-         * Opens a connection to an upstream, by its place in the host's list; answered by connected
+         * Opens a connection to an upstream, by its index in the host's list; answered by connected
          * or disconnected.
          */
         void connect(int upstream);
 
         /** Ends the connection, or the attempt at one. No {@link #disconnected} need follow. */
-        void disconnect(RejectionReason why, String place);
+        void disconnect(RejectionReason reason, String detail);
 
-        /** Hands over a message, to be written in order. */
+        /** Sends a message, in order. */
         void send(DistributionMessage message);
+    }
 
-        /** A whole state takes the place of what was held. */
+    /**
+     * Takes the state and what changes in it. From within these only {@link #acknowledged} may be
+     * called.
+     */
+    public interface Listener {
+        /** A whole state takes the place of the one before. */
         void snapshot(Revision revision, List<Item> items);
 
-        /** Updates to what was held. */
+        /** Updates to the state. */
         void difference(Revision revision, List<Update> updates);
 
-        /** What was held stands unchanged at a later revision. */
+        /** The state stands unchanged at a later revision. */
         default void advanced(Revision revision) {}
 
         /** The upstream tells something while the subscription goes on. */
-        default void notice(RejectionReason reason, String place) {}
+        default void notice(RejectionReason reason, String detail) {}
     }
 
     private enum Phase {
@@ -49,41 +58,25 @@
         CONNECTED
     }
 
-    private static final long NEVER = Long.MIN_VALUE;
-
     private final String name;
-    private final int upstreams;
     private final Limits limits;
-    private final Effects effects;
+    private final Transport transport;
+    private final Listener listener;
     private final Supplier<Summary> summary;
-    private final BackOff backOff;
-    private final Rejections rejections = new Rejections();
-
-    private Scope scope;
-    private long scopeEpoch = 1;
-    private final HeldState held;
-    private boolean wantsSnapshot;
-    private long adopted;
-    private SnapshotAssembly assembly;
-    private final InForceTracker inForce = new InForceTracker();
+    private final StateReceiver receiver;
+    private final UpstreamRotation upstreams;
+    private final RejectionCounters rejections = new RejectionCounters();
 
     private Phase phase = Phase.WAITING;
-    private boolean started;
     private boolean subscribed;
-    private int upstream;
-    private long waitUntil;
-    private long connectBy;
-    private long connectedAt;
-    private long heardAt;
-    private long acknowledgedAt;
-    private Summary summarySent;
-
-    private long freshAt = NEVER;
-    private int staleUpstreams;
-    private long staleMoveAt;
+    private long connectDeadlineMillis;
+    private long connectedAtMillis;
+    private long lastReceivedAtMillis;
+    private long lastAcknowledgedAtMillis;
+    private Summary lastSentSummary;
 
     /**
-     * A subscriber that holds nothing and is not connected; the first {@link #tick} begins.
+     * A subscriber that has no state and is not connected; the first {@link #tick} begins.
      *
      * @param upstreams how many there are to choose from
      */
@@ -93,8 +86,9 @@
             int upstreams,
             Limits limits,
             RandomGenerator random,
-            Effects effects) {
-        this(name, scope, upstreams, limits, random, effects, null);
+            Transport transport,
+            Listener listener) {
+        this(name, scope, upstreams, limits, random, transport, listener, null);
     }
 
     /** As above, with the sum of what is in force below; null: there is nobody below. */
@@ -104,325 +98,252 @@
             int upstreams,
             Limits limits,
             RandomGenerator random,
-            Effects effects,
+            Transport transport,
+            Listener listener,
             Supplier<Summary> below) {
         this.name = name;
-        this.scope = scope;
-        this.upstreams = upstreams;
         this.limits = limits;
-        this.effects = effects;
+        this.transport = transport;
+        this.listener = listener;
+        this.receiver = new StateReceiver(scope, limits.sizes(), listener);
         this.summary =
-                below == null ? () -> Summary.ofOne(name, inForce.of(scopeEpoch).number()) : below;
-        this.held = new HeldState(limits.sizes());
-        this.backOff = new BackOff(limits.timing(), random);
-        this.upstream = random.nextInt(upstreams);
+                below == null ? () -> Summary.ofOne(name, receiver.inForce().number()) : below;
+        this.upstreams = new UpstreamRotation(upstreams, limits, random);
     }
 
-    /** Takes up what was kept from an earlier run, before the first tick; it counts as in force. */
+    /** Takes up a state kept from an earlier run, before the first tick; it counts as in force. */
     public void restore(Revision revision, Collection<Item> items) {
-        Map<String, Long> digests = new HashMap<>();
-        items.forEach(item -> digests.put(item.key(), item.digest()));
-        held.replace(revision, scopeEpoch, digests);
-        inForce.begin(revision, scopeEpoch);
+        receiver.restore(revision, items);
     }
 
     /** The connection that was asked for is up. */
-    public void connected(long now) {
+    public void connected(long nowMillis) {
         if (phase != Phase.CONNECTING) {
             return;
         }
         phase = Phase.CONNECTED;
-        connectedAt = now;
-        heardAt = now;
-        subscribe(now);
+        connectedAtMillis = nowMillis;
+        lastReceivedAtMillis = nowMillis;
+        subscribe(nowMillis);
     }
 
     /** The connection, or the attempt at one, has ended. */
-    public void disconnected(long now) {
+    public void disconnected(long nowMillis) {
         if (phase != Phase.WAITING) {
-            retry(now + backOff.next(), true);
+            upstreams.failed(nowMillis);
+            awaitRetry();
         }
     }
 
     /** A message came over the connection. */
-    public void received(DistributionMessage message, long now) {
+    public void received(DistributionMessage message, long nowMillis) {
         if (phase != Phase.CONNECTED) {
             return;
         }
-        heardAt = now;
+        lastReceivedAtMillis = nowMillis;
         try {
             if (message instanceof DistributionMessage.Rejected rejected) {
-                rejected(rejected, now);
-            } else if (message.scopeEpoch() > scopeEpoch) {
-                throw new Refusal(
+                rejected(rejected, nowMillis);
+            } else if (message.scopeEpoch() > receiver.scopeEpoch()) {
+                throw new RejectionException(
                         RejectionReason.MALFORMED,
-                        "scopeEpoch: " + message.scopeEpoch() + " of " + scopeEpoch);
-            } else if (message.scopeEpoch() == scopeEpoch) {
-                take(message, now);
+                        "scopeEpoch: " + message.scopeEpoch() + " of " + receiver.scopeEpoch());
+            } else if (message.scopeEpoch() == receiver.scopeEpoch()) {
+                receive(message, nowMillis);
             }
-        } catch (Refusal refusal) {
-            wantsSnapshot |= refusal.reason() == RejectionReason.DIGEST_MISMATCH;
-            end(refusal.reason(), refusal.place(), now);
+        } catch (RejectionException rejection) {
+            if (rejection.reason() == RejectionReason.DIGEST_MISMATCH) {
+                receiver.requireSnapshot();
+            }
+            end(rejection.reason(), rejection.detail(), nowMillis);
         }
     }
 
-    /** The host could not read what came: counts it and ends the connection. */
-    public void refused(RejectionReason reason, String place, long now) {
+    /** The host could not decode a message: counts it and ends the connection. */
+    public void undecodable(RejectionReason reason, String detail, long nowMillis) {
         if (phase != Phase.WAITING) {
-            end(reason, place, now);
+            end(reason, detail, nowMillis);
         }
     }
 
     /**
-     * What was handed over as this revision is in force. To be called for each, in order, or for
-     * the last of several.
+     * The state that was handed over at this revision is in force. To be called for each, in order,
+     * or for the last of several.
      */
-    public void acknowledged(Revision revision, long now) {
-        if (inForce.acknowledged(revision, held.revision()) && phase == Phase.CONNECTED) {
-            acknowledge(now);
+    public void acknowledged(Revision revision, long nowMillis) {
+        if (receiver.acknowledged(revision) && phase == Phase.CONNECTED) {
+            acknowledge(nowMillis);
         }
     }
 
     /** Does what is due: silence, reconnection. To be called every 50 ms or so. */
-    public void tick(long now) {
+    public void tick(long nowMillis) {
         switch (phase) {
             case WAITING -> {
-                if (!started) {
-                    started = true;
-                    waitUntil = now + backOff.upTo(limits.timing().backOff());
-                }
-                if (now >= waitUntil) {
+                if (upstreams.dialDue(nowMillis)) {
                     phase = Phase.CONNECTING;
-                    connectBy = now + limits.timing().connect();
-                    effects.connect(upstream);
+                    connectDeadlineMillis = nowMillis + limits.timing().connectTimeoutMillis();
+                    transport.connect(upstreams.current());
                 }
             }
             case CONNECTING -> {
-                if (now >= connectBy) {
-                    end(RejectionReason.UNREACHABLE, "upstream " + upstream, now);
-                }
-            }
-            default -> {
-                if (now - heardAt >= limits.timing().silence()) {
-                    end(RejectionReason.SILENT, (now - heardAt) + " ms", now);
-                } else if (now - acknowledgedAt >= limits.timing().acknowledge()
-                        && !summary.get().equals(summarySent)) {
-                    acknowledge(now);
+                if (nowMillis >= connectDeadlineMillis) {
+                    String detail = "upstream " + upstreams.current();
+                    end(RejectionReason.UNREACHABLE, detail, nowMillis);
                 }
             }
+            default -> tickConnected(nowMillis);
+        }
+    }
+
+    private void tickConnected(long nowMillis) {
+        long silentMillis = nowMillis - lastReceivedAtMillis;
+        if (silentMillis >= limits.timing().silenceTimeoutMillis()) {
+            end(RejectionReason.SILENT, silentMillis + " ms", nowMillis);
+        } else if (nowMillis - lastAcknowledgedAtMillis
+                        >= limits.timing().acknowledgeIntervalMillis()
+                && !summary.get().equals(lastSentSummary)) {
+            acknowledge(nowMillis);
         }
     }
 
     /**
-     * Asks for another scope from now on. What is held stays until the first snapshot of the new
-     * one.
+     * Asks for another scope from now on. The state stays until the first snapshot of the new one.
      */
-    public void scope(Scope wanted, long now) {
-        scope = wanted;
-        scopeEpoch++;
+    public void scope(Scope wanted, long nowMillis) {
+        receiver.changeScope(wanted);
         if (phase == Phase.CONNECTED) {
-            subscribe(now);
+            subscribe(nowMillis);
         }
     }
 
-    /** Staff decided to follow another cluster: what is held stays until its first snapshot. */
-    public void adopt(long cluster, long now) {
-        adopted = cluster;
-        wantsSnapshot |= held.revision().cluster() != cluster;
+    /** An operator decided to follow another cluster: the state stays until its first snapshot. */
+    public void adopt(long cluster, long nowMillis) {
+        receiver.adopt(cluster);
         if (phase != Phase.WAITING) {
-            end(RejectionReason.OTHER_CLUSTER, "adopts " + Long.toHexString(cluster), now);
+            String detail = "adopts " + Long.toHexString(cluster);
+            end(RejectionReason.OTHER_CLUSTER, detail, nowMillis);
         }
     }
 
-    /** What is held. */
-    public Revision held() {
-        return held.revision();
+    /** The revision of the state. */
+    public Revision revision() {
+        return receiver.revision();
     }
 
     /**
-     * What is held was the newest there is at this time, by the clock that is handed in; the lowest
+     * The state was the newest there is at this time, by the clock that is handed in; the lowest
      * long if it never was.
      */
-    public long freshAt() {
-        return freshAt;
+    public long freshAtMillis() {
+        return receiver.freshAtMillis();
     }
 
-    /** How old what is held may be, in milliseconds. */
-    public long age(long now) {
-        return freshAt == NEVER ? Long.MAX_VALUE : now - freshAt;
+    /** How old the state may be; the highest long if it never was the newest. */
+    public long ageMillis(long nowMillis) {
+        long freshAtMillis = receiver.freshAtMillis();
+        return freshAtMillis == Long.MIN_VALUE ? Long.MAX_VALUE : nowMillis - freshAtMillis;
     }
 
-    /** Whether a subscription stands, so that what is held is kept up. */
+    /** Whether a subscription stands, so that the state is kept up to date. */
     public boolean subscribed() {
         return phase == Phase.CONNECTED && subscribed;
     }
 
     /** How often each reason was given, by either side. */
-    public Map<RejectionReason, Long> rejections() {
+    public Map<RejectionReason, Long> rejectionCounts() {
         return rejections.counts();
     }
 
-    private void subscribe(long now) {
-        assembly = null;
+    private void subscribe(long nowMillis) {
+        receiver.abandonSnapshot();
         subscribed = false;
-        boolean resumes = !wantsSnapshot && held.scopeEpoch() == scopeEpoch;
-        effects.send(
+        transport.send(
                 new DistributionMessage.Subscribe(
-                        name, scopeEpoch, scope, resumes ? held.revision() : Revision.NONE, now));
+                        name,
+                        receiver.scopeEpoch(),
+                        receiver.scope(),
+                        receiver.resumableRevision(),
+                        nowMillis));
     }
 
-    private void take(DistributionMessage message, long now) throws Refusal {
+    private void receive(DistributionMessage message, long nowMillis) throws RejectionException {
         if (message instanceof DistributionMessage.SnapshotPart part) {
-            take(part, now);
+            receiver.receive(part);
+            if (receiver.snapshotPending()) {
+                acknowledge(nowMillis);
+            }
         } else if (message instanceof DistributionMessage.Difference difference) {
-            take(difference);
+            receiver.receive(difference);
         } else if (message instanceof DistributionMessage.Heartbeat heartbeat) {
-            take(heartbeat, now);
+            receive(heartbeat, nowMillis);
         } else if (message instanceof DistributionMessage.Notice notice) {
             rejections.count(notice.reason());
-            effects.notice(notice.reason(), notice.place());
+            listener.notice(notice.reason(), notice.detail());
         } else {
-            throw new Refusal(
+            throw new RejectionException(
                     RejectionReason.MALFORMED,
                     "a subscriber takes no " + message.getClass().getSimpleName());
         }
     }
 
-    private void take(DistributionMessage.SnapshotPart part, long now) throws Refusal {
-        if (assembly == null) {
-            held.checkFollows(part.revision(), adopted);
-            assembly = new SnapshotAssembly(part, limits.sizes());
-        }
-        assembly.add(part, scope);
-        if (!assembly.complete()) {
-            acknowledge(now);
-            return;
-        }
-        SnapshotAssembly whole = assembly;
-        assembly = null;
-        wantsSnapshot = false;
-        adopted = 0;
-        if (!held.revision().sameCluster(whole.revision())) {
-            inForce.begin(Revision.NONE, scopeEpoch);
-            freshAt = NEVER;
-        }
-        held.replace(whole.revision(), scopeEpoch, whole.digests());
-        inForce.delivered(held.revision(), scopeEpoch);
-        effects.snapshot(whole.revision(), whole.items());
-    }
-
-    private void take(DistributionMessage.Difference difference) throws Refusal {
-        if (assembly != null) {
-            throw new Refusal(RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
-        }
-        held.apply(difference, scope);
-        inForce.delivered(held.revision(), scopeEpoch);
-        effects.difference(difference.to(), difference.updates());
-    }
-
-    private void take(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
-        if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > now) {
-            throw new Refusal(
+    private void receive(DistributionMessage.Heartbeat heartbeat, long nowMillis)
+            throws RejectionException {
+        if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > nowMillis) {
+            throw new RejectionException(
                     RejectionReason.MALFORMED,
                     "heartbeat: stale for "
                             + heartbeat.staleMillis()
                             + " ms, answers "
                             + heartbeat.echoMillis()
                             + " at "
-                            + now);
-        }
-        if (!heartbeat.current().isNone()) {
-            standsAt(heartbeat, now);
-        }
-        acknowledge(now);
-        leaveIfStale(heartbeat, now);
-    }
-
-    private void standsAt(DistributionMessage.Heartbeat heartbeat, long now) throws Refusal {
-        if (assembly != null || held.scopeEpoch() != scopeEpoch || wantsSnapshot) {
-            throw new Refusal(
-                    RejectionReason.OUT_OF_ORDER,
-                    "current: " + heartbeat.current() + " before the whole snapshot");
-        }
-        held.checkStandsAt(heartbeat);
-        advance(heartbeat.current());
-        freshAt = Math.max(freshAt, heartbeat.echoMillis() - heartbeat.staleMillis());
-        subscribed = true;
-        if (now - connectedAt >= limits.timing().silence()) {
-            backOff.reset();
-        }
-    }
-
-    private void advance(Revision current) {
-        if (current.number() == held.revision().number()) {
-            return;
+                            + nowMillis);
         }
-        held.advance(current);
-        inForce.advanced(current);
-        effects.advanced(current);
-    }
-
-    /**
-     * Moves to the next upstream once for each; when all are out of date it stays a while, and then
-     * looks again.
-     */
-    private void leaveIfStale(DistributionMessage.Heartbeat heartbeat, long now) {
-        if (heartbeat.staleMillis() <= limits.timing().stale()) {
-            staleUpstreams = 0;
-        } else if (!heartbeat.current().isNone() && now >= staleMoveAt && upstreams > 1) {
-            staleUpstreams++;
-            if (staleUpstreams >= upstreams) {
-                staleUpstreams = 0;
-                staleMoveAt =
-                        now
-                                + limits.timing().staleRetry() / 2
-                                + backOff.upTo(limits.timing().staleRetry() / 2);
-            } else {
-                end(
-                        RejectionReason.STALE_UPSTREAM,
-                        "stale for " + heartbeat.staleMillis() + " ms",
-                        now);
+        boolean hasState = !heartbeat.current().isNone();
+        if (hasState) {
+            receiver.receive(heartbeat);
+            subscribed = true;
+            if (nowMillis - connectedAtMillis >= limits.timing().silenceTimeoutMillis()) {
+                upstreams.proved();
             }
         }
+        acknowledge(nowMillis);
+        if (upstreams.shouldLeaveStale(hasState, heartbeat.staleMillis(), nowMillis)) {
+            String detail = "stale for " + heartbeat.staleMillis() + " ms";
+            end(RejectionReason.STALE_UPSTREAM, detail, nowMillis);
+        }
     }
 
-    private void rejected(DistributionMessage.Rejected rejected, long now) {
+    private void rejected(DistributionMessage.Rejected rejected, long nowMillis) {
         rejections.count(rejected.reason());
-        effects.disconnect(rejected.reason(), rejected.place());
-        long wait = backOff.next();
-        long told =
-                Math.min(
-                        Math.max(0, rejected.retryAfterMillis()),
-                        limits.admission().mostRetryMillis());
-        retry(now + Math.max(wait, told), rejected.reason() != RejectionReason.BUSY);
+        transport.disconnect(rejected.reason(), rejected.detail());
+        upstreams.rejected(rejected, nowMillis);
+        awaitRetry();
     }
 
-    private void end(RejectionReason reason, String place, long now) {
+    private void end(RejectionReason reason, String detail, long nowMillis) {
         rejections.count(reason);
-        effects.disconnect(reason, place);
-        retry(now + backOff.next(), true);
+        transport.disconnect(reason, detail);
+        upstreams.failed(nowMillis);
+        awaitRetry();
     }
 
-    private void retry(long at, boolean elsewhere) {
+    private void awaitRetry() {
         phase = Phase.WAITING;
         subscribed = false;
-        assembly = null;
-        summarySent = null;
-        waitUntil = at;
-        if (elsewhere) {
-            upstream = (upstream + 1) % upstreams;
-        }
+        receiver.abandonSnapshot();
+        lastSentSummary = null;
     }
 
-    private void acknowledge(long now) {
-        acknowledgedAt = now;
-        summarySent = summary.get();
-        effects.send(
+    private void acknowledge(long nowMillis) {
+        lastAcknowledgedAtMillis = nowMillis;
+        lastSentSummary = summary.get();
+        transport.send(
                 new DistributionMessage.Acknowledge(
-                        scopeEpoch,
-                        inForce.of(scopeEpoch),
-                        assembly == null ? 0 : assembly.received(),
-                        summarySent,
-                        now));
+                        receiver.scopeEpoch(),
+                        receiver.inForce(),
+                        receiver.snapshotParts(),
+                        lastSentSummary,
+                        nowMillis));
     }
 }
--- a/src/main/java/rockshift/distribution/ForceTally.java
+++ b/src/main/java/rockshift/distribution/SummaryAggregator.java
@@ -6,41 +6,42 @@
 import java.util.TreeMap;
 
 /**
- * Sums up what is in force at a publisher's subscribers, kept up with each change of one of them.
+ * Sums up what is in force at a publisher's subscribers, updated with each change of one of them.
+ * Owned by the publisher's thread.
  */
-final class ForceTally {
+final class SummaryAggregator {
     /**
-     * What one subscription adds.
+     * What one subscription adds to the sum.
      *
      * @param caughtUp whether all that concerns it is in force there and below
      * @param lowest the lowest number in force there and below, where it has not caught up
      */
-    record Share(
+    record Contribution(
             boolean caughtUp,
             long lowest,
             int subscribers,
             int behind,
             int unreachable,
             long fingerprint) {
-        static final Share NOTHING = new Share(true, 0, 0, 0, 0, 0);
+        static final Contribution NOTHING = new Contribution(true, 0, 0, 0, 0, 0);
     }
 
-    private record Lost(int governors, long until) {}
+    private record LostSubscriber(int controllers, long untilMillis) {}
 
-    private final int mostLost;
+    private final int maxLost;
     private final TreeMap<Long, Integer> lowest = new TreeMap<>();
-    private final Map<String, Lost> lost = new LinkedHashMap<>();
+    private final Map<String, LostSubscriber> lost = new LinkedHashMap<>();
     private int subscribers;
     private int behind;
     private int unreachable;
     private long fingerprint;
 
-    ForceTally(int mostLost) {
-        this.mostLost = mostLost;
+    SummaryAggregator(int maxLost) {
+        this.maxLost = maxLost;
     }
 
-    /** One subscription adds another share than before. */
-    void replace(Share before, Share after) {
+    /** One subscription contributes something else than before. */
+    void replace(Contribution before, Contribution after) {
         if (!before.caughtUp()) {
             lowest.merge(
                     before.lowest(), -1, (one, other) -> one + other == 0 ? null : one + other);
@@ -55,43 +56,43 @@
     }
 
     /**
-     * A subscriber was lost, and governors with it. Over the bound the one lost longest ago is
+     * A subscriber was lost, and controllers with it. Over the bound the one lost longest ago is
      * forgotten early.
      */
-    void lost(String subscriber, int governors, long until) {
+    void lost(String subscriber, int controllers, long untilMillis) {
         found(subscriber);
-        if (governors == 0) {
+        if (controllers == 0) {
             return;
         }
-        if (lost.size() >= mostLost) {
+        if (lost.size() >= maxLost) {
             found(lost.keySet().iterator().next());
         }
-        lost.put(subscriber, new Lost(governors, until));
-        unreachable += governors;
+        lost.put(subscriber, new LostSubscriber(controllers, untilMillis));
+        unreachable += controllers;
     }
 
     /**
-     * A subscriber is back, or need not be remembered; answers how many governors were lost with
+     * A subscriber is back, or need not be remembered; returns how many controllers were lost with
      * it.
      */
     int found(String subscriber) {
-        Lost back = lost.remove(subscriber);
+        LostSubscriber back = lost.remove(subscriber);
         if (back == null) {
             return 0;
         }
-        unreachable -= back.governors();
-        return back.governors();
+        unreachable -= back.controllers();
+        return back.controllers();
     }
 
     /** Forgets who was lost too long ago. */
-    void forget(long now) {
-        Iterator<Lost> oldest = lost.values().iterator();
+    void expireLost(long nowMillis) {
+        Iterator<LostSubscriber> oldest = lost.values().iterator();
         while (oldest.hasNext()) {
-            Lost next = oldest.next();
-            if (next.until() > now) {
+            LostSubscriber next = oldest.next();
+            if (next.untilMillis() > nowMillis) {
                 return;
             }
-            unreachable -= next.governors();
+            unreachable -= next.controllers();
             oldest.remove();
         }
     }
--- a/src/main/java/rockshift/wire/FramedConnection.java
+++ b/src/main/java/rockshift/wire/FramedConnection.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Takes a frame. A thrown {@link Frames.Broken} ends the connection with its code, another
-     * failure as malformed.
+     * Takes a frame. A thrown {@link Frames.InvalidFrameException} ends the connection with its
+     * code, another failure as malformed.
      */
     protected abstract void take(Frames.Frame frame) throws IOException;
 
