--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -35,7 +35,8 @@
 import rockshift.storage.DurableLog;
 import rockshift.storage.FileDisk;
 import rockshift.wire.Frames;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.Hello;
+import rockshift.wire.MessageCodec;
 
 /**
  * One member of the agreement, running: the engine on a thread of its own, the disk on another, its
@@ -82,7 +83,7 @@
     private final Map<Long, Asked> asked = new HashMap<>();
     private final ArrayDeque<String> recent = new ArrayDeque<>();
     private long recentFrom = 1;
-    private final TreeMap<String, RaftCodec.Hello> met = new TreeMap<>();
+    private final TreeMap<String, Hello> met = new TreeMap<>();
     private volatile long cluster;
 
     /** The greeting, for other threads, and the members that it names. */
@@ -303,10 +304,7 @@
         try {
             shownMembers = engine.raft().membership();
             others = null;
-            shown =
-                    RaftCodec.hello(
-                            new RaftCodec.Hello(
-                                    Frames.VERSION, cluster, id, settings.name(), shownMembers));
+            shown = new Hello(Frames.VERSION, cluster, id, settings.name(), shownMembers).encode();
         } catch (IOException impossible) {
             throw new UncheckedIOException(impossible);
         }
@@ -318,7 +316,7 @@
     }
 
     @Override
-    public void met(RaftCodec.Hello hello) {
+    public void met(Hello hello) {
         offer(
                 () -> {
                     met.put(hello.name(), hello);
@@ -344,7 +342,7 @@
      *
      * @param hello what another said, or null as this member begins
      */
-    private void found(RaftCodec.Hello hello) {
+    private void found(Hello hello) {
         try {
             if (hello == null || hello.cluster() == 0) {
                 foundTogether();
@@ -377,7 +375,7 @@
         long sum = 1;
         TreeMap<String, String> sorted = new TreeMap<>(settings.founders());
         for (Map.Entry<String, String> each : sorted.entrySet()) {
-            RaftCodec.Hello other = met.get(each.getKey());
+            Hello other = met.get(each.getKey());
             boolean self = each.getKey().equals(settings.name());
             if (!self && (other == null || other.cluster() != 0)) {
                 return;
@@ -397,7 +395,7 @@
     @Override
     public void message(byte[] payload, long from) throws IOException {
         if (cluster != 0 && from == cluster) {
-            Message message = RaftCodec.message(payload);
+            Message message = MessageCodec.decode(payload);
             offer(
                     () -> {
                         engine.receive(message);
@@ -411,7 +409,7 @@
         Member to = addressed().get(message.to());
         if (to != null) {
             try {
-                links.send(route(to.name(), to.address()), RaftCodec.message(message));
+                links.send(route(to.name(), to.address()), MessageCodec.encode(message));
             } catch (IOException impossible) {
                 throw new UncheckedIOException(impossible);
             }
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -19,7 +19,7 @@
 import rockshift.raft.TermAndVote;
 import rockshift.raft.Timing;
 import rockshift.storage.DurableLog;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.StateCodec;
 
 /**
  * One member put together: the protocol, the sessions, and who waits for what. It does no I/O,
@@ -102,7 +102,7 @@
                         disk.entries());
         keptAt = disk.snapshot().index();
         if (disk.snapshot().data().length > 0) {
-            RaftCodec.restore(disk.snapshot().data(), sessions);
+            StateCodec.restoreImage(disk.snapshot().data(), sessions);
         }
     }
 
@@ -240,7 +240,8 @@
         }
         try {
             long index = raft.appliedIndex();
-            byte[] image = RaftCodec.image(sessions.sessions(), sessions.stateMachine().snapshot());
+            byte[] image =
+                    StateCodec.encodeImage(sessions.sessions(), sessions.stateMachine().snapshot());
             keeping = true;
             keptAt = index;
             environment.keep(
@@ -281,7 +282,7 @@
     @Override
     public void restore(Snapshot snapshot) {
         try {
-            RaftCodec.restore(snapshot.data(), sessions);
+            StateCodec.restoreImage(snapshot.data(), sessions);
         } catch (IOException damaged) {
             throw new IllegalStateException(
                     "snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -23,7 +23,7 @@
 import rockshift.distribution.wire.DownstreamConnections;
 import rockshift.wire.FramedConnection;
 import rockshift.wire.Frames;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.Hello;
 
 /**
  * A member's connections: a listener of its own, and one outgoing connection to each other member.
@@ -67,7 +67,7 @@
     interface Handler {
         byte[] hello();
 
-        void met(RaftCodec.Hello hello);
+        void met(Hello hello);
 
         /** A message; one that can't be read ends its connection. */
         void message(byte[] payload, long cluster) throws IOException;
@@ -235,7 +235,7 @@
     /** One connection. */
     final class Link extends FramedConnection {
         private final Dialled dialledAs;
-        private RaftCodec.Hello other;
+        private Hello other;
         private Role role;
 
         Link(IOSession session, Dialled dialledAs) {
@@ -291,7 +291,7 @@
             }
             switch (frame.kind()) {
                 case Frames.HELLO -> {
-                    other = RaftCodec.hello(frame.payload());
+                    other = Hello.decode(frame.payload());
                     if (dialledAs == null) {
                         send(Frames.HELLO, handler.hello());
                     }
--- a/src/main/java/rockshift/storage/DurableLog.java
+++ b/src/main/java/rockshift/storage/DurableLog.java
@@ -10,7 +10,7 @@
 import rockshift.raft.Membership;
 import rockshift.raft.Snapshot;
 import rockshift.raft.TermAndVote;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.StateCodec;
 
 /**
  * What a member must not forget, in one folder: who it is, its term and vote, its entries and its
@@ -140,18 +140,19 @@
         }
         ByteArrayOutputStream batch = segments.startBatch();
         if (!termAndVote.equals(durableTermAndVote)) {
-            StoredRecord.write(batch, RecordKind.TERM_AND_VOTE, RaftCodec.termAndVote(termAndVote));
+            StoredRecord.write(
+                    batch, RecordKind.TERM_AND_VOTE, StateCodec.encodeTermAndVote(termAndVote));
         }
         long highestIndex = 0;
         if (snapshot != null) {
             StoredRecord.write(
                     batch,
                     RecordKind.SNAPSHOT_INSTALLED,
-                    RaftCodec.numbers(snapshot.index(), snapshot.term()));
+                    StateCodec.encodeNumbers(snapshot.index(), snapshot.term()));
             highestIndex = snapshot.index();
         }
         for (Entry entry : entries) {
-            StoredRecord.write(batch, RecordKind.ENTRY, RaftCodec.entry(entry));
+            StoredRecord.write(batch, RecordKind.ENTRY, StateCodec.encodeEntry(entry));
             highestIndex = Math.max(highestIndex, entry.index());
         }
         segments.write(batch, highestIndex);
--- a/src/main/java/rockshift/storage/IdentityFile.java
+++ b/src/main/java/rockshift/storage/IdentityFile.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.List;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.StateCodec;
 
 /** Whose folder this is: the file {@code identity} with format, member and cluster. */
 final class IdentityFile {
@@ -66,6 +66,6 @@
                 disk,
                 NAME,
                 RecordKind.IDENTITY,
-                RaftCodec.numbers(DurableLog.FORMAT, memberId, clusterId));
+                StateCodec.encodeNumbers(DurableLog.FORMAT, memberId, clusterId));
     }
 }
--- a/src/main/java/rockshift/storage/SegmentFiles.java
+++ b/src/main/java/rockshift/storage/SegmentFiles.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import rockshift.raft.TermAndVote;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.StateCodec;
 
 /** The segments of a log: numbered files without a gap, of which the last one is written to. */
 final class SegmentFiles {
@@ -142,7 +142,8 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(SegmentHeader.encode(number, memberId));
         // Older segments will be deleted, and must not take the vote with them.
-        StoredRecord.write(bytes, RecordKind.TERM_AND_VOTE, RaftCodec.termAndVote(termAndVote));
+        StoredRecord.write(
+                bytes, RecordKind.TERM_AND_VOTE, StateCodec.encodeTermAndVote(termAndVote));
         AtomicFile.replace(disk, name(number), bytes.toByteArray());
         highestIndexes.put(number, 0L);
         durableBytes = bytes.size();
@@ -163,7 +164,7 @@
     /** The record that every batch begins with. */
     ByteArrayOutputStream startBatch() throws IOException {
         ByteArrayOutputStream batch = new ByteArrayOutputStream();
-        StoredRecord.write(batch, RecordKind.BATCH, RaftCodec.numbers(durableBytes));
+        StoredRecord.write(batch, RecordKind.BATCH, StateCodec.encodeNumbers(durableBytes));
         return batch;
     }
 
--- a/src/main/java/rockshift/storage/SnapshotFiles.java
+++ b/src/main/java/rockshift/storage/SnapshotFiles.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import rockshift.raft.Membership;
 import rockshift.raft.Snapshot;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.StateCodec;
 
 /**
  * The snapshots of a folder, a file each. The two newest are kept, so that one that is damaged can
@@ -76,7 +76,10 @@
     /** Makes a snapshot durable and drops what is older than the one before it. */
     void save(Snapshot snapshot) throws IOException {
         AtomicFile.replace(
-                disk, name(snapshot.index()), RecordKind.SNAPSHOT, RaftCodec.snapshot(snapshot));
+                disk,
+                name(snapshot.index()),
+                RecordKind.SNAPSHOT,
+                StateCodec.encodeSnapshot(snapshot));
         indexes.remove(snapshot.index());
         indexes.add(snapshot.index());
         while (indexes.size() > GENERATIONS) {
--- a/src/main/java/rockshift/storage/StoredRecord.java
+++ b/src/main/java/rockshift/storage/StoredRecord.java
@@ -6,7 +6,7 @@
 import rockshift.raft.Checksum;
 import rockshift.raft.Entry;
 import rockshift.raft.Snapshot;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.StateCodec;
 
 /**
  * One whole record in the bytes of a file: {@code length u32, CRC32C u32, kind u8, payload}. The
@@ -93,14 +93,14 @@
     }
 
     long[] numbers(int count) throws IOException {
-        return RaftCodec.numbers(count, file, offset + OVERHEAD_BYTES, payloadLength);
+        return StateCodec.decodeNumbers(count, file, offset + OVERHEAD_BYTES, payloadLength);
     }
 
     Entry entry() throws IOException {
-        return RaftCodec.entry(file, offset + OVERHEAD_BYTES, payloadLength);
+        return StateCodec.decodeEntry(file, offset + OVERHEAD_BYTES, payloadLength);
     }
 
     Snapshot snapshot() throws IOException {
-        return RaftCodec.snapshot(file, offset + OVERHEAD_BYTES, payloadLength);
+        return StateCodec.decodeSnapshot(file, offset + OVERHEAD_BYTES, payloadLength);
     }
 }
--- a/src/main/java/rockshift/testkit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -19,7 +19,7 @@
 import rockshift.raft.TermAndVote;
 import rockshift.storage.DurableLog;
 import rockshift.storage.UnrecoverableStorageException;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.MessageCodec;
 
 /**
  * A member of a simulated cluster with the machine it runs on: its disk, its clock, its inputs and
@@ -312,7 +312,7 @@
 
     private static Message encodedAndDecoded(Message message) {
         try {
-            return RaftCodec.message(RaftCodec.message(message));
+            return MessageCodec.decode(MessageCodec.encode(message));
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
--- a/src/main/java/rockshift/wire/CborWriter.java
+++ b/src/main/java/rockshift/wire/CborWriter.java
@@ -5,28 +5,32 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Writes CBOR items in a fixed order; {@link CborReader} reads them back. */
+/** Writes CBOR items in a fixed order; {@link CborReader} reads them back. One thread uses it. */
 public final class CborWriter {
     private static final CBORFactory CBOR = new CBORFactory();
-    private static final int USUAL_SIZE = 128;
+    private static final int INITIAL_CAPACITY_BYTES = 128;
 
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_SIZE);
+    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_CAPACITY_BYTES);
     private final CBORGenerator out;
 
+    /** Writes to memory. */
     public CborWriter() throws IOException {
         out = CBOR.createGenerator(bytes);
     }
 
+    /** Writes the start of an array. */
     public CborWriter startArray() throws IOException {
         out.writeStartArray();
         return this;
     }
 
+    /** Writes the end of an array. */
     public CborWriter endArray() throws IOException {
         out.writeEndArray();
         return this;
     }
 
+    /** Writes numbers, each an item. */
     public CborWriter add(long... numbers) throws IOException {
         for (long number : numbers) {
             out.writeNumber(number);
@@ -34,6 +38,7 @@
         return this;
     }
 
+    /** Writes booleans, each an item. */
     public CborWriter flag(boolean... flags) throws IOException {
         for (boolean flag : flags) {
             out.writeBoolean(flag);
@@ -41,17 +46,19 @@
         return this;
     }
 
+    /** Writes a text. */
     public CborWriter text(String text) throws IOException {
         out.writeString(text);
         return this;
     }
 
+    /** Writes a byte string. */
     public CborWriter binary(byte[] value) throws IOException {
         out.writeBinary(value);
         return this;
     }
 
-    /** Closes the writer; answers all that was written. */
+    /** Closes the writer and returns all that was written. */
     public byte[] end() throws IOException {
         out.close();
         return bytes.toByteArray();
--- a/src/main/java/rockshift/wire/ConnectionLog.java
+++ b/src/main/java/rockshift/wire/ConnectionLog.java
@@ -6,45 +6,49 @@
 import org.slf4j.Logger;
 
 /**
- * Logs why connections of one sort ended or were refused: so many lines a second, and of those
- * beyond one line that counts them by reason. It keeps the totals by reason as well.
+ * Logs why connections of one kind ended or were refused, with a limit of lines per second: what
+ * exceeds it is counted by reason in one line. Guards against a log that a flood of connections
+ * fills. It keeps the totals by reason as well. Any thread may use it.
  */
 public final class ConnectionLog {
-    private static final int LINES_A_SECOND = 50;
+    private static final int MAX_LINES_PER_SECOND = 50;
 
     private final Logger log;
-    private final String sort;
-    private long countedSince = System.nanoTime();
+    private final String kind;
+    private long secondStartNanos = System.nanoTime();
     private int lines;
     private final Map<String, Integer> unlogged = new TreeMap<>();
     private final Map<String, Long> totals = new TreeMap<>();
 
     /**
-     * @param sort what the lines call the connections
+     * A log of one kind of connection.
+     *
+     * @param kind what the lines call the connections
      */
-    public ConnectionLog(Logger log, String sort) {
+    public ConnectionLog(Logger log, String kind) {
         this.log = log;
-        this.sort = sort;
+        this.kind = kind;
     }
 
-    public synchronized void ended(Object who, String code, String about) {
+    /** A connection ended; the line is left out if there are too many. */
+    public synchronized void ended(Object peer, String code, String detail) {
         totals.merge(code, 1L, Long::sum);
-        if (System.nanoTime() - countedSince > TimeUnit.SECONDS.toNanos(1)) {
-            tellUnlogged();
-            countedSince = System.nanoTime();
+        if (System.nanoTime() - secondStartNanos > TimeUnit.SECONDS.toNanos(1)) {
+            logUnlogged();
+            secondStartNanos = System.nanoTime();
             lines = 0;
         }
-        if (lines < LINES_A_SECOND) {
+        if (lines < MAX_LINES_PER_SECOND) {
             lines++;
-            log.info("closed {} connection {}: {} {}", sort, who, code, about);
+            log.info("closed {} connection {}: {} {}", kind, peer, code, detail);
         } else {
             unlogged.merge(code, 1, Integer::sum);
         }
     }
 
-    private void tellUnlogged() {
+    private void logUnlogged() {
         if (!unlogged.isEmpty()) {
-            log.warn("closed {} connections without a line each: {}", sort, unlogged);
+            log.warn("closed {} connections without a line each: {}", kind, unlogged);
             unlogged.clear();
         }
     }
--- a/src/main/java/rockshift/wire/FramedConnection.java
+++ b/src/main/java/rockshift/wire/FramedConnection.java
@@ -12,40 +12,42 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection that carries {@link Frames} both ways. It owns the socket, the bytes that came and
+ * One connection that carries {@link Frames} both ways. It owns the socket, the bytes received and
  * those that wait to be sent, and why it ended: the first reason that is given counts. Events come
- * on the reactor's thread; {@link #send} and {@link #end} may be called from any.
+ * on the reactor's thread; {@link #send} and {@link #end} may be called from any thread.
  */
 public abstract class FramedConnection implements IOEventHandler {
-    /** For how long the other side may read nothing while frames wait for it. */
-    private static final long LONGEST_STALL = TimeUnit.SECONDS.toNanos(2);
+    /** The peer may read nothing for so long while frames wait for it. */
+    private static final long MAX_STALL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** Ms in which a connection that ends must take what was sent before its end. */
-    private static final int FAREWELL_MS = 500;
+    /** A connection that ends waits so long for the peer to read what was sent before. */
+    private static final int CLOSE_GRACE_MILLIS = 500;
 
     private final IOSession session;
     private final SocketAddress from;
     private final ByteBuffer readBuffer;
-    private final int mostUnsent;
+    private final int maxUnsentBytes;
     private final Frames frames = new Frames();
-    // Under the session's lock: frames that wait, the first perhaps in part, and their bytes.
+    // Guarded by the session's lock: frames that wait, the first perhaps in part, and their bytes.
     private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-    private int unsent;
-    private long progressAt = System.nanoTime();
+    private int unsentBytes;
+    private long lastProgressNanos = System.nanoTime();
     private boolean closesWhenSent;
-    // Under this object's monitor.
+    // Guarded by this object's monitor.
     private String reason;
     private String about = "";
 
     /**
+     * A connection on a session that was accepted or opened.
+     *
      * @param readBuffer shared by all connections of one reactor's thread
-     * @param mostUnsent bytes that may wait to be sent
+     * @param maxUnsentBytes bytes that may wait to be sent
      */
-    protected FramedConnection(IOSession session, ByteBuffer readBuffer, int mostUnsent) {
+    protected FramedConnection(IOSession session, ByteBuffer readBuffer, int maxUnsentBytes) {
         this.session = session;
         this.from = session.getRemoteAddress();
         this.readBuffer = readBuffer;
-        this.mostUnsent = mostUnsent;
+        this.maxUnsentBytes = maxUnsentBytes;
     }
 
     /**
@@ -57,10 +59,12 @@
     /** The connection has ended, for the reason that {@link #reason} gives. */
     protected abstract void ended();
 
+    /** The session that carries it. */
     public final IOSession session() {
         return session;
     }
 
+    /** The address of the peer. */
     public final SocketAddress from() {
         return from;
     }
@@ -70,7 +74,7 @@
         return reason;
     }
 
-    /** What more there is to say of the reason. */
+    /** More about the reason, for the log. */
     public final synchronized String about() {
         return about;
     }
@@ -89,18 +93,18 @@
         } while (count == readBuffer.capacity() && reason() == null);
     }
 
-    private void takeAll(ByteBuffer piece) {
+    private void takeAll(ByteBuffer received) {
         try {
-            frames.feed(piece);
+            frames.feed(received);
             for (Frames.Frame frame = frames.next();
                     frame != null && reason() == null;
                     frame = frames.next()) {
                 take(frame);
             }
-        } catch (Frames.InvalidFrameException broken) {
-            end(broken.reasonCode, broken.getMessage());
-        } catch (IOException spoilt) {
-            end("malformed", spoilt.getMessage());
+        } catch (Frames.InvalidFrameException invalid) {
+            end(invalid.reasonCode(), invalid.getMessage());
+        } catch (IOException malformed) {
+            end("malformed", malformed.getMessage());
         }
     }
 
@@ -119,15 +123,15 @@
             }
             if (waiting.isEmpty()) {
                 session.write(frame);
-                progressAt = System.nanoTime();
+                lastProgressNanos = System.nanoTime();
             }
             if (!frame.hasRemaining()) {
                 return true;
             }
-            if (unsent + frame.remaining() > mostUnsent) {
+            if (unsentBytes + frame.remaining() > maxUnsentBytes) {
                 return false;
             }
-            unsent += frame.remaining();
+            unsentBytes += frame.remaining();
             waiting.add(frame);
             session.setEvent(SelectionKey.OP_WRITE);
             return true;
@@ -145,9 +149,9 @@
         try {
             for (ByteBuffer first = waiting.peek(); first != null; first = waiting.peek()) {
                 int written = session.write(first);
-                unsent -= written;
+                unsentBytes -= written;
                 if (written > 0) {
-                    progressAt = System.nanoTime();
+                    lastProgressNanos = System.nanoTime();
                 }
                 if (first.hasRemaining()) {
                     return;
@@ -163,11 +167,11 @@
         }
     }
 
-    /** Whether frames wait and the other side has read nothing for too long. */
+    /** Whether frames wait and the peer has read nothing for too long. */
     public final boolean stalled() {
         session.getLock().lock();
         try {
-            return !waiting.isEmpty() && System.nanoTime() - progressAt > LONGEST_STALL;
+            return !waiting.isEmpty() && System.nanoTime() - lastProgressNanos > MAX_STALL_NANOS;
         } finally {
             session.getLock().unlock();
         }
@@ -175,17 +179,14 @@
 
     /** Ends the connection at once; what still waits is lost. */
     public final void end(String why, String what) {
-        if (given(why, what)) {
+        if (recordReason(why, what)) {
             session.close(CloseMode.IMMEDIATE);
         }
     }
 
-    /**
-     * Ends the connection once what was sent is written, or soon if the other side does not take
-     * it.
-     */
+    /** Ends the connection once what was sent is written, or soon if the peer does not read it. */
     public final void endWhenSent(String why, String what) {
-        if (!given(why, what)) {
+        if (!recordReason(why, what)) {
             return;
         }
         session.getLock().lock();
@@ -195,15 +196,15 @@
                 session.close(CloseMode.GRACEFUL);
             } else {
                 session.clearEvent(SelectionKey.OP_READ);
-                session.setSocketTimeout(Timeout.ofMilliseconds(FAREWELL_MS));
+                session.setSocketTimeout(Timeout.ofMilliseconds(CLOSE_GRACE_MILLIS));
             }
         } finally {
             session.getLock().unlock();
         }
     }
 
-    /** Takes the reason if it is the first. */
-    private synchronized boolean given(String why, String what) {
+    /** Keeps the reason if it is the first. */
+    private synchronized boolean recordReason(String why, String what) {
         if (reason != null) {
             return false;
         }
@@ -221,7 +222,7 @@
         }
     }
 
-    /** Nothing came or went for the time that was set. */
+    /** Nothing was received or sent for the timeout of the socket. */
     protected abstract void quiet();
 
     @Override
@@ -234,7 +235,7 @@
                 String.valueOf(failure.getMessage()));
     }
 
-    /** A fault of this program met while handling the connection. */
+    /** A fault of this program while it handled the connection. */
     protected abstract void failed(Exception failure);
 
     @Override
