--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -17,8 +17,9 @@
  * <p>Guards against queues that outgrow the latency objective, whether demand rose or capacity was
  * lost, and against congestion collapse, where servers work on what nobody waits for any more.
  * Shows as levels below 1; {@code admissionPaused reason=congestionCollapse median=...} for the
- * second. Holds because refusals never depend on the estimates alone: a fleet that is not busy
- * refuses nothing. It may refuse too much while capacity is underrated.
+ * second. Holds because the levels go by capacity over demand, whatever changed either; and a fleet
+ * that is not busy refuses nothing, whatever the estimates. It may refuse too much while capacity
+ * is underrated.
  */
 final class AdmissionController {
     /** Fraction of the fleet's capacity that may be admitted. */
@@ -156,20 +157,21 @@
             FleetCapacity capacity,
             double medianFailureRatio,
             boolean overloaded) {
-        double usual = baseline.currentPerSecond();
-        double step =
-                calmRatePerBaselineRate == 0
-                        ? 1
-                        : medianFailureRatio < CALM_FAILURE_RATIO ? CALM_CAPACITY_STEP_FRACTION : 0;
-        double ratePerBaselineRate = capacity.answersPerTick() / Math.max(usual, Double.MIN_NORMAL);
-        calmRatePerBaselineRate += step * (ratePerBaselineRate - calmRatePerBaselineRate);
+        double baselineRate = baseline.currentPerSecond();
+        boolean calm = medianFailureRatio < CALM_FAILURE_RATIO;
+        double step = calm ? CALM_CAPACITY_STEP_FRACTION : 0;
+        double ratePerBaselineRate =
+                capacity.answersPerTick() / Math.max(baselineRate, Double.MIN_NORMAL);
+        calmRatePerBaselineRate +=
+                (calmRatePerBaselineRate == 0 ? 1 : step)
+                        * (ratePerBaselineRate - calmRatePerBaselineRate);
         double answersPerTick =
                 overloaded
                         ? capacity.answersPerTick()
                         : capacity.answersPerTick()
                                 * traffic.capacityTicks()
                                 / traffic.capacityTicksFromFirstReport();
-        double inCollapse = COLLAPSE_CAPACITY_FRACTION * calmRatePerBaselineRate * usual;
+        double inCollapse = COLLAPSE_CAPACITY_FRACTION * calmRatePerBaselineRate * baselineRate;
         return TARGET_UTILIZATION * Math.max(answersPerTick, inCollapse);
     }
 
@@ -209,11 +211,13 @@
         double low = limit((admissiblePerTick - rest) / own);
         double high = rest > 0 ? limit((admissiblePerTick - low * own) / rest) : 1;
         for (int k = 0; k < levels.length; k++) {
-            double target = admitAll ? 1 : first < 0 || k == first ? low : high;
-            levels[k] =
-                    now < pausedUntilTicks
-                            ? MIN_LEVEL
-                            : Math.min(target, levels[k] + MAX_INCREASE_PER_ROUND);
+            if (now < pausedUntilTicks) {
+                levels[k] = MIN_LEVEL;
+                continue;
+            }
+            double affordable = first < 0 || k == first ? low : high;
+            double target = admitAll ? 1 : affordable;
+            levels[k] = Math.min(target, levels[k] + MAX_INCREASE_PER_ROUND);
         }
     }
 
@@ -221,7 +225,7 @@
         return Math.max(MIN_LEVEL, Math.min(1, level));
     }
 
-    /** The class whose refusal costs the goal least a request; -1 where all refused alike do. */
+    /** The class whose refusal costs the goal least a request; -1 to refuse all alike. */
     private int firstRefused(double[] demandPerTick, double total, double worstClassWeight) {
         double weightedDemand = 0;
         for (int k = 0; k < classes.size(); k++) {
--- a/src/main/java/rockshift/planner/BaselineRates.java
+++ b/src/main/java/rockshift/planner/BaselineRates.java
@@ -23,12 +23,12 @@
     /**
      * Notes the present sum of usual rates; until the first reports the windows follow it at once.
      */
-    void update(double usualRatePerSecond, long elapsedTicks, boolean reported) {
+    void update(double baselineRatePerSecond, long elapsedTicks, boolean reported) {
         double capacityMemory = CapacityEstimator.MEMORY_TICKS + reportLagTicks;
         double trafficMemory = TrafficWindows.MEMORY_TICKS + reportLagTicks;
         double capacityKept = reported ? Math.exp(-elapsedTicks / capacityMemory) : 0;
         double trafficKept = reported ? Math.exp(-elapsedTicks / trafficMemory) : 0;
-        current = usualRatePerSecond;
+        current = baselineRatePerSecond;
         duringCapacityWindow = duringCapacityWindow * capacityKept + current * (1 - capacityKept);
         duringTrafficWindow = duringTrafficWindow * trafficKept + current * (1 - trafficKept);
     }
--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -14,7 +14,7 @@
  * is in transit, whichever is more.
  *
  * <p>Guards against a drain that stands behind less urgent entries until its grace is over, and
- * against a proxy that drops messages above its quota. Shows as late drains with messages in
+ * against messages above a proxy's quota, which it drops. Shows as late drains with messages in
  * flight. Holds because deferrable entries only ever fill a part of the queue and of the quota, and
  * because unacknowledged entries count where the channel is slower than its usual rate.
  */
@@ -117,7 +117,7 @@
         double usual =
                 Math.max(
                         DEFERRABLE_GRACE_FRACTION * drainGraceTicks * entriesPerTick,
-                        proxies.size() * (messageOverheadEntries + 2));
+                        proxies.size() * shortestMessageEntries());
         return Math.min(deferrableQueueLimit(), usual);
     }
 
@@ -140,6 +140,11 @@
         return messageOverheadEntries;
     }
 
+    /** Entries that a message of one table entry takes, with overhead and serial number. */
+    double shortestMessageEntries() {
+        return messageOverheadEntries + 2;
+    }
+
     // ---- quota ---------------------------------------------------------------------------------
 
     /** Whether a proxy has had a fraction of the messages that it may be sent in a window. */
--- a/src/main/java/rockshift/planner/ClassDemand.java
+++ b/src/main/java/rockshift/planner/ClassDemand.java
@@ -14,8 +14,8 @@
      *
      * @param reportedUntilTicks until when its arrivals count as known
      */
-    ClassDemand(double usualRatePerSecond, long reportedUntilTicks) {
-        ratePerSecond = usualRatePerSecond;
+    ClassDemand(double baselineRatePerSecond, long reportedUntilTicks) {
+        ratePerSecond = baselineRatePerSecond;
         this.reportedUntilTicks = reportedUntilTicks;
     }
 
--- a/src/main/java/rockshift/planner/DrainNotifier.java
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -14,8 +14,9 @@
  * <p>Guards against work for drained replicas from proxies that still have the tables they came
  * with, where the channel is too slow to bind them within the grace. Shows as attempts at replicas
  * that are listed as draining. Holds because a notice is only sent where it is shorter than the
- * tables, while the queue and the proxy's quota have room for it. Replicas that are back are let in
- * when nobody waits, so that no cold one meets old weights; that loses some of their work.
+ * tables, while the queue and the proxy's quota have room for it. Replicas that are back may be
+ * used again when nobody waits, so that no cold one meets old weights; that loses some of their
+ * work.
  */
 final class DrainNotifier {
     private final double longestTransitTicks;
@@ -40,7 +41,7 @@
     /** Sends notices, if any are due; whether it did. */
     boolean notifyNext(ProxyCommands commands, ControlScope scope, long now) {
         if (proxies.waiting().isEmpty()) {
-            return scope == ControlScope.FULL && letInNext(commands, now);
+            return scope == ControlScope.FULL && endNextNotice(commands, now);
         }
         // Once a turn: what has changed since is told in the next one.
         if (notifiedAtTicks == now || scope == ControlScope.NONE) {
@@ -50,8 +51,8 @@
         return notifyWaiting(commands, now);
     }
 
-    /** Tells all proxies of one replica that is back. */
-    private boolean letInNext(ProxyCommands commands, long now) {
+    /** Tells all proxies that one replica that is back may be used again. */
+    private boolean endNextNotice(ProxyCommands commands, long now) {
         for (Replica replica : replicas.all()) {
             if (replica.acceptsNewWork() && replica.isDrainNotified()) {
                 replica.setDrainNotified(false);
--- a/src/main/java/rockshift/planner/GroupBatch.java
+++ b/src/main/java/rockshift/planner/GroupBatch.java
@@ -3,15 +3,15 @@
 /** What a batch of changes sends to each bound proxy of one group, and what it may still send. */
 final class GroupBatch {
     private final ProxyGroup group;
-    private final double messageOverheadEntries;
+    private final double shortestMessageEntries;
     private double entries;
     private double provisionalTableEntries;
     private boolean urgentOnly;
     private boolean blocked;
 
-    GroupBatch(ProxyGroup group, double messageOverheadEntries) {
+    GroupBatch(ProxyGroup group, double shortestMessageEntries) {
         this.group = group;
-        this.messageOverheadEntries = messageOverheadEntries;
+        this.shortestMessageEntries = shortestMessageEntries;
     }
 
     /** Takes one of its proxies into account: the strictest allowance holds for all. */
@@ -35,7 +35,7 @@
 
     /** Entries that one more change takes of the channel; the first brings the message overhead. */
     double cost() {
-        return group.boundProxies() * (isStarted() ? 1 : 2 + messageOverheadEntries);
+        return group.boundProxies() * (isStarted() ? 1 : shortestMessageEntries);
     }
 
     void add(RoutingTable table, int entriesSent) {
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -59,7 +59,7 @@
     private boolean timerSet;
     private boolean urgentRound = true;
     private boolean proxiesUnassigned;
-    private boolean owedIsHeld;
+    private boolean requiredIsDeferred;
 
     /**
      * A planner that knows no replicas and no proxies.
@@ -143,11 +143,11 @@
     /**
      * A proxy's stream came up; the proxy keeps the tables that it had.
      *
-     * @param usualRate transactions a second that it usually gets
+     * @param baselineRate transactions a second that it usually gets
      */
-    public void proxyJoined(long now, int number, String zone, double usualRate) {
+    public void proxyJoined(long now, int number, String zone, double baselineRate) {
         this.now = now;
-        proxies.join(now, number, zone, usualRate);
+        proxies.join(now, number, zone, baselineRate);
         proxiesUnassigned = true;
     }
 
@@ -217,7 +217,7 @@
             assignWaitingProxies();
         } else if (!timerSet) {
             timerSet = true;
-            urgentRound |= owedIsHeld;
+            urgentRound |= requiredIsDeferred;
             commands.wakeAfter(TIMER_TICKS);
         } else if (!log.isEmpty()) {
             commands.log(log.remove());
@@ -272,7 +272,7 @@
     private void decayEvidence() {
         long elapsedTicks = now - lastRoundTicks;
         lastRoundTicks = now;
-        baseline.update(proxies.usualRatePerSecond(), elapsedTicks, !traffic.isEmpty());
+        baseline.update(proxies.baselineRatePerSecond(), elapsedTicks, !traffic.isEmpty());
         capacityEstimator.decay(replicas.all(), elapsedTicks, now);
         outlierDetector.decay(replicas.all(), elapsedTicks);
         traffic.decay(elapsedTicks, admission.levels());
@@ -289,7 +289,7 @@
         TargetWeights.Round round =
                 targetWeights.round(
                         demand, proxies.all().size(), subsetter.coversWholeFleet(), now);
-        owedIsHeld =
+        requiredIsDeferred =
                 publisher.publish(
                         commands,
                         subsetter.groups(),
--- a/src/main/java/rockshift/planner/Proxy.java
+++ b/src/main/java/rockshift/planner/Proxy.java
@@ -13,7 +13,7 @@
     private final int number;
     private final int zoneIndex;
     private final long joinedAtTicks;
-    private final double usualRatePerSecond;
+    private final double baselineRatePerSecond;
     private final List<ClassDemand> demands = new ArrayList<>();
     private final ProxyChannel channel = new ProxyChannel();
     private long drainNotifiedAtTicks = NEVER;
@@ -24,23 +24,23 @@
     /**
      * A proxy without a group.
      *
-     * @param usualRatePerSecond transactions that it usually gets, of all classes together
+     * @param baselineRatePerSecond transactions that it usually gets, of all classes together
      * @param reportedUntilTicks until when its arrivals count as known
      */
     Proxy(
             int number,
             int zoneIndex,
             int classCount,
-            double usualRatePerSecond,
+            double baselineRatePerSecond,
             long joinedAtTicks,
             long reportedUntilTicks) {
         this.number = number;
         this.zoneIndex = zoneIndex;
         this.joinedAtTicks = joinedAtTicks;
         for (int k = 0; k < classCount; k++) {
-            demands.add(new ClassDemand(usualRatePerSecond / classCount, reportedUntilTicks));
+            demands.add(new ClassDemand(baselineRatePerSecond / classCount, reportedUntilTicks));
         }
-        this.usualRatePerSecond = demands.stream().mapToDouble(ClassDemand::ratePerSecond).sum();
+        this.baselineRatePerSecond = demands.stream().mapToDouble(ClassDemand::ratePerSecond).sum();
     }
 
     int number() {
@@ -55,8 +55,8 @@
         return joinedAtTicks;
     }
 
-    double usualRatePerSecond() {
-        return usualRatePerSecond;
+    double baselineRatePerSecond() {
+        return baselineRatePerSecond;
     }
 
     /** By class. */
--- a/src/main/java/rockshift/planner/ProxyCommands.java
+++ b/src/main/java/rockshift/planner/ProxyCommands.java
@@ -5,56 +5,61 @@
 /** What a host carries out for one instance of {@link Planner}, in the order of the calls. */
 public interface ProxyCommands {
     /**
-     * Parts that one message may have, by the host that allows the fewest: each tells of one table,
-     * or of a level.
+     * Parts that one message may have, at the host that allows the fewest. A part is about one
+     * table or one level.
      */
     int MAX_PARTS_PER_MESSAGE = 64;
 
     /**
-     * Sets one line of a table; weight 0 removes it. Answers how many lines each bound proxy is
-     * sent.
+     * Sets the weight of one table entry; 0 removes the entry.
+     *
+     * @return entries that each bound proxy is sent for it
      */
     int setTableEntry(int table, long replica, double weight);
 
     /**
-     * Shuts a replica out of everything that a joined proxy holds, or lets it in again. Answers how
-     * many lines the proxy is sent for it: none where it was told so before. A host that can tell
-     * all proxies at once only answers for each as it is named.
+     * Tells a joined proxy to stop using a replica in whatever tables it has, or that it may use it
+     * again. A host that tells all proxies at once only answers for each as it is named.
+     *
+     * @return entries that the proxy is sent for it: none where it was told so before
      */
-    int notifyDraining(long replica, boolean out, int proxy);
+    int notifyDraining(long replica, boolean draining, int proxy);
 
     /**
-     * Puts a joined proxy on a table for some classes. Answers how many lines the proxy is sent
-     * beside those of the table, its levels and the one for the binding.
+     * Binds a joined proxy to a table for some classes.
+     *
+     * @return entries that the proxy is sent beside those of the table, its levels and the binding
      */
     int bindProxy(int table, int proxy, ClassSet classes);
 
     /**
-     * Sets the admitted level of some classes of a table, and how often its proxies try again (0 to
-     * 3).
+     * Sets the admission level of some classes of a table, and the retries of its proxies.
+     *
+     * @param retryMode 0 for none, 1 after proof that the attempt did not run, above after any
+     *     failure
      */
-    void setAdmissionLevel(int table, ClassSet classes, double level, int again);
+    void setAdmissionLevel(int table, ClassSet classes, double level, int retryMode);
 
     /**
-     * How many messages this turn's orders for a proxy come to; more than one where they have too
+     * The messages that this turn's commands for a proxy come to; more than one where they have too
      * many parts.
      */
     default int messageCount(int proxy) {
         return 1;
     }
 
-    /** Numbers the messages of this turn; each proxy reached answers with the number. */
+    /** Ends this turn's messages with a serial number, which each proxy reached acknowledges. */
     void requestAcknowledgement(int serial);
 
-    /** Asks to be woken once after a delay in tenths of a millisecond. */
-    void wakeAfter(long delay);
+    /** Asks to be woken once after a delay in ticks of 100 microseconds. */
+    void wakeAfter(long delayTicks);
 
     /**
-     * Tells that a replica left for good: it stands in no table, and is not named again unless it
-     * is listed anew.
+     * Forgets a replica that is gone for good: it is in no table, and is not named again unless
+     * discovery lists it anew.
      */
     void forgetReplica(long replica);
 
-    /** Leaves a line for the staff on call. */
+    /** Writes a decision to the log: one event, then {@code key=value} fields. */
     void log(String line);
 }
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -10,6 +10,11 @@
  * tables of the whole fleet fit, a zone has one group and the subset is the fleet.
  */
 final class ProxyGroup {
+    /**
+     * Entries that the binding to a table takes beside those of the table: itself and the level.
+     */
+    private static final int ENTRIES_PER_BINDING = 2;
+
     private final int number;
     private final String zone;
     private final TreeMap<Long, Replica> subset = new TreeMap<>();
@@ -137,7 +142,9 @@
         if (!published || entryCount == 0) {
             return Proxy.NOT_BINDABLE;
         }
-        return provisional ? provisionalTable.entryCount() + 2 : entryCount + 2 * tables.size();
+        return provisional
+                ? provisionalTable.entryCount() + ENTRIES_PER_BINDING
+                : entryCount + ENTRIES_PER_BINDING * tables.size();
     }
 
     /**
--- a/src/main/java/rockshift/planner/ProxyRegistry.java
+++ b/src/main/java/rockshift/planner/ProxyRegistry.java
@@ -38,14 +38,14 @@
     }
 
     /** A stream came up. It replaces an older one of the same proxy. */
-    void join(long now, int number, String zone, double usualRatePerSecond) {
+    void join(long now, int number, String zone, double baselineRatePerSecond) {
         leave(number);
         Proxy proxy =
                 new Proxy(
                         number,
                         Math.max(0, zones.indexOf(zone)),
                         classCount,
-                        usualRatePerSecond,
+                        baselineRatePerSecond,
                         now,
                         now + reportPeriodTicks);
         proxies.put(number, proxy);
@@ -76,7 +76,7 @@
     }
 
     /** Transactions a second that all joined proxies usually get. */
-    double usualRatePerSecond() {
-        return proxies.values().stream().mapToDouble(Proxy::usualRatePerSecond).sum();
+    double baselineRatePerSecond() {
+        return proxies.values().stream().mapToDouble(Proxy::baselineRatePerSecond).sum();
     }
 }
--- a/src/main/java/rockshift/planner/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -61,8 +61,8 @@
         return changedAtTicks;
     }
 
-    /** Moves to where the endpoint is listed; evidence of an earlier process is dropped. */
-    void place(Endpoint endpoint) {
+    /** Takes zone, machine type and start from discovery; a restart drops earlier evidence. */
+    void updateEndpoint(Endpoint endpoint) {
         if (endpoint.startedAtTicks() > startedAtTicks) {
             startedAtTicks = endpoint.startedAtTicks();
             loadEvidence.reset();
--- a/src/main/java/rockshift/planner/ReplicaRegistry.java
+++ b/src/main/java/rockshift/planner/ReplicaRegistry.java
@@ -59,7 +59,7 @@
             missing.remove(entry.replicaId());
             Replica replica = replicas.computeIfAbsent(entry.replicaId(), Replica::new);
             boolean restarted = entry.startedAtTicks() > replica.startedAtTicks();
-            replica.place(entry);
+            replica.updateEndpoint(entry);
             tablesAffected |= changeHealth(replica, entry.health(), restarted, now);
         }
         for (long id : missing) {
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -104,14 +104,14 @@
 
     /** Entries that keep their connections open, and that the channel carries for all proxies. */
     private double affordableEntries(Collection<Proxy> proxies) {
-        double usualRatePerSecond =
+        double baselineRatePerSecond =
                 proxies.stream()
                                 .flatMap(proxy -> proxy.demands().stream())
                                 .mapToDouble(ClassDemand::ratePerSecond)
                                 .sum()
                         / proxies.size();
         double keptOpen =
-                usualRatePerSecond
+                baselineRatePerSecond
                         * settings.idleCloseTicks()
                         / Ticks.TICKS_PER_SECOND
                         / TRANSACTIONS_PER_IDLE_TIME;
--- a/src/main/java/rockshift/planner/RootSearch.java
+++ b/src/main/java/rockshift/planner/RootSearch.java
@@ -1,18 +1,21 @@
 package rockshift.planner;
 
 /**
- * Finds the total rate of one class with a switching cost: the root of {@code sum(x_p(y)) = y},
- * where each path's rate is
+ * Finds the total rate y of one class with a switching cost: the root of {@code sum(x_p(y)) = y},
+ * where the rate of each path p is
  *
  * <pre>  x_p(y) = c_p + shrink(m_p + penalty * w / y^alpha, theta)</pre>
  *
- * with its current rate c_p, its move m_p, and shrink as soft thresholding: a path moves only by
- * what exceeds the switching cost theta.
+ * with its current rate c_p, what the duals and costs alone would move it by m_p, and soft
+ * thresholding: a path moves only by what exceeds the switching cost theta.
  */
 final class RootSearch {
     private static final int MAX_STEPS = 40;
     private static final double PRECISION = 1e-12;
 
+    /** Demand shares sum to 1, so a class's total stays well below. */
+    private static final double MAX_TOTAL = 2;
+
     private final double alpha;
     private final double weightedPenalty;
     private final double switchingCost;
@@ -23,8 +26,9 @@
      * One search.
      *
      * @param weightedPenalty penalty times the request's weight w
-     * @param current by path, the rate that is published
-     * @param moves by path, what the duals and costs alone would move it by
+     * @param switchingCost theta
+     * @param current c, by path
+     * @param moves m, by path
      */
     RootSearch(
             double alpha,
@@ -40,13 +44,13 @@
     }
 
     /**
-     * The marginal utility at the root. Steps by the slope where that stays between the bounds,
-     * else by halves: a third of the steps of halving alone.
+     * The marginal utility {@code penalty * w / y^alpha} at the root. Steps by the slope where that
+     * stays between the bounds, else by halves, which takes a third of the steps of halving alone.
      *
      * @param lastTotal the total of the iteration before, where the search begins
      */
     double marginalUtility(double lastTotal) {
-        double high = 2;
+        double high = MAX_TOTAL;
         double low = 0;
         double marginal = 0;
         double total = lastTotal > 0 && lastTotal < high ? lastTotal : 1;
@@ -55,13 +59,9 @@
             double sum = 0;
             int moving = 0;
             for (int path = 0; path < moves.length; path++) {
-                double magnitude = Math.abs(moves[path] + marginal) - switchingCost;
-                sum +=
-                        current[path]
-                                + (magnitude <= 0
-                                        ? 0
-                                        : moves[path] + marginal > 0 ? magnitude : -magnitude);
-                moving += magnitude > 0 ? 1 : 0;
+                double move = shrink(moves[path] + marginal);
+                sum += current[path] + move;
+                moving += move == 0 ? 0 : 1;
             }
             low = sum > total ? total : low;
             high = sum > total ? high : total;
@@ -74,7 +74,14 @@
 
     /** The rate of a path at a marginal utility. */
     double rate(int path, double marginal) {
-        double move = moves[path] + marginal;
-        return current[path] + Math.signum(move) * Math.max(0, Math.abs(move) - switchingCost);
+        return current[path] + shrink(moves[path] + marginal);
+    }
+
+    private double shrink(double move) {
+        double magnitude = Math.abs(move) - switchingCost;
+        if (magnitude <= 0) {
+            return 0;
+        }
+        return move > 0 ? magnitude : -magnitude;
     }
 }
--- a/src/main/java/rockshift/planner/TableChange.java
+++ b/src/main/java/rockshift/planner/TableChange.java
@@ -2,6 +2,9 @@
 
 /** A difference between what is published and what should be. */
 sealed interface TableChange {
+    /** Priority of a level; removals come before it, and changed weights after. */
+    double LEVEL_PRIORITY = 1;
+
     RoutingTable table();
 
     /** Changes of higher priority are sent first. */
@@ -11,7 +14,7 @@
     record Level(RoutingTable table, double level) implements TableChange {
         @Override
         public double priority() {
-            return 1;
+            return LEVEL_PRIORITY;
         }
     }
 
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -12,7 +12,7 @@
     /** Change of a level below which it is not sent. */
     private static final double MIN_LEVEL_CHANGE = 0.02;
 
-    private static final double REMOVAL_PRIORITY = 2;
+    private static final double REMOVAL_PRIORITY = TableChange.LEVEL_PRIORITY + 1;
 
     private final AdmissionController admission;
     private final TargetWeights targetWeights;
@@ -52,7 +52,7 @@
                 changes.add(new TableChange.Entry(route, weight, REMOVAL_PRIORITY));
             }
         } else if (size * scale > MIN_WEIGHT_CHANGE_RATIO * published) {
-            double priority = published == 0 ? 1 + size : size;
+            double priority = published == 0 ? TableChange.LEVEL_PRIORITY + size : size;
             changes.add(new TableChange.Entry(route, weight, priority));
         }
     }
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -13,9 +13,9 @@
  * priority and within a budget of entries.
  *
  * <p>Inputs: target fractions, levels, entries that wait in the channel and its rate in entries a
- * tick. Differences are gathered; what is owed goes at once: a replica that left comes out, and a
- * table without a usable entry gets one. Other urgent changes are a cold replica's cut, and an
- * entry that more than doubles in a message that goes anyway.
+ * tick. Differences are gathered for a regular round; what safety requires goes at once: a replica
+ * that left comes out, and a table without a usable entry gets one. Other urgent changes are a cold
+ * replica's cut, and an entry that more than doubles in a message that is sent anyway.
  *
  * <p>Guards against a channel filled by changes that are worth little while drains wait. Shows as
  * messages in flight and late drains. Holds because each kind of change has a budget, and nothing
@@ -77,22 +77,22 @@
     /** How pressing a change is. */
     private enum Urgency {
         /** Safety requires it, also while the controller is cut off from others. */
-        OWED,
+        REQUIRED,
         /** It goes in any round, within the urgent budget. */
-        AT_ONCE,
+        IMMEDIATE,
         /** It goes in regular rounds, within the urgent budget. */
-        GATHERED_URGENT,
+        URGENT,
         /** It goes in any round, within the deferrable budget. */
-        RIDES_ALONG,
+        PIGGYBACKED,
         /** It goes in regular rounds, within the deferrable budget. */
-        GATHERED;
+        BATCHED;
 
         boolean isUrgent() {
-            return this == OWED || this == AT_ONCE || this == GATHERED_URGENT;
+            return this == REQUIRED || this == IMMEDIATE || this == URGENT;
         }
 
-        boolean goesNow(boolean regularRound) {
-            return regularRound || this != GATHERED_URGENT && this != GATHERED;
+        boolean isDueIn(boolean regularRound) {
+            return regularRound || this != URGENT && this != BATCHED;
         }
     }
 
@@ -102,7 +102,7 @@
      * @param round inputs of the target weights
      * @param regular whether it is a regular round, in which gathered changes are sent
      * @param commandPrice price of a fully used channel, as a fraction of the goal
-     * @return whether something owed could not be sent
+     * @return whether something required could not be sent
      */
     boolean publish(
             ProxyCommands commands,
@@ -123,12 +123,12 @@
         List<GroupBatch> batches = openBatches(groups, now);
         Set<RoutingTable> withoutEntry =
                 tables.stream().filter(RoutingTable::hasNoUsableEntry).collect(Collectors.toSet());
-        boolean owedIsHeld = false;
+        boolean requiredIsDeferred = false;
         for (TableChange change : differences.find(tables, round)) {
             GroupBatch batch = batches.get(change.table().group().number());
-            boolean owed = isOwed(change, withoutEntry);
-            Urgency urgency = owed ? Urgency.OWED : urgency(change, batch, joinsFirst, now);
-            if (!mayChange(scope, owed) || !urgency.goesNow(regular)) {
+            boolean required = isRequired(change, withoutEntry);
+            Urgency urgency = required ? Urgency.REQUIRED : urgency(change, batch, joinsFirst, now);
+            if (!mayChange(scope, required) || !urgency.isDueIn(regular)) {
                 continue;
             }
             boolean changesWeight = change instanceof TableChange.Entry entry && !entry.isNew();
@@ -136,18 +136,18 @@
             if (cost > 0
                     && (cost > budget.forChange(urgency, changesWeight)
                             || !batch.allows(urgency.isUrgent()))) {
-                owedIsHeld |= owed;
+                requiredIsDeferred |= required;
                 continue;
             }
             budget = budget.without(cost, changesWeight && !urgency.isUrgent());
             batch.add(change.table(), send(commands, change));
         }
         postMessages(batches, now);
-        return owedIsHeld;
+        return requiredIsDeferred;
     }
 
-    private static boolean mayChange(ControlScope scope, boolean owed) {
-        return scope == ControlScope.FULL || scope == ControlScope.REMOVALS_ONLY && owed;
+    private static boolean mayChange(ControlScope scope, boolean required) {
+        return scope == ControlScope.FULL || scope == ControlScope.REMOVALS_ONLY && required;
     }
 
     /**
@@ -169,7 +169,7 @@
 
     // ---- how pressing a change is --------------------------------------------------------------
 
-    private static boolean isOwed(TableChange change, Set<RoutingTable> withoutEntry) {
+    private static boolean isRequired(TableChange change, Set<RoutingTable> withoutEntry) {
         return change instanceof TableChange.Entry entry
                 && (entry.isRemoval() || withoutEntry.contains(entry.table()));
     }
@@ -182,14 +182,14 @@
             // After the largest entry left, a cold one would be most of the rest for a round.
             boolean doublesInMessage = batch.isStarted() && entry.isMoreThanDoubled();
             if (doublesInMessage || coldIsCut && entry.isMoreThanHalved()) {
-                return Urgency.AT_ONCE;
+                return Urgency.IMMEDIATE;
             }
             if (coldIsCut && !joinsFirst) {
-                return inEveryRound ? Urgency.AT_ONCE : Urgency.GATHERED_URGENT;
+                return inEveryRound ? Urgency.IMMEDIATE : Urgency.URGENT;
             }
             inEveryRound |= entry.isNew() && batch.isStarted();
         }
-        return inEveryRound ? Urgency.RIDES_ALONG : Urgency.GATHERED;
+        return inEveryRound ? Urgency.PIGGYBACKED : Urgency.BATCHED;
     }
 
     // ---- messages ------------------------------------------------------------------------------
@@ -197,7 +197,7 @@
     private List<GroupBatch> openBatches(List<ProxyGroup> groups, long now) {
         List<GroupBatch> batches = new ArrayList<>();
         for (ProxyGroup group : groups) {
-            batches.add(new GroupBatch(group, pacer.messageOverheadEntries()));
+            batches.add(new GroupBatch(group, pacer.shortestMessageEntries()));
         }
         pacer.expireMessages(now);
         for (Proxy proxy : proxies.all()) {
