--- /dev/null
+++ b/src/test/java/rockshift/planner/OperatorDrainsTest.java
@@ -0,0 +1,46 @@
+package rockshift.planner;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static rockshift.planner.PolicyFixtures.NOW;
+import static rockshift.planner.PolicyFixtures.classes;
+import static rockshift.planner.PolicyFixtures.registry;
+
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class OperatorDrainsTest {
+    private static final Map<Long, Long> ALL_OF_THREE =
+            Map.of(1L, Long.MAX_VALUE, 2L, Long.MAX_VALUE, 3L, Long.MAX_VALUE);
+
+    private static List<Long> acceptingAfter(
+            Map<Long, Long> agreed, ReplicaRegistry registry, boolean staysInZone) {
+        OperatorDrains drains = new OperatorDrains(classes(staysInZone));
+        drains.replace(agreed);
+        drains.applyOperatorDrains(registry, NOW);
+        return registry.acceptingNewWork().stream().map(Replica::id).toList();
+    }
+
+    @Test
+    void withoutReplicasNothingIsDrained() {
+        assertThat(acceptingAfter(ALL_OF_THREE, registry(0), false)).isEmpty();
+    }
+
+    /** An operator drains all: proxies would be left without any replica. */
+    @Test
+    void theLastReplicasStay() {
+        assertThat(acceptingAfter(ALL_OF_THREE, registry(3), false)).containsExactly(1L, 2L, 3L);
+        assertThat(acceptingAfter(ALL_OF_THREE, registry(4), false)).containsExactly(4L);
+    }
+
+    @Test
+    void aClassThatStaysInItsZoneKeepsAReplicaInEach() {
+        assertThat(acceptingAfter(ALL_OF_THREE, registry(4), true)).containsExactly(1L, 3L, 4L);
+    }
+
+    @Test
+    void aDrainEndsWithTheProcessThatItMeant() {
+        Map<Long, Long> ofTheFormerProcess = Map.of(1L, -1L);
+        assertThat(acceptingAfter(ofTheFormerProcess, registry(2), false)).containsExactly(1L, 2L);
+    }
+}
--- /dev/null
+++ b/src/test/java/rockshift/planner/SimplexProjectionTest.java
@@ -0,0 +1,30 @@
+package rockshift.planner;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.within;
+
+import org.junit.jupiter.api.Test;
+
+class SimplexProjectionTest {
+    private static double excess(double limit, double... values) {
+        return SimplexProjection.excess(values, limit);
+    }
+
+    @Test
+    void whatFitsStays() {
+        assertThat(excess(1)).isZero();
+        assertThat(excess(1, 0.4, 0.6)).isZero();
+    }
+
+    @Test
+    void theSameAmountIsTakenOfEachValueThatStaysPositive() {
+        assertThat(excess(1, 0.9, 0.7)).isCloseTo(0.3, within(1e-12));
+        assertThat(excess(1, 1.5, 0.1)).as("only the larger one stays").isEqualTo(0.5);
+    }
+
+    /** An ejected replica: nothing may be left of any value. */
+    @Test
+    void aLimitOfZeroTakesAll() {
+        assertThat(excess(0, 0.2, 0.8)).isCloseTo(0.8, within(1e-12));
+    }
+}
--- /dev/null
+++ b/src/test/java/rockshift/planner/TargetWeightsTest.java
@@ -0,0 +1,69 @@
+package rockshift.planner;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static rockshift.planner.PolicyFixtures.NOW;
+import static rockshift.planner.PolicyFixtures.classes;
+import static rockshift.planner.PolicyFixtures.endpoint;
+import static rockshift.planner.PolicyFixtures.groupInEast;
+import static rockshift.planner.PolicyFixtures.registry;
+import static rockshift.planner.PolicyFixtures.replicas;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import rockshift.model.Endpoint;
+import rockshift.settings.PlannerSettings;
+
+class TargetWeightsTest {
+    private static final long WARM_AFTER = 100_000;
+
+    private final PlannerSettings settings =
+            PlannerSettings.newBuilder().classes(classes(false)).build();
+    private final TargetWeights weights =
+            new TargetWeights(new SlowStart(0.2, WARM_AFTER, 1), settings);
+    private final ReplicaRegistry registry = registry(3);
+    private final RoutingTable table = groupInEast(1, replicas(registry)).tables().get(0);
+
+    private List<Double> targets(double... rates) {
+        List<Route> routes = List.copyOf(table.routes());
+        for (int i = 0; i < rates.length; i++) {
+            routes.get(i).setEligibility(true, true);
+            routes.get(i).setLinkCopy(rates[i]);
+            routes.get(i).replica().setCapacity(1.0 / 3);
+        }
+        table.setReachableCapacity(1);
+        weights.update(table, new TargetWeights.Round(1, 10_000, 100, true, NOW));
+        return routes.stream().map(Route::targetFraction).toList();
+    }
+
+    @Test
+    void targetsFollowTheRates() {
+        assertThat(targets(0.5, 0.25, 0.25)).containsExactly(0.5, 0.25, 0.25);
+    }
+
+    @Test
+    void anEntryWithoutARateKeepsTheFloor() {
+        assertThat(targets(0.5, 0.5, 0)).containsExactly(0.5, 0.5, 0.02 / 3);
+    }
+
+    /** All ejected: nobody has a rate, and proxies need some table. */
+    @Test
+    void withoutAnyRateEntriesAreEven() {
+        assertThat(targets(0, 0, 0)).containsExactly(1.0 / 3, 1.0 / 3, 1.0 / 3);
+    }
+
+    @Test
+    void withoutRoutesThereIsNothingToSet() {
+        RoutingTable empty = groupInEast(1, List.of()).tables().get(0);
+        weights.update(empty, new TargetWeights.Round(0, 0, 0, true, NOW));
+        assertThat(empty.weightScale()).isEqualTo(1);
+    }
+
+    /**
+     * A proxy leaves out its largest entry after failures: what comes then is kept from a cold one.
+     */
+    @Test
+    void aColdReplicaGetsNoMoreThanItsPartBesideTheLargestEntry() {
+        registry.update(NOW, List.of(endpoint(3, "east", Endpoint.Health.READY, NOW)), true);
+        assertThat(targets(0.5, 0.1, 0.4).get(2)).isLessThan(0.3).isPositive();
+    }
+}
