--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -26,7 +26,7 @@
     private static final double TARGET_UTILIZATION = 0.8;
 
     /** Mean load of the fleet below which nothing is refused. */
-    private static final double MIN_LOAD = 0.6;
+    private static final double MIN_LOAD_TO_REFUSE = 0.6;
 
     /** Mean load of the fleet from which it counts as overloaded. */
     private static final double OVERLOAD = 0.8;
@@ -108,7 +108,7 @@
         double admissible =
                 admissiblePerTick(traffic, baseline, capacity, medianFailureRatio, overloaded);
         pauseOnCongestionCollapse(capacity, medianFailureRatio, now);
-        setLevels(demand, admissible, capacity.load() < MIN_LOAD, worstClassWeight, now);
+        setLevels(demand, admissible, capacity.load() < MIN_LOAD_TO_REFUSE, worstClassWeight, now);
     }
 
     /**
@@ -158,13 +158,9 @@
             double medianFailureRatio,
             boolean overloaded) {
         double baselineRate = baseline.currentPerSecond();
-        boolean calm = medianFailureRatio < CALM_FAILURE_RATIO;
-        double step = calm ? CALM_CAPACITY_STEP_FRACTION : 0;
-        double ratePerBaselineRate =
-                capacity.answersPerTick() / Math.max(baselineRate, Double.MIN_NORMAL);
-        calmRatePerBaselineRate +=
-                (calmRatePerBaselineRate == 0 ? 1 : step)
-                        * (ratePerBaselineRate - calmRatePerBaselineRate);
+        updateCalmRate(
+                capacity.answersPerTick() / Math.max(baselineRate, Double.MIN_NORMAL),
+                medianFailureRatio < CALM_FAILURE_RATIO);
         double answersPerTick =
                 overloaded
                         ? capacity.answersPerTick()
@@ -175,6 +171,14 @@
         return TARGET_UTILIZATION * Math.max(answersPerTick, inCollapse);
     }
 
+    /** Follows the answers in calm; the first value is taken as it is. */
+    private void updateCalmRate(double ratePerBaselineRate, boolean calm) {
+        double step = calm ? CALM_CAPACITY_STEP_FRACTION : 0;
+        calmRatePerBaselineRate +=
+                (calmRatePerBaselineRate == 0 ? 1 : step)
+                        * (ratePerBaselineRate - calmRatePerBaselineRate);
+    }
+
     /**
      * In a full congestion collapse servers work on requests that have timed out, whatever is still
      * admitted. Admitting next to nothing until the oldest has timed out frees them at once.
--- a/src/main/java/rockshift/planner/OutlierDetector.java
+++ b/src/main/java/rockshift/planner/OutlierDetector.java
@@ -23,7 +23,11 @@
  * keep a dead replica where many fail.
  */
 final class OutlierDetector {
-    /** Failure ratio beside twice the median that stands out. */
+    /**
+     * A ratio stands out above so many times the median, and {@link #EXCESS_FAILURE_RATIO} more.
+     */
+    private static final double MEDIAN_MULTIPLE = 2;
+
     private static final double EXCESS_FAILURE_RATIO = 0.35;
 
     /** Fewer attempts say nothing about a replica. */
@@ -122,7 +126,8 @@
     private boolean isOutlier(ReplicaObservations observations) {
         return observations.attempts() >= MIN_ATTEMPTS
                 && observations.isLoadAtMost(OVERLOAD)
-                && observations.failureRatio() > 2 * medianFailureRatio + EXCESS_FAILURE_RATIO;
+                && observations.failureRatio()
+                        > MEDIAN_MULTIPLE * medianFailureRatio + EXCESS_FAILURE_RATIO;
     }
 
     private void eject(
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -13,7 +13,7 @@
     /**
      * Entries that the binding to a table takes beside those of the table: itself and the level.
      */
-    private static final int ENTRIES_PER_BINDING = 2;
+    static final int ENTRIES_PER_BINDING = 2;
 
     private final int number;
     private final String zone;
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -118,7 +118,9 @@
         double allProxies = Math.max(proxies.size(), settings.expectedProxies());
         double perProxy =
                 settings.channelQueueLimitEntries() * settings.controllerCount() / allProxies;
-        double carried = (perProxy - settings.messageOverheadEntries()) / classCount - 2;
+        double carried =
+                (perProxy - settings.messageOverheadEntries()) / classCount
+                        - ProxyGroup.ENTRIES_PER_BINDING;
         return Math.min(keptOpen, carried);
     }
 
--- a/src/main/java/rockshift/planner/TableChange.java
+++ b/src/main/java/rockshift/planner/TableChange.java
@@ -7,11 +7,19 @@
 
     RoutingTable table();
 
+    /** Whether it changes a weight that stands already. */
+    boolean changesWeight();
+
     /** Changes of higher priority are sent first. */
     double priority();
 
     /** A new admission level for a table's class. */
     record Level(RoutingTable table, double level) implements TableChange {
+        @Override
+        public boolean changesWeight() {
+            return false;
+        }
+
         @Override
         public double priority() {
             return LEVEL_PRIORITY;
@@ -25,6 +33,11 @@
             return route.table();
         }
 
+        @Override
+        public boolean changesWeight() {
+            return !isNew();
+        }
+
         boolean isRemoval() {
             return weight == 0;
         }
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -12,6 +12,9 @@
     /** Change of a level below which it is not sent. */
     private static final double MIN_LEVEL_CHANGE = 0.02;
 
+    /** Levels are sent in hundredths. */
+    private static final double LEVEL_STEPS = 100;
+
     private static final double REMOVAL_PRIORITY = TableChange.LEVEL_PRIORITY + 1;
 
     private final AdmissionController admission;
@@ -35,7 +38,7 @@
     }
 
     private void addLevelChange(List<TableChange> changes, RoutingTable table) {
-        double level = Math.round(admission.level(table.classNumber()) * 100) / 100.0;
+        double level = Math.round(admission.level(table.classNumber()) * LEVEL_STEPS) / LEVEL_STEPS;
         double published = table.publishedLevel();
         if (Math.abs(level - published) > MIN_LEVEL_CHANGE || level == 1 && published < 1) {
             changes.add(new TableChange.Level(table, level));
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -53,49 +53,6 @@
         this.proxies = proxies;
     }
 
-    /**
-     * Entries that a batch may send.
-     *
-     * @param urgent for all, as long as urgent changes go
-     * @param deferrable for all, as long as deferrable changes go
-     * @param weights for changed weights that are not urgent
-     */
-    private record Budget(double urgent, double deferrable, double weights) {
-        double forChange(Urgency urgency, boolean changesWeight) {
-            if (urgency.isUrgent()) {
-                return urgent;
-            }
-            return changesWeight ? Math.min(weights, deferrable) : deferrable;
-        }
-
-        Budget without(double cost, boolean fromWeights) {
-            return new Budget(
-                    urgent - cost, deferrable - cost, fromWeights ? weights - cost : weights);
-        }
-    }
-
-    /** How pressing a change is. */
-    private enum Urgency {
-        /** Safety requires it, also while the controller is cut off from others. */
-        REQUIRED,
-        /** It goes in any round, within the urgent budget. */
-        IMMEDIATE,
-        /** It goes in regular rounds, within the urgent budget. */
-        URGENT,
-        /** It goes in any round, within the deferrable budget. */
-        PIGGYBACKED,
-        /** It goes in regular rounds, within the deferrable budget. */
-        BATCHED;
-
-        boolean isUrgent() {
-            return this == REQUIRED || this == IMMEDIATE || this == URGENT;
-        }
-
-        boolean isDueIn(boolean regularRound) {
-            return regularRound || this != URGENT && this != BATCHED;
-        }
-    }
-
     /**
      * Sends a batch.
      *
@@ -113,41 +70,40 @@
             boolean regular,
             double commandPrice) {
         long now = round.now();
-        double queue = pacer.queue(now);
         boolean joinsFirst = hasBindableWaiting(now);
-        Budget budget =
-                new Budget(
-                        pacer.urgentQueueLimit() - queue,
-                        joinsFirst ? 0 : pacer.deferrableBacklog() - queue,
-                        regular ? weightEntriesPerRound(commandPrice) : 0);
+        PublishBudget budget =
+                openBudget(joinsFirst, regular ? weightEntriesPerRound(commandPrice) : 0, now);
         List<GroupBatch> batches = openBatches(groups, now);
         Set<RoutingTable> withoutEntry =
                 tables.stream().filter(RoutingTable::hasNoUsableEntry).collect(Collectors.toSet());
         boolean requiredIsDeferred = false;
         for (TableChange change : differences.find(tables, round)) {
             GroupBatch batch = batches.get(change.table().group().number());
-            boolean required = isRequired(change, withoutEntry);
-            Urgency urgency = required ? Urgency.REQUIRED : urgency(change, batch, joinsFirst, now);
-            if (!mayChange(scope, required) || !urgency.isDueIn(regular)) {
-                continue;
+            ChangeUrgency urgency =
+                    isRequired(change, withoutEntry)
+                            ? ChangeUrgency.REQUIRED
+                            : urgency(change, batch, joinsFirst, now);
+            boolean due = regular || urgency.isInEveryRound();
+            if (due && isInScope(urgency, scope)) {
+                boolean sent = send(commands, change, urgency, batch, budget);
+                requiredIsDeferred |= !sent && urgency == ChangeUrgency.REQUIRED;
             }
-            boolean changesWeight = change instanceof TableChange.Entry entry && !entry.isNew();
-            double cost = batch.cost();
-            if (cost > 0
-                    && (cost > budget.forChange(urgency, changesWeight)
-                            || !batch.allows(urgency.isUrgent()))) {
-                requiredIsDeferred |= required;
-                continue;
-            }
-            budget = budget.without(cost, changesWeight && !urgency.isUrgent());
-            batch.add(change.table(), send(commands, change));
         }
         postMessages(batches, now);
         return requiredIsDeferred;
     }
 
-    private static boolean mayChange(ControlScope scope, boolean required) {
-        return scope == ControlScope.FULL || scope == ControlScope.REMOVALS_ONLY && required;
+    private static boolean isInScope(ChangeUrgency urgency, ControlScope scope) {
+        return scope == ControlScope.FULL
+                || scope == ControlScope.REMOVALS_ONLY && urgency == ChangeUrgency.REQUIRED;
+    }
+
+    private PublishBudget openBudget(boolean joinsFirst, double weightEntries, long now) {
+        double queue = pacer.queue(now);
+        return new PublishBudget(
+                pacer.urgentQueueLimit() - queue,
+                joinsFirst ? 0 : pacer.deferrableBacklog() - queue,
+                weightEntries);
     }
 
     /**
@@ -174,7 +130,8 @@
                 && (entry.isRemoval() || withoutEntry.contains(entry.table()));
     }
 
-    private Urgency urgency(TableChange change, GroupBatch batch, boolean joinsFirst, long now) {
+    private ChangeUrgency urgency(
+            TableChange change, GroupBatch batch, boolean joinsFirst, long now) {
         boolean inEveryRound = batch.boundProxies() == 0;
         if (change instanceof TableChange.Entry entry) {
             boolean coldIsCut =
@@ -182,14 +139,14 @@
             // After the largest entry left, a cold one would be most of the rest for a round.
             boolean doublesInMessage = batch.isStarted() && entry.isMoreThanDoubled();
             if (doublesInMessage || coldIsCut && entry.isMoreThanHalved()) {
-                return Urgency.IMMEDIATE;
+                return ChangeUrgency.IMMEDIATE;
             }
             if (coldIsCut && !joinsFirst) {
-                return inEveryRound ? Urgency.IMMEDIATE : Urgency.URGENT;
+                return inEveryRound ? ChangeUrgency.IMMEDIATE : ChangeUrgency.URGENT;
             }
             inEveryRound |= entry.isNew() && batch.isStarted();
         }
-        return inEveryRound ? Urgency.PIGGYBACKED : Urgency.BATCHED;
+        return inEveryRound ? ChangeUrgency.PIGGYBACKED : ChangeUrgency.BATCHED;
     }
 
     // ---- messages ------------------------------------------------------------------------------
@@ -208,6 +165,23 @@
         return batches;
     }
 
+    /** Sends a change if there is room for it; whether it did. */
+    private boolean send(
+            ProxyCommands commands,
+            TableChange change,
+            ChangeUrgency urgency,
+            GroupBatch batch,
+            PublishBudget budget) {
+        double cost = batch.cost();
+        boolean hasRoom = budget.covers(cost, change, urgency) && batch.allows(urgency.isUrgent());
+        if (cost > 0 && !hasRoom) {
+            return false;
+        }
+        budget.spend(cost, change, urgency);
+        batch.add(change.table(), send(commands, change));
+        return true;
+    }
+
     /** Sends a change; answers how many entries each bound proxy is sent for it. */
     private int send(ProxyCommands commands, TableChange change) {
         RoutingTable table = change.table();
--- a/src/main/java/rockshift/planner/TableScheduler.java
+++ b/src/main/java/rockshift/planner/TableScheduler.java
@@ -21,6 +21,9 @@
     /** Fraction of the drain grace after which a proxy that waits presses like a drain. */
     private static final double BINDING_DEADLINE_FRACTION = 0.5;
 
+    /** Fraction of the deferrable backlog up to which proxies get all of their tables at once. */
+    private static final double CALM_BACKLOG_FRACTION = 0.5;
+
     private final double bindingDeadlineTicks;
     private final boolean provisionalIsSafe;
     private final ChannelPacer pacer;
@@ -59,7 +62,7 @@
     }
 
     private boolean needsProvisionalTable(Proxy proxy, long now) {
-        return pacer.queue(now) > pacer.deferrableBacklog() / 2
+        return pacer.queue(now) > CALM_BACKLOG_FRACTION * pacer.deferrableBacklog()
                 && proxy.group() != null
                 && proxy.group().provisionalTable().entryCount() > 0
                 && provisionalIsSafe;
@@ -81,7 +84,7 @@
         boolean calm =
                 proxies.waiting().isEmpty()
                         && scope == ControlScope.FULL
-                        && pacer.queue(now) <= pacer.deferrableBacklog() / 2;
+                        && pacer.queue(now) <= CALM_BACKLOG_FRACTION * pacer.deferrableBacklog();
         if (!calm) {
             return false;
         }
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -45,6 +45,22 @@
             boolean wholeFleet,
             long now) {}
 
+    /**
+     * What limits the cold entries of one table.
+     *
+     * @param floor least fraction of an entry
+     * @param besideLargest fraction of the table that is left without its largest warm entry
+     * @param hasWarm whether warm entries can take the work instead
+     * @param hottestRate transactions a second that one proxy may bring
+     * @param safeColdRate transactions a second that the cold replicas bear together
+     */
+    private record ColdLimits(
+            double floor,
+            double besideLargest,
+            boolean hasWarm,
+            double hottestRate,
+            double safeColdRate) {}
+
     private final SlowStart slowStart;
     private final double expectedProxies;
     private final int classCount;
@@ -84,7 +100,16 @@
         }
         // Proxies leave out the largest entry after failures there: the rest takes its part.
         double besideLargest = rateSum > 0 ? 1 - largestWarmRate / rateSum : 1;
-        setTargets(table, routes, fractions, floor, besideLargest, largestWarmRate > 0, round);
+        setTargets(
+                routes,
+                fractions,
+                new ColdLimits(
+                        floor,
+                        besideLargest,
+                        largestWarmRate > 0,
+                        hottestRatePerSecond(table, round),
+                        safeColdRatePerSecond(table, round)),
+                round);
         table.setWeightScale(weightScale(table, routes));
     }
 
@@ -99,46 +124,47 @@
     }
 
     private void setTargets(
-            RoutingTable table,
-            List<Route> routes,
-            double[] solvedFractions,
-            double floor,
-            double besideLargest,
-            boolean hasWarm,
-            Round round) {
-        double hottest =
-                Math.max(
-                        table.group().hottestRatePerSecond(),
-                        round.wholeFleet
-                                ? 0
-                                : SlowStart.safeFractionOf(round.hottestRatePerSecond));
-        double safeRate = safeColdRatePerSecond(table, round);
-        double reachable = Math.max(table.reachableCapacity(), Double.MIN_NORMAL);
+            List<Route> routes, double[] solvedFractions, ColdLimits limits, Round round) {
         double sum = 1;
         for (int i = 0; i < ROUNDS; i++) {
             double previousSum = sum;
             sum = 0;
             for (int k = 0; k < solvedFractions.length; k++) {
                 Route route = routes.get(k);
-                if (!isCold(route, round)) {
-                    route.setTargetFraction(solvedFractions[k]);
-                } else if (hasWarm && hottest > safeProxyRate(route, safeRate, round)) {
-                    route.setTargetFraction(0);
-                } else {
-                    double fair = besideLargest * route.replica().capacity() / reachable;
-                    double limit =
-                            round.wholeFleet
-                                    ? Math.min(
-                                            solvedFractions[k],
-                                            previousSum * (MAX_COLD_SHARE_RATIO * fair + floor))
-                                    : previousSum * fair;
-                    route.setTargetFraction(Math.max(floor, limit));
-                }
-                sum += route.targetFraction();
+                double target =
+                        isCold(route, round)
+                                ? coldTarget(route, solvedFractions[k], previousSum, limits, round)
+                                : solvedFractions[k];
+                route.setTargetFraction(target);
+                sum += target;
             }
         }
     }
 
+    private static double coldTarget(
+            Route route, double solvedFraction, double tableSum, ColdLimits limits, Round round) {
+        if (limits.hasWarm
+                && limits.hottestRate > safeProxyRate(route, limits.safeColdRate, round)) {
+            return 0;
+        }
+        double reachable = Math.max(route.table().reachableCapacity(), Double.MIN_NORMAL);
+        double fair = limits.besideLargest * route.replica().capacity() / reachable;
+        double most =
+                round.wholeFleet
+                        ? Math.min(
+                                solvedFraction,
+                                tableSum * (MAX_COLD_SHARE_RATIO * fair + limits.floor))
+                        : tableSum * fair;
+        return Math.max(limits.floor, most);
+    }
+
+    /** The most of one class that one proxy with this table brings, or may soon bring. */
+    private static double hottestRatePerSecond(RoutingTable table, Round round) {
+        double elsewhere =
+                round.wholeFleet ? 0 : SlowStart.safeFractionOf(round.hottestRatePerSecond);
+        return Math.max(table.group().hottestRatePerSecond(), elsewhere);
+    }
+
     /** What all cold replicas of a table together bear of one class. */
     private double safeColdRatePerSecond(RoutingTable table, Round round) {
         double cold = table.capacityOf(route -> route.isAllowed() && isCold(route, round));
