--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -246,20 +246,11 @@
         operatorDrains.applyOperatorDrains(replicas, now);
         urgentRound = subsetter.assignSubsets(replicas, proxies);
         decayEvidence();
-        outlierDetector.detectOutliers(
-                replicas.all(), activeRoutes.replicas(), capacityEstimator::loadOf, now);
+        detectOutliers();
         estimateDemand();
-        FleetCapacity capacity =
-                capacityEstimator.estimate(
-                        activeRoutes.replicas(), traffic, baseline, demand.expectedPerTick(), now);
+        FleetCapacity capacity = estimateCapacity();
+        updateAdmissionLevels(capacity);
         solver.carryOver(activeRoutes.tables());
-        admission.update(
-                traffic,
-                baseline,
-                capacity,
-                outlierDetector.medianFailureRatio(),
-                settings.worstClassWeight(),
-                now);
         if (regular) {
             solver.solve(activeRoutes, settings.zoneCrossingPrice());
             // Urgent rounds do not put the next regular one off: a list that changes often would.
@@ -278,6 +269,11 @@
         traffic.decay(elapsedTicks, admission.levels());
     }
 
+    private void detectOutliers() {
+        outlierDetector.detectOutliers(
+                replicas.all(), activeRoutes.replicas(), capacityEstimator::loadOf, now);
+    }
+
     private void estimateDemand() {
         List<ProxyGroup> groups = subsetter.groups();
         List<RoutingTable> tables = ActiveRoutes.tablesInUse(groups);
@@ -285,6 +281,21 @@
         activeRoutes = ActiveRoutes.collect(tables, replicas.all());
     }
 
+    private FleetCapacity estimateCapacity() {
+        return capacityEstimator.estimate(
+                activeRoutes.replicas(), traffic, baseline, demand.expectedPerTick(), now);
+    }
+
+    private void updateAdmissionLevels(FleetCapacity capacity) {
+        admission.update(
+                traffic,
+                baseline,
+                capacity,
+                outlierDetector.medianFailureRatio(),
+                settings.worstClassWeight(),
+                now);
+    }
+
     private void publish(ProxyCommands commands, boolean regular) {
         TargetWeights.Round round =
                 targetWeights.round(
