--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -40,7 +40,7 @@
     /** Median failure ratio up to which the fleet counts as calm, and its capacity as known. */
     private static final double CALM_FAILURE_RATIO = 0.05;
 
-    /** Part of the way that the calm capacity moves a round. */
+    /** Fraction of the difference by which the calm capacity moves a round. */
     private static final double CALM_CAPACITY_STEP_FRACTION = 0.3;
 
     /** Fraction of the calm capacity that counts as there in a congestion collapse. */
@@ -49,16 +49,16 @@
     /** Median failure ratio that means a congestion collapse. */
     private static final double COLLAPSE_FAILURE_RATIO = 0.6;
 
-    /** Time until reports tell how a pause ended. */
+    /** Time until reports show how a pause ended. */
     private static final long PAUSE_SETTLING_TICKS = 5 * Ticks.TICKS_PER_SECOND;
 
-    /** How often a refused client comes again, at most. */
+    /** Most retries of a refused client. */
     private static final double MAX_CLIENT_RETRIES = 3;
 
     /** Fraction refused from which the client retries can be learned. */
     private static final double MIN_REFUSED_FRACTION = 0.15;
 
-    /** Part of the way that the client retries move a round. */
+    /** Fraction of the difference by which the client retries move a round. */
     private static final double CLIENT_RETRIES_STEP_FRACTION = 0.2;
 
     private final boolean enabled;
@@ -112,9 +112,9 @@
     }
 
     /**
-     * How often a refused client comes again, learned from what was admitted beyond the attempts
-     * seen; slowly, as attempts end late. Taken for new demand, retries would have ever more
-     * refused.
+     * Updates how often a refused client retries, learned from what was admitted beyond the
+     * attempts seen; slowly, as attempts end late. Taken for new demand, retries would have ever
+     * more refused.
      */
     private void learnClientRetries(TrafficWindows traffic) {
         double admitted = traffic.admittedArrivals();
@@ -127,8 +127,8 @@
     }
 
     /**
-     * First attempts a tick, by class. The careful time counts arrivals too low at a start, up to a
-     * half: only an overloaded fleet, where more comes than is reported yet, goes by it.
+     * First attempts a tick, by class. At a start the careful time rates arrivals too high, up to
+     * twice: it is only used for an overloaded fleet, where more arrives than is reported yet.
      */
     private double[] demandPerTick(
             TrafficWindows traffic, BaselineRates baseline, boolean overloaded) {
--- a/src/main/java/rockshift/planner/AlphaFairSolver.java
+++ b/src/main/java/rockshift/planner/AlphaFairSolver.java
@@ -26,10 +26,10 @@
     /** Theta, the switching cost, in mean entries: what an entry must be off before it moves. */
     private static final double SWITCHING_COST_ENTRIES = 0.07;
 
-    /** What a path to another zone bears for the whole price of crossing, in mean entries. */
+    /** Cost of a path to another zone for a zone-crossing price of 1, in mean entries. */
     private static final double CROSSING_COST_ENTRIES = 3;
 
-    /** What it bears beside where all its answers come late, in mean entries. */
+    /** Cost of a path to another zone if all its answers are late, in mean entries. */
     private static final double LATE_COST_ENTRIES = 0.5;
 
     private final RouteEligibility eligibility;
--- a/src/main/java/rockshift/planner/BaselineRates.java
+++ b/src/main/java/rockshift/planner/BaselineRates.java
@@ -1,12 +1,12 @@
 package rockshift.planner;
 
 /**
- * What the joined proxies usually get, now and as it was while evidence was gathered.
+ * The baseline rate of the joined proxies, now and as it was while evidence was gathered.
  *
- * <p>Guards against estimates at the old part of the fleet: when other controllers stop, the rest
- * get their proxies at once, while reports still tell of the time before. It shows as refusals with
- * idle replicas. Holds because rates are scaled by the growth of what the joined proxies usually
- * get; it misjudges a proxy that gets far from its usual rate.
+ * <p>Guards against estimates for a former part of the fleet: when other controllers stop, the rest
+ * get their proxies at once, while reports still cover the time before. It shows as refusals with
+ * idle replicas. Holds because rates are scaled by the growth of the joined proxies' baseline rate;
+ * it misjudges a proxy whose rate is far from its baseline.
  */
 final class BaselineRates {
     /** Reports lag: two periods pass until those of a new proxy are in. */
@@ -20,9 +20,7 @@
         reportLagTicks = 2.0 * reportPeriodTicks;
     }
 
-    /**
-     * Notes the present sum of usual rates; until the first reports the windows follow it at once.
-     */
+    /** Takes in the present sum; until the first reports the windows follow it at once. */
     void update(double baselineRatePerSecond, long elapsedTicks, boolean reported) {
         double capacityMemory = CapacityEstimator.MEMORY_TICKS + reportLagTicks;
         double trafficMemory = TrafficWindows.MEMORY_TICKS + reportLagTicks;
@@ -33,19 +31,17 @@
         duringTrafficWindow = duringTrafficWindow * trafficKept + current * (1 - trafficKept);
     }
 
-    /** Transactions a second that the joined proxies usually get. */
+    /** Transactions a second that the joined proxies usually receive. */
     double currentPerSecond() {
         return current;
     }
 
-    /**
-     * Times what joined proxies usually got in the capacity estimate's window that they get now.
-     */
+    /** Ratio of the present baseline rate to that in the capacity estimate's window. */
     double growthSinceCapacityWindow() {
         return growthSince(duringCapacityWindow);
     }
 
-    /** The same for the window of arrivals. */
+    /** Ratio of the present baseline rate to that in the window of arrivals. */
     double growthSinceTrafficWindow() {
         return growthSince(duringTrafficWindow);
     }
--- a/src/main/java/rockshift/planner/CapacityEstimator.java
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -12,7 +12,7 @@
  *
  * <p>Inputs: answers to this controller's proxies, and load as a fraction of time that the replica
  * was busy for everyone. Their quotient is the capacity scaled by this controller's part of it,
- * which needs no word from other controllers. Few answers lean on the mean of the machine type.
+ * which needs nothing from other controllers. Few answers lean on the mean of the machine type.
  *
  * <p>Guards against weights that feed on themselves: the answered rate alone follows the weight
  * that a replica was given, and one replica draws ever more. It shows as one replica with many
@@ -50,7 +50,7 @@
         return Math.exp(-elapsedTicks / MEMORY_TICKS);
     }
 
-    /** Lets evidence count less; what a cold replica answers tells nothing of a warm one. */
+    /** Lets evidence count less; answers of a cold replica say nothing about a warm one. */
     void decay(Collection<Replica> replicas, long elapsedTicks, long now) {
         double kept = keptFraction(elapsedTicks);
         for (Replica replica : replicas) {
@@ -85,16 +85,16 @@
             }
         }
         double rate = traffic.capacityTicks() > 0 ? reachable / traffic.capacityTicks() : 0;
-        double asked = Math.max(expectedPerTick, traffic.attemptsPerTick());
-        normalize(replicas, rate > 0 ? asked / rate : 0, sum, now);
+        double requestedPerTick = Math.max(expectedPerTick, traffic.attemptsPerTick());
+        normalize(replicas, rate > 0 ? requestedPerTick / rate : 0, sum, now);
         return new FleetCapacity(
                 baseline.growthSinceCapacityWindow() * rate, reachable > 0 ? busy / reachable : 0);
     }
 
     /**
-     * Where no replica reports a load, what answers waited tells it: with two cores on one queue
-     * the waiting fraction is the square of the load. Taken for fully busy, a fleet would be let in
-     * a fraction of what it just answered, and ever less.
+     * Where no replica reports a load, it is derived from waiting times: with two cores on one
+     * queue the waiting fraction is the square of the load. Were such replicas taken for fully
+     * busy, only a fraction of what they just answered would be admitted, and ever less.
      */
     private void updateLoadWithoutReport(List<Replica> replicas, TrafficWindows traffic) {
         boolean reported = replicas.stream().anyMatch(replica -> replica.loadEvidence().hasLoad());
@@ -119,7 +119,7 @@
 
     /**
      * Turns capacities into shares of their sum. Where much more is attempted than the fleet can
-     * do, or much of it is cold, cold replicas get only as much as they can bear.
+     * do, or much of it is cold, cold replicas get no more than their safe load.
      */
     private void normalize(List<Replica> replicas, double loadRatio, double sum, long now) {
         double safe = slowStart.safeLoadRatio();
--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -13,7 +13,7 @@
  * what the channel's usual rate has not carried yet, or what no proxy has acknowledged but for what
  * is in transit, whichever is more.
  *
- * <p>Guards against a drain that stands behind less urgent entries until its grace is over, and
+ * <p>Guards against a drain that is queued behind less urgent entries until its grace is over, and
  * against messages above a proxy's quota, which it drops. Shows as late drains with messages in
  * flight. Holds because deferrable entries only ever fill a part of the queue and of the quota, and
  * because unacknowledged entries count where the channel is slower than its usual rate.
@@ -112,7 +112,9 @@
         }
     }
 
-    /** Entries that may wait before deferrable ones; one message to each proxy goes in any case. */
+    /**
+     * Entries that may wait before deferrable ones; one message to each proxy may always be sent.
+     */
     double deferrableBacklog() {
         double usual =
                 Math.max(
--- a/src/main/java/rockshift/planner/ClassDemand.java
+++ b/src/main/java/rockshift/planner/ClassDemand.java
@@ -2,7 +2,7 @@
 
 import rockshift.model.Ticks;
 
-/** What one proxy brings of one class: an estimated rate, and what was reported since. */
+/** The demand of one proxy for one class: an estimated rate, and what was reported since. */
 final class ClassDemand {
     private double ratePerSecond;
     private double arrivals;
@@ -10,7 +10,7 @@
     private long reportedUntilTicks;
 
     /**
-     * Starts with the rate that the proxy usually gets.
+     * Starts with the proxy's baseline rate.
      *
      * @param reportedUntilTicks until when its arrivals count as known
      */
@@ -40,7 +40,7 @@
         reportedUntilTicks += covered;
     }
 
-    /** Where nothing was reported for two periods, nothing came in the first of them. */
+    /** Where nothing was reported for two periods, the first of them had no arrivals. */
     void expireSilence(long reportPeriodTicks, long now) {
         if (now - reportedUntilTicks > 2 * reportPeriodTicks) {
             coveredTicks += reportPeriodTicks;
@@ -48,7 +48,9 @@
         }
     }
 
-    /** Moves the rate by a fraction of the way to what was reported, and starts a new span. */
+    /**
+     * Moves the rate towards the reported one by a fraction of the difference; starts a new span.
+     */
     void updateRate(double stepFraction) {
         double reported = arrivals * Ticks.TICKS_PER_SECOND / Math.max(1, coveredTicks);
         ratePerSecond += stepFraction * (reported - ratePerSecond);
--- a/src/main/java/rockshift/planner/DemandEstimator.java
+++ b/src/main/java/rockshift/planner/DemandEstimator.java
@@ -5,12 +5,12 @@
 import rockshift.model.Ticks;
 
 /**
- * Estimates what each table is asked for: shares of all demand, by group and class.
+ * Estimates the demand share of each table, by group and class.
  *
  * <p>Inputs: arrivals that proxies report, with the ticks that they cover. Each proxy's rate moves
- * towards its reports; it starts with the rate that the proxy usually gets.
+ * towards its reports; it starts with the proxy's baseline rate.
  *
- * <p>Guards against tables that follow chance: a proxy with less than one arrival a report would
+ * <p>Guards against tables that follow noise: a proxy with less than one arrival a report would
  * move its group's tables by its last spans alone. It shows as weights that change at every round
  * in calm. Holds because a rate reaches back for some arrivals, and all tables in use share a
  * floor.
--- a/src/main/java/rockshift/planner/DrainNotifier.java
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -5,13 +5,13 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Tells proxies that wait for their tables to keep off replicas that left, and later that these may
- * be used again.
+ * Notifies proxies that wait for their tables of drained and gone replicas, and later that these
+ * may be used again.
  *
  * <p>Inputs: entries that wait in the channel and the rate at which it carries them, the drain
  * grace in ticks.
  *
- * <p>Guards against work for drained replicas from proxies that still have the tables they came
+ * <p>Guards against work for drained replicas from proxies that still have the tables they joined
  * with, where the channel is too slow to bind them within the grace. Shows as attempts at replicas
  * that are listed as draining. Holds because a notice is only sent where it is shorter than the
  * tables, while the queue and the proxy's quota have room for it. Replicas that are back may be
@@ -43,7 +43,7 @@
         if (proxies.waiting().isEmpty()) {
             return scope == ControlScope.FULL && endNextNotice(commands, now);
         }
-        // Once a turn: what has changed since is told in the next one.
+        // Once a turn: later changes are notified in the next one.
         if (notifiedAtTicks == now || scope == ControlScope.NONE) {
             return false;
         }
@@ -65,7 +65,7 @@
         return false;
     }
 
-    /** Tells those who would get their tables too late of all replicas that left. */
+    /** Notifies those that would get their tables too late of all replicas that left. */
     private boolean notifyWaiting(ProxyCommands commands, long now) {
         List<Replica> left =
                 replicas.all().stream().filter(replica -> !replica.acceptsNewWork()).toList();
--- a/src/main/java/rockshift/planner/GroupBatch.java
+++ b/src/main/java/rockshift/planner/GroupBatch.java
@@ -33,7 +33,7 @@
         return entries > 0;
     }
 
-    /** Entries that one more change takes of the channel; the first brings the message overhead. */
+    /** Entries that one more change takes of the channel; the first one starts a message. */
     double cost() {
         return group.boundProxies() * (isStarted() ? 1 : shortestMessageEntries);
     }
--- a/src/main/java/rockshift/planner/OutlierDetector.java
+++ b/src/main/java/rockshift/planner/OutlierDetector.java
@@ -23,9 +23,7 @@
  * keep a dead replica where many fail.
  */
 final class OutlierDetector {
-    /**
-     * A ratio stands out above so many times the median, and {@link #EXCESS_FAILURE_RATIO} more.
-     */
+    /** An outlier's ratio exceeds this multiple of the median by {@link #EXCESS_FAILURE_RATIO}. */
     private static final double MEDIAN_MULTIPLE = 2;
 
     private static final double EXCESS_FAILURE_RATIO = 0.35;
@@ -49,7 +47,7 @@
     /** An ejection's time doubles up to this. */
     private static final long LONGEST_EJECTION_TICKS = 15 * Ticks.TICKS_PER_SECOND;
 
-    /** An ejection takes up to so much longer, by chance, so that not all end together. */
+    /** Random extension of an ejection, at most, so that not all end together. */
     private static final long JITTER_TICKS = Ticks.TICKS_PER_SECOND;
 
     /** Time after an ejection over which the capacity grows to what was estimated. */
@@ -78,7 +76,7 @@
     }
 
     /**
-     * Ejects what stands out among the replicas in use, those with most failures first.
+     * Ejects the outliers among the replicas in use, those with most failures first.
      *
      * @param loadOf the load of a replica, for the log
      */
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -143,7 +143,7 @@
     /**
      * A proxy's stream came up; the proxy keeps the tables that it had.
      *
-     * @param baselineRate transactions a second that it usually gets
+     * @param baselineRate transactions a second that it usually receives
      */
     public void proxyJoined(long now, int number, String zone, double baselineRate) {
         this.now = now;
@@ -162,7 +162,7 @@
      *
      * @param meanAnswerTicks mean time of the answers
      * @param spanTicks time that the report covers
-     * @param load fraction of its time that the replica was busy, or null if it did not tell
+     * @param load fraction of its time that the replica was busy, or null if it reported none
      */
     public void recordLoadReport(
             long now,
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Transactions of a class came to a proxy over a span. */
+    /** A proxy reported its arrivals of a class over a span. */
     public void recordUsage(long now, int number, String className, int count, long spanTicks) {
         this.now = now;
         Proxy proxy = proxies.get(number);
@@ -202,7 +202,7 @@
         }
     }
 
-    /** The time came that {@link ProxyCommands#wakeAfter} asked for. */
+    /** The timer that {@link ProxyCommands#wakeAfter} asked for fired. */
     public void timerFired(long now) {
         this.now = now;
         timerSet = false;
--- a/src/main/java/rockshift/planner/Proxy.java
+++ b/src/main/java/rockshift/planner/Proxy.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A proxy whose stream is up: its group and tables, what it brings, and what it was sent. */
+/** A proxy whose stream is up: its group and tables, its demand, and what it was sent. */
 final class Proxy {
     /** The binding cost where there are no tables to bind: above any budget. */
     static final double NOT_BINDABLE = Double.MAX_VALUE;
@@ -24,7 +24,7 @@
     /**
      * A proxy without a group.
      *
-     * @param baselineRatePerSecond transactions that it usually gets, of all classes together
+     * @param baselineRatePerSecond transactions that it usually receives, of all classes together
      * @param reportedUntilTicks until when its arrivals count as known
      */
     Proxy(
@@ -69,7 +69,7 @@
         return channel;
     }
 
-    /** When it was last told of all replicas that left. */
+    /** When it was last notified of all replicas that left. */
     long drainNotifiedAtTicks() {
         return drainNotifiedAtTicks;
     }
--- a/src/main/java/rockshift/planner/ProxyChannel.java
+++ b/src/main/java/rockshift/planner/ProxyChannel.java
@@ -46,7 +46,7 @@
         entriesThisTurn += entries;
     }
 
-    /** Ends the turn's message: it is on its way. */
+    /** Ends the turn's message: it is in flight. */
     void closeMessage(int serial, long now) {
         inFlight.add(new InFlight(serial, now, (long) entriesThisTurn));
         entriesThisTurn = 0;
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -115,7 +115,7 @@
 
     // ---- demand --------------------------------------------------------------------------------
 
-    /** The most transactions a second of one class that one of its proxies brings. */
+    /** The highest rate of one class at one of its proxies. */
     double hottestRatePerSecond() {
         return hottestRatePerSecond;
     }
--- a/src/main/java/rockshift/planner/ProxyRegistry.java
+++ b/src/main/java/rockshift/planner/ProxyRegistry.java
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Transactions a second that all joined proxies usually get. */
+    /** Transactions a second that all joined proxies usually receive. */
     double baselineRatePerSecond() {
         return proxies.values().stream().mapToDouble(Proxy::baselineRatePerSecond).sum();
     }
--- a/src/main/java/rockshift/planner/PublishBudget.java
+++ b/src/main/java/rockshift/planner/PublishBudget.java
@@ -11,7 +11,7 @@
      *
      * @param urgentEntries while so many are left, urgent changes are sent
      * @param deferrableEntries while so many are left, deferrable changes are sent
-     * @param weightEntries for deferrable changes of weights that stand already
+     * @param weightEntries for deferrable changes of published weights
      */
     PublishBudget(double urgentEntries, double deferrableEntries, double weightEntries) {
         this.urgentEntries = urgentEntries;
--- a/src/main/java/rockshift/planner/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -92,7 +92,7 @@
         drainedByOperator = drained;
     }
 
-    /** Whether a proxy was told to keep off it, whatever its tables say. */
+    /** Whether a proxy was told to stop using it, whatever its tables say. */
     boolean isDrainNotified() {
         return drainNotified;
     }
--- a/src/main/java/rockshift/planner/ReplicaRegistry.java
+++ b/src/main/java/rockshift/planner/ReplicaRegistry.java
@@ -50,7 +50,7 @@
     /**
      * Takes in a list of endpoints: changes only, or all that there are.
      *
-     * @return whether a replica changed that stands in a published table
+     * @return whether a replica changed that has an entry in a published table
      */
     boolean update(long now, List<Endpoint> entries, boolean changesOnly) {
         TreeSet<Long> missing = new TreeSet<>(changesOnly ? List.of() : replicas.keySet());
@@ -86,7 +86,7 @@
         return replica.isInTables();
     }
 
-    /** Forgets replicas that left long ago and stand in no table, here and at the host. */
+    /** Forgets replicas that left long ago and are in no table, here and at the host. */
     void forgetGone(ProxyCommands commands, long now) {
         for (Replica replica : List.copyOf(replicas.values())) {
             if (replica.health() == Endpoint.Health.GONE
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -218,7 +218,7 @@
         }
     }
 
-    /** An order by chance that depends on nothing but the group and the replica. */
+    /** A pseudo-random order that depends on nothing but the group and the replica. */
     private static long order(ProxyGroup group, Replica replica) {
         return new SplittableRandom(replica.id() * Short.MAX_VALUE + group.number()).nextLong();
     }
--- a/src/main/java/rockshift/planner/Route.java
+++ b/src/main/java/rockshift/planner/Route.java
@@ -1,7 +1,7 @@
 package rockshift.planner;
 
 /**
- * The way from a routing table to a replica; the paper's path, with that replica as its only link.
+ * The path from a routing table to a replica; the paper's path, with that replica as its only link.
  * {@link AlphaFairSolver} owns the iterates, {@link TargetWeights} the target, {@link
  * TablePublisher} what is published.
  */
@@ -40,7 +40,7 @@
 
     // ---- eligibility, as of the last planning round --------------------------------------------
 
-    /** Whether an entry may stand for it, see {@link RouteEligibility}. */
+    /** Whether the table may have an entry for it, see {@link RouteEligibility}. */
     boolean isAllowed() {
         return allowed;
     }
@@ -114,7 +114,7 @@
         targetFraction = fraction;
     }
 
-    /** The weight that stands in the published table; 0 for no entry. */
+    /** The weight in the published table; 0 for no entry. */
     double publishedWeight() {
         return publishedWeight;
     }
--- a/src/main/java/rockshift/planner/SlowStart.java
+++ b/src/main/java/rockshift/planner/SlowStart.java
@@ -8,8 +8,8 @@
  *
  * <p>Guards against overload of a replica that has just started: caches are empty, and it fails
  * above a multiple of the little that it can do. Shows as failures soon after {@code endpoint
- * replica=... started=true}. Holds because every weight and every capacity goes by the factor, and
- * the factor goes by the replica's own start and not by when it was first seen.
+ * replica=... started=true}. Holds because every weight and every capacity depends on the factor,
+ * and the factor on the replica's own start and not on when it was first listed.
  */
 final class SlowStart {
     /**
--- a/src/main/java/rockshift/planner/TableChange.java
+++ b/src/main/java/rockshift/planner/TableChange.java
@@ -7,7 +7,7 @@
 
     RoutingTable table();
 
-    /** Whether it changes a weight that stands already. */
+    /** Whether it changes a weight that is published already. */
     boolean changesWeight();
 
     /** Changes of higher priority are sent first. */
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -13,13 +13,13 @@
  * priority and within a budget of entries.
  *
  * <p>Inputs: target fractions, levels, entries that wait in the channel and its rate in entries a
- * tick. Differences are gathered for a regular round; what safety requires goes at once: a replica
- * that left comes out, and a table without a usable entry gets one. Other urgent changes are a cold
- * replica's cut, and an entry that more than doubles in a message that is sent anyway.
+ * tick. Differences are gathered for a regular round; what safety requires is sent at once: removal
+ * of a replica that left, and an entry for a table without a usable one. Other urgent changes are a
+ * cold replica's cut, and an entry that more than doubles in a message that is sent anyway.
  *
  * <p>Guards against a channel filled by changes that are worth little while drains wait. Shows as
  * messages in flight and late drains. Holds because each kind of change has a budget, and nothing
- * deferrable goes while a proxy waits that could be bound.
+ * deferrable is sent while a proxy waits that could be bound.
  */
 final class TablePublisher {
     /** Proxies retry only after proof that the attempt never ran: safe for every class. */
--- a/src/main/java/rockshift/planner/TableScheduler.java
+++ b/src/main/java/rockshift/planner/TableScheduler.java
@@ -12,13 +12,13 @@
  * <p>Inputs: entries that wait in the channel, and how long a proxy has waited in ticks. While much
  * waits, a proxy gets one provisional table for all classes, and its own tables once nobody waits.
  *
- * <p>Guards against drains that stand behind the tables of many joining proxies, and against the
- * last of these getting its tables too late. Shows as messages in flight for seconds after a wave
- * of joins. Holds because joins fill a part of the queue only, more the longer one has waited; and
- * the provisional table is that of the strictest class, so that no class leaves its zone.
+ * <p>Guards against drains that are queued behind the tables of many joining proxies, and against
+ * the last of these getting its tables too late. Shows as messages in flight for seconds after a
+ * wave of joins. Holds because joins fill a part of the queue only, more the longer one has waited;
+ * and the provisional table is that of the strictest class, so that no class leaves its zone.
  */
 final class TableScheduler {
-    /** Fraction of the drain grace after which a proxy that waits presses like a drain. */
+    /** Fraction of the drain grace after which a waiting proxy is as urgent as a drain. */
     private static final double BINDING_DEADLINE_FRACTION = 0.5;
 
     /** Fraction of the deferrable backlog up to which proxies get all of their tables at once. */
@@ -68,7 +68,7 @@
                 && provisionalIsSafe;
     }
 
-    /** The longer a proxy waits, the less it stands behind; at the deadline it is urgent. */
+    /** The longer a proxy waits, the longer the queue may be; at the deadline it is urgent. */
     private boolean hasRoom(Proxy proxy, double cost, long now) {
         double deferrable = pacer.deferrableBacklog();
         double urgency = Math.min(1, (now - proxy.joinedAtTicks()) / bindingDeadlineTicks);
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -12,8 +12,8 @@
  * floor; cold replicas are limited.
  *
  * <p>Guards against a cold replica that gets the work of others: proxies leave out entries where
- * attempts failed, and what is left in the table takes it. In a short table all warm entries may be
- * left out. Shows as failures at replicas that have just started, while one proxy is busy. Holds
+ * attempts failed, and the rest of the table gets its part. In a short table all warm entries may
+ * be left out. Shows as failures at replicas that have just started, while one proxy is busy. Holds
  * because no table leans on cold replicas beyond their part of the fleet, and none is left in a
  * table that one proxy alone could overload it through.
  */
@@ -52,7 +52,7 @@
      * @param besideLargest fraction of the table that is left without its largest warm entry
      * @param hasWarm whether warm entries can take the work instead
      * @param hottestRate transactions a second that one proxy may bring
-     * @param safeColdRate transactions a second that the cold replicas bear together
+     * @param safeColdRate transactions a second that are safe for the cold replicas together
      */
     private record ColdLimits(
             double floor,
@@ -113,7 +113,7 @@
         table.setWeightScale(weightScale(table, routes));
     }
 
-    /** The part of the rates; before there are any, what stands, or an even part. */
+    /** The part of the rates; before there are any, the published part, or an even one. */
     private static double solvedFraction(Route route, double rateSum, double floor, int count) {
         if (rateSum > 0) {
             return Math.max(floor, route.linkCopy() / rateSum);
@@ -158,14 +158,14 @@
         return Math.max(limits.floor, most);
     }
 
-    /** The most of one class that one proxy with this table brings, or may soon bring. */
+    /** The highest rate of one class at one proxy with this table, now or soon. */
     private static double hottestRatePerSecond(RoutingTable table, Round round) {
         double elsewhere =
                 round.wholeFleet ? 0 : SlowStart.safeFractionOf(round.hottestRatePerSecond);
         return Math.max(table.group().hottestRatePerSecond(), elsewhere);
     }
 
-    /** What all cold replicas of a table together bear of one class. */
+    /** The rate of one class that is safe for all cold replicas of a table together. */
     private double safeColdRatePerSecond(RoutingTable table, Round round) {
         double cold = table.capacityOf(route -> route.isAllowed() && isCold(route, round));
         return slowStart.safeLoadRatio() * cold * round.fleetRatePerSecond / classCount;
--- a/src/main/java/rockshift/planner/TaskSchedule.java
+++ b/src/main/java/rockshift/planner/TaskSchedule.java
@@ -21,7 +21,7 @@
         return tasks.pollFirst();
     }
 
-    /** Takes a regular round that is due, wherever it stands; whether there was one. */
+    /** Takes a regular round that is due, also from behind other tasks; whether there was one. */
     boolean takeDueRegularRound(long now) {
         return tasks.removeIf(
                 task ->
--- a/src/main/java/rockshift/planner/TrafficWindows.java
+++ b/src/main/java/rockshift/planner/TrafficWindows.java
@@ -5,18 +5,18 @@
 import rockshift.model.Ticks;
 
 /**
- * What the proxies lately brought and attempted, and the time that this covers. Everything decays
+ * Recent arrivals and attempts at the proxies, and the time that they cover. Everything decays
  * alike, counts and time, so that their quotient is a rate.
  *
- * <p>Each time is kept twice. The careful one starts with the capacity memory or not at all, as
- * reports arrive late; the one from the first report starts with the span of that report. They
- * approach each other; until then the careful one gives the lower rate.
+ * <p>Each time is kept twice, as the first reports arrive late. One starts with the span of the
+ * first report; the careful one rates arrivals higher and capacities lower at a start. They
+ * approach each other.
  */
 final class TrafficWindows {
     /** Memory of arrivals and attempts: two to four report periods. */
     static final double MEMORY_TICKS = 4 * Ticks.TICKS_PER_SECOND;
 
-    /** One class: its arrivals, and the fraction that was admitted while they came. */
+    /** One class: its arrivals, and the fraction of them that was admitted. */
     private static final class ClassTraffic {
         private double arrivals;
         private double admittedFraction = 1;
