--- a/src/main/java/rockshift/planner/DrainNotifier.java
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -5,17 +5,18 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Tells proxies that wait for their tables to keep off replicas that left, and later that these may
- * be used again.
+ * Notifies proxies that wait for their tables of drained and gone replicas, and later that these
+ * may be used again.
  *
  * <p>Inputs: entries that wait in the channel and the rate at which it carries them, the drain
  * grace in ticks.
  *
- * <p>Guards against work for drained replicas from proxies that still have the tables they came
+ * <p>Guards against work for drained replicas from proxies that still have the tables they joined
  * with, where the channel is too slow to bind them within the grace. Shows as attempts at replicas
  * that are listed as draining. Holds because a notice is only sent where it is shorter than the
- * tables, while the queue and the proxy's quota have room for it. Replicas that are back are let in
- * when nobody waits, so that no cold one meets old weights; that loses some of their work.
+ * tables, while the queue and the proxy's quota have room for it. Replicas that are back may be
+ * used again when nobody waits, so that no cold one meets old weights; that loses some of their
+ * work.
  */
 final class DrainNotifier {
     private final double longestTransitTicks;
@@ -40,9 +41,9 @@
     /** Sends notices, if any are due; whether it did. */
     boolean notifyNext(ProxyCommands commands, ControlScope scope, long now) {
         if (proxies.waiting().isEmpty()) {
-            return scope == ControlScope.FULL && letInNext(commands, now);
+            return scope == ControlScope.FULL && endNextNotice(commands, now);
         }
-        // Once a turn: what has changed since is told in the next one.
+        // Once a turn: later changes are notified in the next one.
         if (notifiedAtTicks == now || scope == ControlScope.NONE) {
             return false;
         }
@@ -50,8 +51,8 @@
         return notifyWaiting(commands, now);
     }
 
-    /** Tells all proxies of one replica that is back. */
-    private boolean letInNext(ProxyCommands commands, long now) {
+    /** Tells all proxies that one replica that is back may be used again. */
+    private boolean endNextNotice(ProxyCommands commands, long now) {
         for (Replica replica : replicas.all()) {
             if (replica.acceptsNewWork() && replica.isDrainNotified()) {
                 replica.setDrainNotified(false);
@@ -64,7 +65,7 @@
         return false;
     }
 
-    /** Tells those who would get their tables too late of all replicas that left. */
+    /** Notifies those that would get their tables too late of all replicas that left. */
     private boolean notifyWaiting(ProxyCommands commands, long now) {
         List<Replica> left =
                 replicas.all().stream().filter(replica -> !replica.acceptsNewWork()).toList();
--- a/src/main/java/rockshift/planner/OutlierDetector.java
+++ b/src/main/java/rockshift/planner/OutlierDetector.java
@@ -23,7 +23,9 @@
  * keep a dead replica where many fail.
  */
 final class OutlierDetector {
-    /** Failure ratio beside twice the median that stands out. */
+    /** An outlier's ratio exceeds this multiple of the median by {@link #EXCESS_FAILURE_RATIO}. */
+    private static final double MEDIAN_MULTIPLE = 2;
+
     private static final double EXCESS_FAILURE_RATIO = 0.35;
 
     /** Fewer attempts say nothing about a replica. */
@@ -45,7 +47,7 @@
     /** An ejection's time doubles up to this. */
     private static final long LONGEST_EJECTION_TICKS = 15 * Ticks.TICKS_PER_SECOND;
 
-    /** An ejection takes up to so much longer, by chance, so that not all end together. */
+    /** Random extension of an ejection, at most, so that not all end together. */
     private static final long JITTER_TICKS = Ticks.TICKS_PER_SECOND;
 
     /** Time after an ejection over which the capacity grows to what was estimated. */
@@ -74,7 +76,7 @@
     }
 
     /**
-     * Ejects what stands out among the replicas in use, those with most failures first.
+     * Ejects the outliers among the replicas in use, those with most failures first.
      *
      * @param loadOf the load of a replica, for the log
      */
@@ -122,7 +124,8 @@
     private boolean isOutlier(ReplicaObservations observations) {
         return observations.attempts() >= MIN_ATTEMPTS
                 && observations.isLoadAtMost(OVERLOAD)
-                && observations.failureRatio() > 2 * medianFailureRatio + EXCESS_FAILURE_RATIO;
+                && observations.failureRatio()
+                        > MEDIAN_MULTIPLE * medianFailureRatio + EXCESS_FAILURE_RATIO;
     }
 
     private void eject(
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -104,21 +104,23 @@
 
     /** Entries that keep their connections open, and that the channel carries for all proxies. */
     private double affordableEntries(Collection<Proxy> proxies) {
-        double usualRatePerSecond =
+        double baselineRatePerSecond =
                 proxies.stream()
                                 .flatMap(proxy -> proxy.demands().stream())
                                 .mapToDouble(ClassDemand::ratePerSecond)
                                 .sum()
                         / proxies.size();
         double keptOpen =
-                usualRatePerSecond
+                baselineRatePerSecond
                         * settings.idleCloseTicks()
                         / Ticks.TICKS_PER_SECOND
                         / TRANSACTIONS_PER_IDLE_TIME;
         double allProxies = Math.max(proxies.size(), settings.expectedProxies());
         double perProxy =
                 settings.channelQueueLimitEntries() * settings.controllerCount() / allProxies;
-        double carried = (perProxy - settings.messageOverheadEntries()) / classCount - 2;
+        double carried =
+                (perProxy - settings.messageOverheadEntries()) / classCount
+                        - ProxyGroup.ENTRIES_PER_BINDING;
         return Math.min(keptOpen, carried);
     }
 
@@ -216,7 +218,7 @@
         }
     }
 
-    /** An order by chance that depends on nothing but the group and the replica. */
+    /** A pseudo-random order that depends on nothing but the group and the replica. */
     private static long order(ProxyGroup group, Replica replica) {
         return new SplittableRandom(replica.id() * Short.MAX_VALUE + group.number()).nextLong();
     }
