--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -17,15 +17,16 @@
  * <p>Guards against queues that outgrow the latency objective, whether demand rose or capacity was
  * lost, and against congestion collapse, where servers work on what nobody waits for any more.
  * Shows as levels below 1; {@code admissionPaused reason=congestionCollapse median=...} for the
- * second. Holds because refusals never depend on the estimates alone: a fleet that is not busy
- * refuses nothing. It may refuse too much while capacity is underrated.
+ * second. Holds because the levels go by capacity over demand, whatever changed either; and a fleet
+ * that is not busy refuses nothing, whatever the estimates. It may refuse too much while capacity
+ * is underrated.
  */
 final class AdmissionController {
     /** Fraction of the fleet's capacity that may be admitted. */
     private static final double TARGET_UTILIZATION = 0.8;
 
     /** Mean load of the fleet below which nothing is refused. */
-    private static final double MIN_LOAD = 0.6;
+    private static final double MIN_LOAD_TO_REFUSE = 0.6;
 
     /** Mean load of the fleet from which it counts as overloaded. */
     private static final double OVERLOAD = 0.8;
@@ -39,7 +40,7 @@
     /** Median failure ratio up to which the fleet counts as calm, and its capacity as known. */
     private static final double CALM_FAILURE_RATIO = 0.05;
 
-    /** Part of the way that the calm capacity moves a round. */
+    /** Fraction of the difference by which the calm capacity moves a round. */
     private static final double CALM_CAPACITY_STEP_FRACTION = 0.3;
 
     /** Fraction of the calm capacity that counts as there in a congestion collapse. */
@@ -48,16 +49,16 @@
     /** Median failure ratio that means a congestion collapse. */
     private static final double COLLAPSE_FAILURE_RATIO = 0.6;
 
-    /** Time until reports tell how a pause ended. */
+    /** Time until reports show how a pause ended. */
     private static final long PAUSE_SETTLING_TICKS = 5 * Ticks.TICKS_PER_SECOND;
 
-    /** How often a refused client comes again, at most. */
+    /** Most retries of a refused client. */
     private static final double MAX_CLIENT_RETRIES = 3;
 
     /** Fraction refused from which the client retries can be learned. */
     private static final double MIN_REFUSED_FRACTION = 0.15;
 
-    /** Part of the way that the client retries move a round. */
+    /** Fraction of the difference by which the client retries move a round. */
     private static final double CLIENT_RETRIES_STEP_FRACTION = 0.2;
 
     private final boolean enabled;
@@ -107,13 +108,13 @@
         double admissible =
                 admissiblePerTick(traffic, baseline, capacity, medianFailureRatio, overloaded);
         pauseOnCongestionCollapse(capacity, medianFailureRatio, now);
-        setLevels(demand, admissible, capacity.load() < MIN_LOAD, worstClassWeight, now);
+        setLevels(demand, admissible, capacity.load() < MIN_LOAD_TO_REFUSE, worstClassWeight, now);
     }
 
     /**
-     * How often a refused client comes again, learned from what was admitted beyond the attempts
-     * seen; slowly, as attempts end late. Taken for new demand, retries would have ever more
-     * refused.
+     * Updates how often a refused client retries, learned from what was admitted beyond the
+     * attempts seen; slowly, as attempts end late. Taken for new demand, retries would have ever
+     * more refused.
      */
     private void learnClientRetries(TrafficWindows traffic) {
         double admitted = traffic.admittedArrivals();
@@ -126,8 +127,8 @@
     }
 
     /**
-     * First attempts a tick, by class. The careful time counts arrivals too low at a start, up to a
-     * half: only an overloaded fleet, where more comes than is reported yet, goes by it.
+     * First attempts a tick, by class. At a start the careful time rates arrivals too high, up to
+     * twice: it is only used for an overloaded fleet, where more arrives than is reported yet.
      */
     private double[] demandPerTick(
             TrafficWindows traffic, BaselineRates baseline, boolean overloaded) {
@@ -156,23 +157,28 @@
             FleetCapacity capacity,
             double medianFailureRatio,
             boolean overloaded) {
-        double usual = baseline.currentPerSecond();
-        double step =
-                calmRatePerBaselineRate == 0
-                        ? 1
-                        : medianFailureRatio < CALM_FAILURE_RATIO ? CALM_CAPACITY_STEP_FRACTION : 0;
-        double ratePerBaselineRate = capacity.answersPerTick() / Math.max(usual, Double.MIN_NORMAL);
-        calmRatePerBaselineRate += step * (ratePerBaselineRate - calmRatePerBaselineRate);
+        double baselineRate = baseline.currentPerSecond();
+        updateCalmRate(
+                capacity.answersPerTick() / Math.max(baselineRate, Double.MIN_NORMAL),
+                medianFailureRatio < CALM_FAILURE_RATIO);
         double answersPerTick =
                 overloaded
                         ? capacity.answersPerTick()
                         : capacity.answersPerTick()
                                 * traffic.capacityTicks()
                                 / traffic.capacityTicksFromFirstReport();
-        double inCollapse = COLLAPSE_CAPACITY_FRACTION * calmRatePerBaselineRate * usual;
+        double inCollapse = COLLAPSE_CAPACITY_FRACTION * calmRatePerBaselineRate * baselineRate;
         return TARGET_UTILIZATION * Math.max(answersPerTick, inCollapse);
     }
 
+    /** Follows the answers in calm; the first value is taken as it is. */
+    private void updateCalmRate(double ratePerBaselineRate, boolean calm) {
+        double step = calm ? CALM_CAPACITY_STEP_FRACTION : 0;
+        calmRatePerBaselineRate +=
+                (calmRatePerBaselineRate == 0 ? 1 : step)
+                        * (ratePerBaselineRate - calmRatePerBaselineRate);
+    }
+
     /**
      * In a full congestion collapse servers work on requests that have timed out, whatever is still
      * admitted. Admitting next to nothing until the oldest has timed out frees them at once.
@@ -209,11 +215,13 @@
         double low = limit((admissiblePerTick - rest) / own);
         double high = rest > 0 ? limit((admissiblePerTick - low * own) / rest) : 1;
         for (int k = 0; k < levels.length; k++) {
-            double target = admitAll ? 1 : first < 0 || k == first ? low : high;
-            levels[k] =
-                    now < pausedUntilTicks
-                            ? MIN_LEVEL
-                            : Math.min(target, levels[k] + MAX_INCREASE_PER_ROUND);
+            if (now < pausedUntilTicks) {
+                levels[k] = MIN_LEVEL;
+                continue;
+            }
+            double affordable = first < 0 || k == first ? low : high;
+            double target = admitAll ? 1 : affordable;
+            levels[k] = Math.min(target, levels[k] + MAX_INCREASE_PER_ROUND);
         }
     }
 
@@ -221,7 +229,7 @@
         return Math.max(MIN_LEVEL, Math.min(1, level));
     }
 
-    /** The class whose refusal costs the goal least a request; -1 where all refused alike do. */
+    /** The class whose refusal costs the goal least a request; -1 to refuse all alike. */
     private int firstRefused(double[] demandPerTick, double total, double worstClassWeight) {
         double weightedDemand = 0;
         for (int k = 0; k < classes.size(); k++) {
