--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -478,7 +478,7 @@
     @Override
     public void save(
             long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot) {
-        queue(() -> log.save(ballot, from, entries, snapshot), () -> engine.saved(ticket));
+        queue(() -> log.save(ballot, entries, snapshot), () -> engine.saved(ticket));
     }
 
     @Override
--- a/src/main/java/rockshift/raft/AppendReceiver.java
+++ b/src/main/java/rockshift/raft/AppendReceiver.java
@@ -32,7 +32,7 @@
         long previousIndex = request.prevLogIndex();
         long previousTerm = request.prevLogTerm();
         int skipped = 0;
-        // Entries that the snapshot stands for are committed, and so are the leader's too.
+        // Entries that the snapshot includes are committed, and so are the leader's too.
         while (previousIndex < log.baseIndex() && skipped < entries.size()) {
             previousIndex = entries.get(skipped).index();
             previousTerm = entries.get(skipped).term();
--- a/src/main/java/rockshift/raft/ClientSessions.java
+++ b/src/main/java/rockshift/raft/ClientSessions.java
@@ -28,7 +28,7 @@
     }
 
     /**
-     * What came of an entry.
+     * The result of applying an entry.
      *
      * @param applied whether it took effect now
      * @param answer the answer to the client
--- a/src/main/java/rockshift/raft/ClockDriftMonitor.java
+++ b/src/main/java/rockshift/raft/ClockDriftMonitor.java
@@ -23,7 +23,7 @@
      * Takes an answer.
      *
      * @param sentAtTicks our clock when we sent what it answers
-     * @param receivedAtTicks our clock when it came
+     * @param receivedAtTicks our clock when it arrived
      * @param remoteClockTicks the other member's clock in between
      */
     void record(long sentAtTicks, long receivedAtTicks, long remoteClockTicks) {
--- a/src/main/java/rockshift/raft/Election.java
+++ b/src/main/java/rockshift/raft/Election.java
@@ -10,7 +10,7 @@
  *
  * <p>An election starts with a pre-vote, which asks whether the vote would be given and binds
  * nobody. Guards against a member that was cut off and would depose a working leader with its
- * higher term when it comes back.
+ * higher term when it is reconnected.
  */
 final class Election {
     private static final long NO_LEADER = 0;
@@ -25,13 +25,13 @@
 
     private RaftNode.Role role = RaftNode.Role.FOLLOWER;
     private long leader = NO_LEADER;
-    private long leaderHeardAtTicks;
+    private long lastLeaderContactTicks;
     private long electionDueTicks;
     private final Set<Long> votesGranted = new HashSet<>();
 
     /**
      * A follower that knows of no leader. It may have promised a lease just before it crashed, so
-     * it waits as if it had heard from a leader now.
+     * it waits as if it had contact with a leader now.
      */
     Election(
             long id,
@@ -49,7 +49,7 @@
         this.log = log;
         this.durability = durability;
         this.outbox = outbox;
-        leaderHeardAtTicks = nowTicks;
+        lastLeaderContactTicks = nowTicks;
         restartTimer(nowTicks);
     }
 
@@ -66,17 +66,17 @@
         return isLeader() ? id : leader;
     }
 
-    /** Whether a follower has heard from its leader lately. */
-    boolean hearsLeader(long nowTicks) {
+    /** Whether a follower has had contact with its leader lately. */
+    boolean hasLeaderContact(long nowTicks) {
         return leader != NO_LEADER
-                && nowTicks < leaderHeardAtTicks + 2 * timing.electionTimeoutTicks();
+                && nowTicks < lastLeaderContactTicks + 2 * timing.electionTimeoutTicks();
     }
 
     boolean isElectionDue(long nowTicks) {
         return nowTicks >= electionDueTicks;
     }
 
-    /** Waits a whole election timeout, as one who has just heard that another leads or may lead. */
+    /** Waits a whole election timeout, as another member leads or may soon. */
     void restartTimer(long nowTicks) {
         long timeout = timing.electionTimeoutTicks();
         electionDueTicks = nowTicks + timeout + random.nextLong(timeout / 2);
@@ -93,12 +93,12 @@
         restartTimer(nowTicks);
     }
 
-    /** The leader of the current term was heard from; true if it was not known before. */
+    /** Records contact with the leader of the current term; true if it was not known before. */
     boolean recordLeader(long from, long nowTicks) {
         boolean isNew = leader != from;
         role = RaftNode.Role.FOLLOWER;
         leader = from;
-        leaderHeardAtTicks = nowTicks;
+        lastLeaderContactTicks = nowTicks;
         restartTimer(nowTicks);
         return isNew;
     }
@@ -107,7 +107,7 @@
      * Asks the other voters for their votes.
      *
      * @param preVote only asks whether they would give them
-     * @param leadershipTransfer the leader itself told this member to campaign
+     * @param leadershipTransfer the leader itself asked this member to campaign
      */
     void campaign(boolean preVote, boolean leadershipTransfer, long nowTicks) {
         role = preVote ? RaftNode.Role.PRE_CANDIDATE : RaftNode.Role.CANDIDATE;
@@ -156,13 +156,14 @@
 
     /**
      * Whether a request is left without an answer: its term would depose a leader that this member
-     * is, or has heard from.
+     * is, or is in contact with.
      */
     boolean ignores(Message.VoteRequest request, long nowTicks) {
         boolean honorsLeader =
                 !request.leadershipTransfer()
                         && (isLeader()
-                                || rules.honorsCurrentLeader(nowTicks, leaderHeardAtTicks, timing));
+                                || rules.honorsCurrentLeader(
+                                        nowTicks, lastLeaderContactTicks, timing));
         return request.term() > durability.term() && honorsLeader;
     }
 
--- a/src/main/java/rockshift/raft/FollowerProgress.java
+++ b/src/main/java/rockshift/raft/FollowerProgress.java
@@ -34,17 +34,17 @@
 
     private boolean probeSent;
     private SnapshotSender snapshotSender;
-    private long heardAtTicks;
+    private long lastContactTicks;
 
     /** The newest round that it answered, and when the newest answered round was begun. */
     private long answeredRound;
 
-    private long answeredRoundSentAtTicks = Long.MIN_VALUE;
+    private long answeredRoundStartTicks = Long.MIN_VALUE;
 
     FollowerProgress(long id, long nextIndex, long nowTicks) {
         this.id = id;
         this.nextIndex = nextIndex;
-        heardAtTicks = nowTicks;
+        lastContactTicks = nowTicks;
     }
 
     long id() {
@@ -65,8 +65,8 @@
         return nextIndex;
     }
 
-    long heardAtTicks() {
-        return heardAtTicks;
+    long lastContactTicks() {
+        return lastContactTicks;
     }
 
     long answeredRound() {
@@ -74,8 +74,8 @@
     }
 
     /** When the newest round that it answered was begun. */
-    long answeredRoundSentAtTicks() {
-        return answeredRoundSentAtTicks;
+    long answeredRoundStartTicks() {
+        return answeredRoundStartTicks;
     }
 
     /** The share by which its clock is proven to run apart from the leader's. */
@@ -88,11 +88,11 @@
         return snapshotSender;
     }
 
-    /** An answer to a round came. */
+    /** Records an answer to a round. */
     void recordResponse(long nowTicks, long round, long sentAtTicks, long followerClockTicks) {
-        heardAtTicks = nowTicks;
+        lastContactTicks = nowTicks;
         answeredRound = Math.max(answeredRound, round);
-        answeredRoundSentAtTicks = Math.max(answeredRoundSentAtTicks, sentAtTicks);
+        answeredRoundStartTicks = Math.max(answeredRoundStartTicks, sentAtTicks);
         clock.record(sentAtTicks, nowTicks, followerClockTicks);
     }
 
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Whether a rejection tells something new: it is no answer to what has been answered since, or
-     * to another probe than the current one.
+     * Whether a rejection is news: it does not answer what has been answered since, or to another
+     * probe than the current one.
      */
     boolean isRelevantRejection(long rejectedIndex) {
         return rejectedIndex > matchIndex
--- a/src/main/java/rockshift/raft/LeaderLease.java
+++ b/src/main/java/rockshift/raft/LeaderLease.java
@@ -37,7 +37,7 @@
     }
 
     /** Whether the lease holds that began when a round which a quorum has answered was begun. */
-    boolean holds(long nowTicks, long quorumSentAtTicks) {
-        return nowTicks < rules.leaseExpiry(quorumSentAtTicks, timing);
+    boolean holds(long nowTicks, long quorumRoundStartTicks) {
+        return nowTicks < rules.leaseExpiry(quorumRoundStartTicks, timing);
     }
 }
--- a/src/main/java/rockshift/raft/Leadership.java
+++ b/src/main/java/rockshift/raft/Leadership.java
@@ -93,9 +93,10 @@
 
     /** Whether a quorum has answered within an election timeout. */
     boolean hasQuorumContact(long nowTicks) {
-        long quorumHeardAtTicks =
-                replication.quorumValue(nowTicks, FollowerProgress::heardAtTicks, LONG_AGO_TICKS);
-        return nowTicks < quorumHeardAtTicks + timing.electionTimeoutTicks();
+        long quorumContactTicks =
+                replication.quorumValue(
+                        nowTicks, FollowerProgress::lastContactTicks, LONG_AGO_TICKS);
+        return nowTicks < quorumContactTicks + timing.electionTimeoutTicks();
     }
 
     /** Whether reads may be answered without asking a quorum. */
@@ -103,10 +104,10 @@
         if (!lease.isUsable(transfer.wasStartedInTerm()) || !knowsCommitIndex()) {
             return false;
         }
-        long quorumSentAtTicks =
+        long quorumRoundStartTicks =
                 replication.quorumValue(
-                        nowTicks, FollowerProgress::answeredRoundSentAtTicks, LONG_AGO_TICKS);
-        return lease.holds(nowTicks, quorumSentAtTicks);
+                        nowTicks, FollowerProgress::answeredRoundStartTicks, LONG_AGO_TICKS);
+        return lease.holds(nowTicks, quorumRoundStartTicks);
     }
 
     private boolean knowsCommitIndex() {
--- a/src/main/java/rockshift/raft/LeadershipTransfer.java
+++ b/src/main/java/rockshift/raft/LeadershipTransfer.java
@@ -1,6 +1,6 @@
 package rockshift.raft;
 
-/** A leadership transfer that is under way: to whom, and until when it is tried. */
+/** The leadership transfer in progress: its target and its deadline. */
 final class LeadershipTransfer {
     private static final long NOBODY = 0;
 
--- a/src/main/java/rockshift/raft/Log.java
+++ b/src/main/java/rockshift/raft/Log.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * The entries that a member holds in memory, above a base index up to which a snapshot stands for
+ * The entries that a member holds in memory, above a base index up to which a snapshot replaces
  * them. It knows nothing of what is durable or committed.
  */
 public final class Log {
@@ -13,13 +13,13 @@
     private long baseTerm;
     private long bytes;
 
-    /** An empty log above the last entry that a snapshot stands for. */
+    /** An empty log above the last entry that a snapshot includes. */
     public Log(long baseIndex, long baseTerm) {
         this.baseIndex = baseIndex;
         this.baseTerm = baseTerm;
     }
 
-    /** The last index that is no longer held; a snapshot stands for the entries up to it. */
+    /** The last index that is no longer in memory; a snapshot includes the entries up to it. */
     public long baseIndex() {
         return baseIndex;
     }
@@ -34,7 +34,7 @@
         return term(lastIndex());
     }
 
-    /** Bytes held in memory, roughly. */
+    /** Bytes of all entries in memory, roughly. */
     public long bytes() {
         return bytes;
     }
@@ -47,7 +47,7 @@
         return index < baseIndex || index > lastIndex() ? -1 : get(index).term();
     }
 
-    /** The entry at an index, which must be held. */
+    /** The entry at an index, which must be in memory. */
     public Entry get(long index) {
         return entries.get((int) (index - baseIndex - 1));
     }
--- a/src/main/java/rockshift/raft/MembershipHistory.java
+++ b/src/main/java/rockshift/raft/MembershipHistory.java
@@ -37,7 +37,7 @@
         byIndex.tailMap(index, true).clear();
     }
 
-    /** Forgets what held only below an index. */
+    /** Drops memberships that were in force only below an index. */
     void compact(long index) {
         long firstNeeded = byIndex.floorKey(index);
         byIndex.headMap(firstNeeded, false).clear();
--- a/src/main/java/rockshift/raft/Message.java
+++ b/src/main/java/rockshift/raft/Message.java
@@ -22,8 +22,8 @@
      * @param lastLogIndex the last entry of the candidate's log
      * @param lastLogTerm the term of that entry
      * @param preVote only asks whether the vote would be given, and binds nobody
-     * @param leadershipTransfer the leader itself handed over, so having heard from it is no reason
-     *     to refuse
+     * @param leadershipTransfer the leader itself handed over, so contact with it is no reason to
+     *     refuse
      */
     record VoteRequest(
             long from,
@@ -86,7 +86,7 @@
                     request, term, matchIndex, request.round(), request.sentAtTicks(), nowTicks);
         }
 
-        /** The log matches the leader's up to an index, as the chunk's snapshot stands for it. */
+        /** The log matches the leader's up to an index, which the chunk's snapshot includes. */
         static AppendResponse matched(
                 SnapshotChunk chunk, long term, long matchIndex, long nowTicks) {
             return matched(chunk, term, matchIndex, chunk.round(), chunk.sentAtTicks(), nowTicks);
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -7,7 +7,7 @@
 
 /**
  * One member's part in the Raft protocol. The host calls an input method for each thing that
- * happens, then {@link #poll} until that answers false; what is decided comes out through {@link
+ * happens, then {@link #poll} until that returns false; decisions are carried out through {@link
  * RaftOutput}. Inputs only update what is known.
  *
  * <p>This class passes each input to the class that owns its concern, and makes the transitions
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Where a member stands, for staff and for checks.
+     * The state of a member, for staff and for checks.
      *
      * @param leader the leader that it knows of, 0 if none
      * @param firstIndex the first entry that it still holds
@@ -158,10 +158,12 @@
      * answers, a follower by the leader's messages.
      */
     public boolean hasQuorumContact() {
-        return isLeader() ? leadership.hasQuorumContact(nowTicks) : election.hearsLeader(nowTicks);
+        return isLeader()
+                ? leadership.hasQuorumContact(nowTicks)
+                : election.hasLeaderContact(nowTicks);
     }
 
-    /** Where this member stands. */
+    /** The state of this member. */
     public Status status() {
         return new Status(
                 election.role(),
@@ -214,7 +216,7 @@
     }
 
     /**
-     * Whether the disk accepts writes. A member whose disk does not goes on serving, but neither
+     * Whether the disk accepts writes. A member whose disk does not continues to serve, but neither
      * leads nor campaigns.
      */
     public void diskStatusChanged(boolean works) {
@@ -270,7 +272,7 @@
         return isLeader() ? leadership.transferTo(target, nowTicks) : ProposalRejection.NOT_LEADER;
     }
 
-    /** A message came. */
+    /** A message arrived. */
     public void receive(Message message) {
         if (message.to() != id) {
             return;
--- a/src/main/java/rockshift/raft/RaftOutput.java
+++ b/src/main/java/rockshift/raft/RaftOutput.java
@@ -22,7 +22,7 @@
     /** Sends a message; it may be lost, delayed or doubled. */
     void send(Message message);
 
-    /** Applies a committed entry; each comes once in a process, in the order of the log. */
+    /** Applies a committed entry; each is applied once in a process, in the order of the log. */
     void apply(Entry entry);
 
     /** Replaces the applied state by a snapshot's. */
--- a/src/main/java/rockshift/raft/ReplicatedLog.java
+++ b/src/main/java/rockshift/raft/ReplicatedLog.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A member's log with what belongs to it: the snapshot that stands for its compacted part and the
+ * A member's log with what belongs to it: the snapshot that replaces its compacted part and the
  * memberships that its entries carry. Every change of the log goes through here, and is reported to
  * the {@link DurabilityTracker}, so that nothing is appended or truncated without being persisted.
  */
@@ -99,14 +99,14 @@
         durability.snapshotInstalled(received);
     }
 
-    /** Drops entries that a snapshot of this member's own state stands for. */
+    /** Drops entries that a snapshot of this member's own state includes. */
     void compact(Snapshot taken) {
         snapshot = taken;
         log.compact(Math.max(log.baseIndex(), taken.index() - RETAINED_ENTRIES));
         memberships.compact(Math.max(log.baseIndex(), 0));
     }
 
-    /** Bytes of the newest entries, by their share of all that are held. */
+    /** Bytes of the newest entries, by their share of all in memory. */
     long bytesOfNewest(long count) {
         return log.bytes() * count / Math.max(1, log.lastIndex() - log.baseIndex());
     }
--- a/src/main/java/rockshift/raft/Replication.java
+++ b/src/main/java/rockshift/raft/Replication.java
@@ -33,7 +33,7 @@
 
     private long roundStartTicks;
 
-    /** The lowest commit index of which followers have not been told. */
+    /** The lowest commit index that has not been announced to followers. */
     private long firstUnannouncedCommit;
 
     Replication(
@@ -131,8 +131,7 @@
     }
 
     /**
-     * Whether followers should hear at once of what was committed: nothing is on its way that would
-     * tell them later.
+     * Whether followers should be sent the commit index at once, as no later message will carry it.
      */
     boolean hasCommitToAnnounce() {
         return firstUnannouncedCommit <= commits.commitIndex()
@@ -246,7 +245,7 @@
 
     // ---- answers --------------------------------------------------------------------------------
 
-    /** A follower's log does not match where it was told: probes where it may. */
+    /** A follower's log differs from the leader's: probes for the last index where they match. */
     void handleRejection(FollowerProgress follower, Message.AppendResponse response) {
         if (follower.isRelevantRejection(response.rejectedIndex())) {
             long hint =
--- a/src/main/java/rockshift/raft/SafetyRules.java
+++ b/src/main/java/rockshift/raft/SafetyRules.java
@@ -51,22 +51,23 @@
     }
 
     /**
-     * A member that has heard from a leader, or has just started, votes for no other: it may have
-     * promised the leader a lease.
+     * A member in contact with a leader, or just started, votes for no other: it may have promised
+     * the leader a lease.
      */
-    protected boolean honorsCurrentLeader(long nowTicks, long leaderHeardAtTicks, Timing timing) {
-        return nowTicks < leaderHeardAtTicks + timing.electionTimeoutTicks();
+    protected boolean honorsCurrentLeader(
+            long nowTicks, long lastLeaderContactTicks, Timing timing) {
+        return nowTicks < lastLeaderContactTicks + timing.electionTimeoutTicks();
     }
 
     /** Until when no other member can be elected, if a quorum answered what was sent at a time. */
-    protected long leaseExpiry(long sentAtTicks, Timing timing) {
+    protected long leaseExpiry(long roundStartTicks, Timing timing) {
         double safeShare = 1 - timing.maxClockDriftRatio();
-        return sentAtTicks + (long) (timing.electionTimeoutTicks() * safeShare);
+        return roundStartTicks + (long) (timing.electionTimeoutTicks() * safeShare);
     }
 
     /**
-     * A leader that may have told another to campaign holds no lease: the target of a transfer does
-     * not wait for it to end.
+     * A leader that may have had another campaign holds no lease: the target of a transfer does not
+     * wait for it to end.
      */
     protected boolean mayHoldLease(boolean transferStartedInTerm) {
         return !transferStartedInTerm;
--- a/src/main/java/rockshift/raft/SnapshotReceiver.java
+++ b/src/main/java/rockshift/raft/SnapshotReceiver.java
@@ -6,7 +6,7 @@
 /**
  * Assembles the chunks of a snapshot that the leader sends, and installs it once it is whole and
  * its checksum is right. Chunks may come late, twice or from another snapshot; a chunk that does
- * not continue what is held is answered with how much is held, and the leader goes on from there.
+ * not continue what was received is answered with how much was, and the leader resumes from there.
  */
 final class SnapshotReceiver {
     /** Bytes of the largest snapshot that is accepted: a quarter of the smallest heap. */
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Whether this member's log already has all that the snapshot stands for. */
+    /** Whether this member's log already has all that the snapshot includes. */
     private boolean isCovered(Message.SnapshotChunk chunk) {
         boolean inLog =
                 chunk.snapshotIndex() <= log.lastIndex()
--- a/src/main/java/rockshift/raft/SnapshotSender.java
+++ b/src/main/java/rockshift/raft/SnapshotSender.java
@@ -2,9 +2,7 @@
 
 import java.util.Arrays;
 
-/**
- * A snapshot on its way to one follower, chunk by chunk; each is sent once the last is answered.
- */
+/** The transfer of a snapshot to one follower: each chunk is sent once the last was answered. */
 final class SnapshotSender {
     private static final int CHUNK_BYTES = 64 << 10;
     private static final long NEVER = Long.MIN_VALUE;
@@ -39,7 +37,7 @@
         return moved && receivedBytes < snapshot.data().length;
     }
 
-    /** The chunk that follows what the follower holds, on its way from now on. */
+    /** The chunk that follows what the follower has; it counts as sent now. */
     Message.SnapshotChunk nextChunk(
             long from, long to, long term, long round, long roundStartTicks, long nowTicks) {
         int end = Math.min(snapshot.data().length, receivedBytes + CHUNK_BYTES);
--- a/src/main/java/rockshift/raft/TermAndVote.java
+++ b/src/main/java/rockshift/raft/TermAndVote.java
@@ -7,6 +7,6 @@
  * @param votedFor the member that it voted for in that term, 0 if none
  */
 public record TermAndVote(long term, long votedFor) {
-    /** A member that has never heard of a term. */
+    /** The state of a blank member. */
     public static final TermAndVote NONE = new TermAndVote(0, 0);
 }
--- a/src/main/java/rockshift/storage/DurableLog.java
+++ b/src/main/java/rockshift/storage/DurableLog.java
@@ -65,10 +65,10 @@
         refuseGap(recovery, snapshot);
         List<Entry> entries = recovery.entries();
         if (!entries.isEmpty() && !recovery.joins(snapshot)) {
-            // The crash came after a snapshot from the leader was saved and before the record that
+            // A crash came after a snapshot from the leader was saved and before the record that
             // voids the entries it replaces.
             entries.clear();
-            save(durableTermAndVote, 0, List.of(), snapshot);
+            save(durableTermAndVote, List.of(), snapshot);
         }
         entries.removeIf(entry -> entry.index() <= snapshot.index());
         return new Recovered(
@@ -128,11 +128,9 @@
      * Makes one save durable, or fails and leaves what was durable as it was: the same save can be
      * tried again.
      *
-     * @param firstIndex where the entries begin; not stored, as each entry has its index
      * @param snapshot replaces all entries that are stored; null if there is none
      */
-    public void save(
-            TermAndVote termAndVote, long firstIndex, List<Entry> entries, Snapshot snapshot)
+    public void save(TermAndVote termAndVote, List<Entry> entries, Snapshot snapshot)
             throws IOException {
         segments.prepareWrite(durableTermAndVote);
         if (snapshot != null) {
--- a/src/main/java/rockshift/storage/SegmentFiles.java
+++ b/src/main/java/rockshift/storage/SegmentFiles.java
@@ -77,7 +77,7 @@
         boolean isLast = number == highestIndexes.lastKey();
         byte[] bytes = disk.read(name(number));
         if (isLast && bytes.length < SegmentHeader.BYTES) {
-            // The crash came while it was begun, so nothing in it was acknowledged.
+            // A crash interrupted its creation, so nothing in it was acknowledged.
             disk.delete(name(number));
             highestIndexes.remove(number);
         } else {
--- a/src/main/java/rockshift/testkit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -389,7 +389,7 @@
             return;
         }
         try {
-            log.save(vote, from, entries, snapshot);
+            log.save(vote, entries, snapshot);
             handle(
                     () -> {
                         engine.disk(true);
