--- a/src/main/java/rockshift/model/ClassSet.java
+++ b/src/main/java/rockshift/model/ClassSet.java
@@ -5,9 +5,9 @@
 import java.util.stream.IntStream;
 
 /**
- * An immutable set of request classes, each by its number in the terms. There may be any number of
- * classes. The set of all classes is a value of its own: it stays all of them however many there
- * are.
+ * An immutable set of request classes, each by its position in the settings, from 0. There may be
+ * any number of classes. The set of all classes is a value of its own: it stays all of them however
+ * many there are.
  */
 public final class ClassSet {
     private static final ClassSet ALL = new ClassSet(null);
@@ -81,7 +81,7 @@
      */
     public IntStream numbers() {
         if (numbers == null) {
-            throw new IllegalStateException("all classes are not told by their numbers");
+            throw new IllegalStateException("the set of all classes has no list of numbers");
         }
         return numbers.stream();
     }
