--- /dev/null
+++ b/src/test/java/rockshift/planner/SlowStartScenarioTest.java
@@ -0,0 +1,185 @@
+package rockshift.planner;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static rockshift.planner.FakeController.SEARCH;
+import static rockshift.planner.FakeController.SECOND;
+import static rockshift.planner.ReplicaReport.allFailing;
+import static rockshift.planner.ReplicaReport.allHealthy;
+import static rockshift.planner.ReplicaReport.healthy;
+import static rockshift.planner.ReplicaReport.withoutUtilization;
+import static rockshift.planner.TestEndpoints.gone;
+import static rockshift.planner.TestEndpoints.startedAt;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+import rockshift.settings.AdmissionMode;
+
+/** How much of the traffic a replica gets while it is cold after its start. */
+class SlowStartScenarioTest {
+    private static final Set<Long> FIRST_FORTY =
+            LongStream.rangeClosed(1, 40).boxed().collect(Collectors.toSet());
+
+    private static void restartFirstForty(FakeController controller) {
+        controller.changeEndpoints(
+                FIRST_FORTY.stream()
+                        .map(replica -> startedAt(replica, controller.nowTicks()))
+                        .toList());
+    }
+
+    @Test
+    void aRestartedReplicaIsColdAtOnceAndWarmsUpEvenly() {
+        FakeController controller = FakeController.create().start(4).runFor(2);
+        controller.changeEndpoints(startedAt(2, controller.nowTicks()));
+        controller.runTurn();
+        assertThat(controller.weightFraction(0, 2)).isLessThan(0.08);
+        controller.runFor(5);
+        assertThat(controller.weightFraction(0, 2)).isBetween(0.12, 0.2);
+        controller.runFor(7);
+        assertThat(controller.weightFraction(0, 2)).isGreaterThan(0.22);
+    }
+
+    /**
+     * Four times as many requests came as the fleet could answer, and a cold replica got its full
+     * part of them.
+     */
+    @Test
+    void aColdReplicaGetsLessWhileTheFleetIsOverloaded() {
+        FakeController controller =
+                FakeController.with(settings -> settings.admissionMode(AdmissionMode.NONE))
+                        .start(4);
+        controller.runSeconds(20, allFailing(4, 80, 60, 1.0));
+        controller.changeEndpoints(startedAt(2, controller.nowTicks()));
+        controller.runTurn();
+        double sent = 320 * (controller.weightFraction(0, 2) + controller.weightFraction(1, 2)) / 2;
+        assertThat(sent).isLessThan(3 * 0.2 * 20);
+    }
+
+    /**
+     * After failures a proxy with a very high request rate left all entries but a cold one out, and
+     * its requests overloaded that replica.
+     */
+    @Test
+    void aProxyWithAHighRateGetsNoColdEntry() {
+        FakeController controller = FakeController.largeFleet().runFor(3);
+        for (int second = 0; second < 4; second++) {
+            controller.reportUsage(0, SEARCH, 400, SECOND);
+            controller.runFor(1);
+        }
+        long cold = controller.tableOf(0).firstKey();
+        controller.changeEndpoints(startedAt(cold, controller.nowTicks()));
+        assertThat(controller.runTurn().tableOf(0)).doesNotContainKey(cold);
+        assertThat(controller.runFor(12).tableOf(0)).containsKey(cold);
+    }
+
+    /** The rate of one proxy was soon more than all cold replicas of its table could answer. */
+    @Test
+    void aProxyThatCouldOverloadAllColdEntriesOfItsTableGetsNone() {
+        FakeController controller = FakeController.largeFleet().runFor(3);
+        restartFirstForty(controller);
+        assertThat(controller.runFor(1).tableOf(0).keySet())
+                .as("at its usual rate")
+                .containsAnyElementsOf(FIRST_FORTY);
+        for (int second = 0; second < 4; second++) {
+            controller.reportUsage(0, SEARCH, 60, SECOND);
+            controller.runFor(1);
+        }
+        assertThat(controller.tableOf(0).keySet()).doesNotContainAnyElementsOf(FIRST_FORTY);
+    }
+
+    /**
+     * A proxy's rate grew from 1 to 27 requests a second between two reports. Once one proxy did
+     * so, every table is kept from what another like it could do to cold replicas.
+     */
+    @Test
+    void noSubsetHasColdEntriesThatAProxyLikeTheBusiestCouldOverload() {
+        FakeController controller = FakeController.largeFleet().runFor(3);
+        for (int second = 0; second < 4; second++) {
+            controller.reportUsage(0, SEARCH, 240, SECOND);
+            controller.runFor(1);
+        }
+        controller.disconnectProxy(0);
+        restartFirstForty(controller);
+        controller.runFor(2);
+        assertThat(controller.tableOf(1).keySet())
+                .isNotEmpty()
+                .doesNotContainAnyElementsOf(FIRST_FORTY);
+    }
+
+    /** A cold replica's part of a table is bounded, but not where no other replica is left. */
+    @Test
+    void aColdReplicaThatIsLeftAloneKeepsItsEntry() {
+        FakeController controller = FakeController.create().start(3);
+        controller.runSeconds(5, allHealthy(3, 20, 0.5));
+        controller.changeEndpoints(startedAt(2, controller.nowTicks()), gone(1), gone(3));
+        for (int second = 0; second < 5; second++) {
+            controller.runSecond(healthy(2, 20, 0.9));
+            assertThat(controller.table(0))
+                    .containsOnlyKeys(2L)
+                    .allSatisfy((replica, weight) -> assertThat(weight).isPositive());
+        }
+    }
+
+    /**
+     * A zone came back after a failure, and its proxies sent more requests than they had reported
+     * until then.
+     */
+    @Test
+    void noTableReliesOnAColdReplicaMoreThanTheFleetDoes() {
+        FakeController controller =
+                FakeController.with(settings -> settings.zoneCrossingPrice(0.06)).start(8);
+        for (int second = 0; second < 30; second++) {
+            for (long replica = 1; replica <= 8; replica++) {
+                controller.reportReplica("east", healthy(replica, 10, 0.5), SECOND);
+            }
+            controller.reportUsage(1, SEARCH, 78, SECOND);
+            controller.reportUsage(0, SEARCH, 2, SECOND);
+            controller.runFor(1);
+        }
+        controller.changeEndpoints(startedAt(1, controller.nowTicks()));
+        controller.runFor(2);
+        assertThat(controller.weightFraction(0, 1)).isLessThan(0.08);
+    }
+
+    /**
+     * Half of the proxies came back after their zone had been cut off, and cold replicas were
+     * overloaded before the first report told of their requests.
+     */
+    @Test
+    void proxiesThatJustJoinedCountByTheirBaselineRate() {
+        FakeController controller =
+                FakeController.with(settings -> settings.admissionMode(AdmissionMode.NONE))
+                        .start(4);
+        controller.runSeconds(20, allHealthy(4, 4, 0.5));
+        controller.changeEndpoints(startedAt(2, controller.nowTicks()));
+        double before = controller.runTurn().weightFraction(0, 2);
+        controller.joinProxy(5, "west", 400);
+        controller.runFor(1);
+        assertThat(controller.weightFraction(0, 2)).isLessThan(before / 2);
+    }
+
+    /**
+     * After failures proxies left the one good replica out for a moment, and a cold one got all
+     * that the others could not take.
+     */
+    @Test
+    void aColdReplicaDoesNotReplaceTheBestOneWhereProxiesLeaveItOut() {
+        FakeController controller = FakeController.create().start(12);
+        for (int second = 0; second < 6; second++) {
+            ReplicaReport[] reports = new ReplicaReport[12];
+            Arrays.setAll(
+                    reports,
+                    i -> i < 7 ? healthy(i + 1, 10, 0.5) : withoutUtilization(i + 1, 10, 10));
+            reports[0] = healthy(1, 300, 0.5);
+            controller.runSecond(reports);
+        }
+        controller.changeEndpoints(List.of(startedAt(3, controller.nowTicks())));
+        controller.runFor(1);
+        double withoutTheBest =
+                controller.weightFraction(0, 3) / (1 - controller.weightFraction(0, 1));
+        assertThat(withoutTheBest).isLessThan(0.1);
+    }
+}
