--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -37,7 +37,7 @@
                     RelayProcess relay =
                             new RelayProcess(settings, reactor, new SplittableRandom())) {
                 CountDownLatch stopped = new CountDownLatch(1);
-                signals.tell(listener(settings.name(), relay, stopped));
+                signals.setListener(listener(settings.name(), relay, stopped));
                 relay.start();
                 stopped.await();
             }
--- a/src/main/java/rockshift/distribution/wire/DistributionConnection.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionConnection.java
@@ -46,7 +46,7 @@
     @Override
     protected void take(Frames.Frame frame) throws IOException {
         if (frame.kind() != Frames.WATCH) {
-            throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
+            throw new Frames.InvalidFrameException("unexpected", "a frame of kind " + frame.kind());
         }
         handler.received(this, frame.payload());
     }
