--- a/src/main/java/rockshift/settings/SettingsParser.java
+++ b/src/main/java/rockshift/settings/SettingsParser.java
@@ -12,6 +12,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
+import rockshift.model.Ticks;
 
 /**
  * Builds {@link PlannerSettings} from the names and units that the simulator's wire and the
@@ -31,7 +32,6 @@
     private static final String CLASSES_IN_ZONE = "domain.class_own_zone";
     private static final String EXPECTED_PROXIES = "domain.proxy_count";
     private static final String MICROS_SUFFIX = "_us";
-    private static final int MICROS_PER_TICK = 100;
 
     private static final Map<String, BiConsumer<PlannerSettings.Builder, Value>> SETTERS =
             Map.ofEntries(
@@ -254,7 +254,7 @@
 
         /** A time in microseconds, rounded down to whole ticks. */
         long ticks() {
-            return (long) (parse("a time in microseconds") / MICROS_PER_TICK);
+            return (long) (parse("a time in microseconds") / Ticks.MICROS_PER_TICK);
         }
 
         private double parse(String expected) {
