--- a/src/main/java/rockshift/capacity/ControllerInRegion.java
+++ b/src/main/java/rockshift/capacity/ControllerInRegion.java
@@ -9,9 +9,9 @@
 import java.util.regex.Pattern;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Scope;
-import rockshift.testkit.DiscoveryStandIn;
 import rockshift.testkit.LoggedProcess;
 import rockshift.testkit.ProgramCommand;
+import rockshift.testkit.StaticDiscoveryServer;
 
 /**
  * A real governor as a process of its own that subscribes at a region's relays for everything; its
@@ -25,8 +25,8 @@
 
     private final String name;
     private final ScaleChecker checker;
-    private final DiscoveryStandIn discovery =
-            new DiscoveryStandIn(SHAPE.replicas(), SHAPE.zoneNames());
+    private final StaticDiscoveryServer discovery =
+            new StaticDiscoveryServer(SHAPE.replicas(), SHAPE.zoneNames());
     private final LoggedProcess process;
 
     ControllerInRegion(
--- a/src/main/java/rockshift/capacity/ControllerRun.java
+++ b/src/main/java/rockshift/capacity/ControllerRun.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import rockshift.testkit.DiscoveryStandIn;
 import rockshift.testkit.LoggedProcess;
 import rockshift.testkit.ProcessUsage;
 import rockshift.testkit.ProgramCommand;
+import rockshift.testkit.StaticDiscoveryServer;
 
 /**
  * One real governor as a process of its own, with a fleet of some shape before it, watched for a
@@ -40,7 +40,7 @@
     private final FleetShape shape;
     private final Path folder;
     private final boolean watchHeap;
-    private final DiscoveryStandIn discovery;
+    private final StaticDiscoveryServer discovery;
     private final LoggedProcess governor;
     private final Thread atEnd;
 
@@ -48,7 +48,7 @@
         this.shape = shape;
         this.folder = folder;
         this.watchHeap = watchHeap;
-        discovery = new DiscoveryStandIn(shape.replicas(), shape.zoneNames());
+        discovery = new StaticDiscoveryServer(shape.replicas(), shape.zoneNames());
         Path file =
                 Files.writeString(
                         folder.resolve("governor.json"),
@@ -85,7 +85,9 @@
 
     /** What was counted at one moment. */
     private record Counts(
-            ProcessUsage usage, FleetStandIn.Traffic traffic, DiscoveryStandIn.Traffic asked) {}
+            ProcessUsage usage,
+            FleetStandIn.Traffic traffic,
+            StaticDiscoveryServer.Traffic asked) {}
 
     private ControllerSample measure(int run, Times times)
             throws IOException, InterruptedException {
--- a/src/main/java/rockshift/capacity/FleetStandIn.java
+++ b/src/main/java/rockshift/capacity/FleetStandIn.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import rockshift.server.RespCodec;
-import rockshift.testkit.DiscoveryStandIn;
+import rockshift.testkit.StaticDiscoveryServer;
 
 /**
  * The proxies and collectors of one governor, on one thread: each proxy joins, answers marks and
@@ -227,7 +227,7 @@
                             Locale.ROOT,
                             "heard az %s host %s n %d bad 0 avg 150.0 window %d report util:%.2f",
                             collector.zone,
-                            DiscoveryStandIn.replica(i),
+                            StaticDiscoveryServer.replica(i),
                             varied(TRIES),
                             REPORT_MILLIS,
                             0.5 * varied(100) / 100));
--- a/src/main/java/rockshift/capacity/Region.java
+++ b/src/main/java/rockshift/capacity/Region.java
@@ -32,7 +32,7 @@
         this.folder = folder;
         for (int port : memberPorts) {
             FaultyLink link = new FaultyLink(seed + port);
-            link.to(port);
+            link.connectTo(port);
             links.add(link);
         }
         for (int i = 0; i < RELAYS; i++) {
@@ -84,7 +84,7 @@
 
     /** Cuts the region off from all members, both ways and silently, or heals it. */
     void cut(boolean now) {
-        links.forEach(link -> link.cut(now));
+        links.forEach(link -> link.setPartitioned(now));
     }
 
     /** The relays, another one first for every other governor. */
--- a/src/main/java/rockshift/capacity/ScaleCluster.java
+++ b/src/main/java/rockshift/capacity/ScaleCluster.java
@@ -84,7 +84,7 @@
     List<String> fronts() {
         List<String> fronts = new ArrayList<>();
         for (int i = 0; i < Scenario.MEMBERS; i++) {
-            fronts.add(members.front(i));
+            fronts.add(members.clientAddress(i));
         }
         return fronts;
     }
--- a/src/main/java/rockshift/capacity/ScaleRun.java
+++ b/src/main/java/rockshift/capacity/ScaleRun.java
@@ -236,7 +236,7 @@
     private void sampleMembers() throws IOException {
         double most = 0;
         for (int i = 0; i < Scenario.MEMBERS; i++) {
-            if (cluster.members().runs(i)) {
+            if (cluster.members().isRunning(i)) {
                 ProcessUsage now = ProcessUsage.of(cluster.members().pid(i));
                 ProcessUsage before = lastUsage.put(cluster.members().pid(i), now);
                 most = Math.max(most, before == null ? 0 : now.coreShareSince(before));
--- a/src/main/java/rockshift/cli/MeasureCommands.java
+++ b/src/main/java/rockshift/cli/MeasureCommands.java
@@ -12,9 +12,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import rockshift.testkit.Charts;
-import rockshift.testkit.ClusterBench;
+import rockshift.testkit.ClusterBenchmark;
 import rockshift.testkit.FaultTrial;
+import rockshift.testkit.MeasurementCharts;
 
 /** Commands that start members of their own to try or measure them, on loopback. */
 final class MeasureCommands {
@@ -62,7 +62,7 @@
                                     System.err::println)
                             .run();
             PrintWriter out = spec.commandLine().getOut();
-            outcome.troubles().stream().limit(50).forEach(out::println);
+            outcome.problems().stream().limit(50).forEach(out::println);
             if (kept != null) {
                 Files.createDirectories(kept);
                 Map<String, Double> figures = new LinkedHashMap<>();
@@ -72,22 +72,22 @@
                 figures.put("faults", (double) outcome.faults());
                 figures.put("applied", (double) outcome.applied());
                 figures.put("lost", (double) outcome.lost());
-                figures.put("twice", (double) outcome.twice());
+                figures.put("twice", (double) outcome.duplicated());
                 figures.put("out of order", (double) outcome.disordered());
-                figures.put("minority orders", (double) outcome.minority());
+                figures.put("minority orders", (double) outcome.minorityCommands());
                 for (double p : new double[] {50, 90, 99, 99.9, 100}) {
                     figures.put(
                             "agreed in ms p" + p,
-                            outcome.agreeing().getValueAtPercentile(p) / 1_000.0);
+                            outcome.commitLatency().getValueAtPercentile(p) / 1_000.0);
                 }
                 table(kept.resolve("trial.csv"), figures);
-                Charts.tail(
+                MeasurementCharts.drawLatencyTail(
                         kept.resolve("trial.png"),
                         "Time until a change was agreed, under faults",
-                        outcome.agreeing());
+                        outcome.commitLatency());
             }
-            out.println(outcome.line());
-            return outcome.held() ? Commands.SUCCESS : Commands.FAILURE;
+            out.println(outcome.summary());
+            return outcome.passed() ? Commands.SUCCESS : Commands.FAILURE;
         }
     }
 
@@ -127,14 +127,14 @@
         public Integer call() throws Exception {
             if (memory > 0) {
                 Map<String, Double> held = new LinkedHashMap<>();
-                new ClusterBench(Files.createTempDirectory("rockshift-bench"))
-                        .memory(memory)
+                new ClusterBenchmark(Files.createTempDirectory("rockshift-bench"))
+                        .measureMemory(memory)
                         .forEach((changes, mb) -> held.put(changes + " changes, MB", mb));
                 return tell(
                         held, "memory", "Memory of a governor that agrees, heap of 64 MB", "MB");
             }
             Map<String, Double> figures =
-                    new ClusterBench(Files.createTempDirectory("rockshift-bench"))
+                    new ClusterBenchmark(Files.createTempDirectory("rockshift-bench"))
                             .run(changes, kills);
             return tell(figures, "bench", "Agreement beside what bounds it", "ratio");
         }
@@ -152,7 +152,7 @@
                 table(kept.resolve(name + ".csv"), figures);
                 Map<String, Double> drawn = new LinkedHashMap<>(figures);
                 drawn.keySet().removeIf(what -> unit.equals("ratio") && !what.contains(" / "));
-                Charts.bars(kept.resolve(name + ".png"), title, unit, drawn);
+                MeasurementCharts.drawBars(kept.resolve(name + ".png"), title, unit, drawn);
             }
             return Commands.SUCCESS;
         }
--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -27,7 +27,7 @@
 import rockshift.capacity.ScaleRun;
 import rockshift.capacity.Scenario;
 import rockshift.capacity.SlopeFit;
-import rockshift.testkit.Charts;
+import rockshift.testkit.MeasurementCharts;
 
 /** How costs grow with size, on loopback. */
 @Command(
@@ -224,7 +224,7 @@
                                                     + shape.proxies()
                                                     + " proxies",
                                             100 * spread.median()));
-            Charts.bars(
+            MeasurementCharts.drawBars(
                     kept.resolve("governor-" + size.toString().replace(' ', '-') + ".png"),
                     "One governor: median processor time by " + size,
                     "% of a core",
@@ -390,7 +390,7 @@
                     "governors,changes,seed,change_rate,kill_rate,cut_seconds,void,figure,value\n",
                     rows.toString());
             if (outcome.verdict().everywhere().getTotalCount() > 0) {
-                Charts.tail(
+                MeasurementCharts.drawLatencyTail(
                         kept.resolve("run-" + governors + ".png"),
                         "Time until a change was in force everywhere, " + governors + " governors",
                         inMicros(outcome.verdict().everywhere()));
@@ -435,7 +435,7 @@
                     .forEach(worked -> factors.put(worked.what(), worked.factor()));
             table(all.stream().filter(Capacity.Worked::budgeted).toList());
             table(all.stream().filter(worked -> !worked.budgeted()).toList());
-            Charts.factors(
+            MeasurementCharts.drawBudgetFactors(
                     folder.resolve("budgets.png"),
                     "Times the budget at the target: below 1 holds",
                     factors);
--- /dev/null
+++ b/src/main/java/rockshift/testkit/ChangeProposer.java
@@ -0,0 +1,83 @@
+package rockshift.testkit;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import rockshift.cluster.Change;
+import rockshift.cluster.Client;
+
+/**
+ * A client of a {@link FaultTrial} that proposes one change after the other, each with a reason of
+ * its own by which it is found again. Runs on the thread that calls {@link #run}.
+ */
+final class ChangeProposer {
+    private static final int CALL_TIMEOUT_MILLIS = 1_500;
+    private static final long CHANGE_TIMEOUT_MILLIS = 60_000;
+    private static final int MAX_PAUSE_MILLIS = 40;
+
+    private final int number;
+    private final List<String> addresses;
+    private final SplittableRandom random;
+    private final TrialRecord record;
+
+    /** Says to the proposing thread that the trial is over. */
+    private volatile boolean stopped;
+
+    ChangeProposer(
+            int number, List<String> addresses, SplittableRandom random, TrialRecord record) {
+        this.number = number;
+        this.addresses = addresses;
+        this.random = random;
+        this.record = record;
+    }
+
+    void stop() {
+        stopped = true;
+    }
+
+    /** Proposes until it is stopped. */
+    void run() {
+        try (Client client = new Client(addresses, random, CALL_TIMEOUT_MILLIS)) {
+            for (int serial = 0; !stopped; serial++) {
+                propose(client, serial);
+                TimeUnit.MILLISECONDS.sleep(random.nextInt(MAX_PAUSE_MILLIS));
+            }
+        } catch (InterruptedException ended) {
+            record.problem("client " + number + ": " + ended);
+            Thread.currentThread().interrupt();
+        } catch (IOException ended) {
+            record.problem("client " + number + ": " + ended);
+        }
+    }
+
+    private void propose(Client client, int serial) throws InterruptedException {
+        String reason = "op-" + number + "-" + serial;
+        Change change = change(serial, reason);
+        long startedNanos = System.nanoTime();
+        long deadlineMillis = TimeUnit.NANOSECONDS.toMillis(startedNanos) + CHANGE_TIMEOUT_MILLIS;
+        try {
+            if (client.change(change, true, deadlineMillis).path("answer").has("version")) {
+                record.acknowledged(reason);
+            }
+            record.answeredAfter(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNanos));
+        } catch (IOException unknown) {
+            record.problem(reason + " not answered: " + unknown.getMessage());
+        }
+    }
+
+    /** A setting, a hold and the end of that hold in turn. */
+    private Change change(int serial, String reason) {
+        return switch (serial % 3) {
+            case 0 ->
+                    new Change(
+                            Change.Kind.TERM,
+                            "price.crossing",
+                            0,
+                            random.nextInt(100) / 10.0,
+                            reason);
+            case 1 -> new Change(Change.Kind.HOLD, "s-" + number, 0, 0, reason);
+            default -> new Change(Change.Kind.BACK, "s-" + number, 0, 0, reason);
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/testkit/ClusterBenchmark.java
@@ -0,0 +1,412 @@
+package rockshift.testkit;
+
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.concurrent.locks.LockSupport;
+import org.HdrHistogram.Histogram;
+import rockshift.cluster.Change;
+import rockshift.cluster.Client;
+import rockshift.cluster.ClusterMember;
+import rockshift.cluster.ClusterSettings;
+import rockshift.cluster.Engine;
+import rockshift.cluster.LocalController;
+import rockshift.raft.Entry;
+import rockshift.raft.TermAndVote;
+import rockshift.raft.Timing;
+import rockshift.storage.DurableLog;
+import rockshift.storage.FileDisk;
+
+/**
+ * What agreement costs on this machine, each figure beside what bounds it in the same run: a change
+ * beside one sync and one round trip, many changes beside the same log written without agreement,
+ * an election beside its time-out. Used by one thread.
+ */
+public final class ClusterBenchmark {
+    private static final long ELECTION_TIMEOUT_MILLIS = 300;
+    private static final int BODY_BYTES = 120;
+    private static final int MEMBERS = 3;
+    private static final int CONCURRENT_CLIENTS = 64;
+    private static final int MEMORY_CLIENTS = 32;
+    private static final int MEMORY_SAMPLES = 10;
+    private static final long CHANGE_TIMEOUT_MILLIS = 30_000;
+    private static final String SETTING = "price.crossing";
+
+    private final Path folder;
+    private final Map<String, Double> figures = new LinkedHashMap<>();
+    private final ClusterMember[] members = new ClusterMember[MEMBERS];
+
+    /** Free ports, which the members take again at each start. */
+    private final int[] ports = new int[MEMBERS];
+
+    /**
+     * A benchmark that has not begun.
+     *
+     * @param folder where logs and members keep their files; on the disk that is measured
+     */
+    public ClusterBenchmark(Path folder) {
+        this.folder = folder;
+    }
+
+    /** A controller that does nothing with what is agreed. */
+    private static final class IdleController implements LocalController {
+        @Override
+        public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {}
+
+        @Override
+        public void reach(Reach reach) {}
+
+        @Override
+        public String objection(Change change, Map<String, Change> out) {
+            return null;
+        }
+
+        @Override
+        public long started(String replica) {
+            return 0;
+        }
+
+        @Override
+        public String zone(String replica) {
+            return "";
+        }
+    }
+
+    /** All figures by name, in their order. */
+    public Map<String, Double> run(int changes, int kills)
+            throws IOException, InterruptedException {
+        measureSync(changes);
+        measureRoundTrip(changes);
+        measurePlainLog();
+        measureRecovery();
+        for (int i = 0; i < MEMBERS; i++) {
+            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                ports[i] = free.getLocalPort();
+            }
+        }
+        for (int i = 0; i < MEMBERS; i++) {
+            start(i);
+        }
+        measureSequentialChanges(changes);
+        measureConcurrentChanges();
+        measureFailover(kills);
+        for (ClusterMember member : members) {
+            member.close();
+        }
+        putRatio(
+                "change / (sync + round trip)",
+                "change, median us",
+                figures.get("sync, median us") + figures.get("round trip, median us"));
+        putRatio(
+                "agreed / plain log",
+                "agreed changes a second",
+                figures.get("plain log, entries a second"));
+        putRatio(
+                "leaderless p99 / election",
+                "leaderless, p99 ms",
+                (double) ELECTION_TIMEOUT_MILLIS);
+        return figures;
+    }
+
+    private void putRatio(String name, String of, double to) {
+        figures.put(name, figures.get(of) / to);
+    }
+
+    private void putPercentiles(String name, Histogram histogram, double nanosPerUnit) {
+        figures.put(
+                name.replace(",", ", median"), histogram.getValueAtPercentile(50) / nanosPerUnit);
+        figures.put(name.replace(",", ", p99"), histogram.getValueAtPercentile(99) / nanosPerUnit);
+    }
+
+    private void measureSync(int times) throws IOException {
+        Histogram histogram = new Histogram(3);
+        try (FileDisk disk = new FileDisk(folder.resolve("sync"))) {
+            for (int i = 0; i < times; i++) {
+                long startedNanos = System.nanoTime();
+                disk.append("file", new byte[BODY_BYTES + 60]);
+                disk.sync("file");
+                histogram.recordValue(System.nanoTime() - startedNanos);
+            }
+        }
+        putPercentiles("sync, us", histogram, 1_000);
+    }
+
+    private void measureRoundTrip(int times) throws IOException {
+        Histogram histogram = new Histogram(3);
+        try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket near = new Socket()) {
+            near.connect(
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), listener.getLocalPort()));
+            Socket far = listener.accept();
+            near.setTcpNoDelay(true);
+            far.setTcpNoDelay(true);
+            Thread echo = new Thread(() -> echoFrames(far), "echo");
+            echo.setDaemon(true);
+            echo.start();
+            DataInputStream in = new DataInputStream(near.getInputStream());
+            byte[] frame = new byte[BODY_BYTES];
+            for (int i = 0; i < times; i++) {
+                long startedNanos = System.nanoTime();
+                near.getOutputStream().write(frame);
+                in.readFully(frame);
+                histogram.recordValue(System.nanoTime() - startedNanos);
+            }
+        }
+        putPercentiles("round trip, us", histogram, 1_000);
+    }
+
+    private static void echoFrames(Socket socket) {
+        try (socket) {
+            byte[] frame = new byte[BODY_BYTES];
+            DataInputStream in = new DataInputStream(socket.getInputStream());
+            while (true) {
+                in.readFully(frame);
+                socket.getOutputStream().write(frame);
+            }
+        } catch (IOException over) {
+            // The measurement is done.
+        }
+    }
+
+    private static List<Entry> entries(long from, int count) {
+        List<Entry> all = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            all.add(
+                    new Entry(
+                            from + i,
+                            1,
+                            Entry.Kind.CHANGE,
+                            7,
+                            from + i,
+                            new byte[BODY_BYTES],
+                            null));
+        }
+        return all;
+    }
+
+    private void measurePlainLog() throws IOException {
+        try (FileDisk disk = new FileDisk(folder.resolve("plain"))) {
+            DurableLog log = new DurableLog(disk, line -> {});
+            log.open(1);
+            long startedNanos = System.nanoTime();
+            for (int batch = 0; batch < 400; batch++) {
+                log.save(TermAndVote.NONE, 1 + batch * 64L, entries(1 + batch * 64L, 64), null);
+            }
+            figures.put(
+                    "plain log, entries a second",
+                    400 * 64 / ((System.nanoTime() - startedNanos) / 1e9));
+        }
+    }
+
+    private void measureRecovery() throws IOException {
+        try (FileDisk disk = new FileDisk(folder.resolve("long"))) {
+            DurableLog log = new DurableLog(disk, line -> {});
+            log.open(1);
+            for (int batch = 0; batch < 100; batch++) {
+                log.save(
+                        TermAndVote.NONE,
+                        1 + batch * 1_000L,
+                        entries(1 + batch * 1_000L, 1_000),
+                        null);
+            }
+            long startedNanos = System.nanoTime();
+            int found = new DurableLog(disk, line -> {}).open(1).entries().size();
+            figures.put(
+                    "recovery of " + found + " entries, ms",
+                    (System.nanoTime() - startedNanos) / 1e6);
+        }
+    }
+
+    private void start(int member) throws IOException, InterruptedException {
+        Map<String, String> founders = new LinkedHashMap<>();
+        for (int other = 0; other < MEMBERS; other++) {
+            founders.put("n" + other, address(other));
+        }
+        members[member] =
+                new ClusterMember(
+                        new ClusterSettings(
+                                "n" + member,
+                                new InetSocketAddress("127.0.0.1", ports[member]),
+                                address(member),
+                                folder.resolve("member" + member),
+                                founders,
+                                Map.of(),
+                                new Timing(
+                                        ELECTION_TIMEOUT_MILLIS * 10,
+                                        ELECTION_TIMEOUT_MILLIS * 2,
+                                        0.05,
+                                        true,
+                                        512),
+                                new Engine.Compaction(10_000, 4 << 20),
+                                ClusterSettings.Minority.WITHDRAW),
+                        new IdleController());
+        members[member].start();
+    }
+
+    private String address(int member) {
+        return "127.0.0.1:" + ports[member];
+    }
+
+    private Client client(long seed) {
+        List<String> addresses = new ArrayList<>();
+        for (int i = 0; i < ports.length; i++) {
+            addresses.add(address(i));
+        }
+        return new Client(addresses, new SplittableRandom(seed), 1_000);
+    }
+
+    private static long deadlineMillis() {
+        return System.nanoTime() / 1_000_000 + CHANGE_TIMEOUT_MILLIS;
+    }
+
+    private static Change change(int number) {
+        return new Change(Change.Kind.TERM, SETTING, 0, number % 10, "measured change " + number);
+    }
+
+    private void measureSequentialChanges(int changes) throws IOException, InterruptedException {
+        Histogram histogram = new Histogram(3);
+        try (Client client = client(1)) {
+            for (int i = -2 * changes; i < changes; i++) {
+                long startedNanos = System.nanoTime();
+                client.change(change(Math.abs(i)), true, deadlineMillis());
+                if (i >= 0) {
+                    histogram.recordValue(System.nanoTime() - startedNanos);
+                }
+            }
+        }
+        putPercentiles("change, us", histogram, 1_000);
+    }
+
+    private void measureConcurrentChanges() throws InterruptedException {
+        AtomicLong done = new AtomicLong();
+        long endNanos = System.nanoTime() + 5_000_000_000L;
+        List<Thread> threads = new ArrayList<>();
+        for (int number = 0; number < CONCURRENT_CLIENTS; number++) {
+            int seed = 100 + number;
+            threads.add(new Thread(() -> changeUntil(endNanos, seed, done), "client " + number));
+        }
+        threads.forEach(Thread::start);
+        for (Thread thread : threads) {
+            thread.join();
+        }
+        figures.put("agreed changes a second", done.get() / 5.0);
+    }
+
+    private void changeUntil(long endNanos, int seed, AtomicLong done) {
+        try (Client client = client(seed)) {
+            for (int number = 0; System.nanoTime() < endNanos; number++) {
+                client.change(change(number), true, deadlineMillis());
+                done.incrementAndGet();
+            }
+        } catch (IOException failure) {
+            System.err.println("a client ended: " + failure.getMessage());
+        } catch (InterruptedException interrupted) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /**
+     * The resident memory of three processes as so many changes are agreed, by changes: the most of
+     * the three, in MB.
+     */
+    public Map<Long, Double> measureMemory(long changes) throws IOException, InterruptedException {
+        Map<Long, Double> megabytesByChanges = new LinkedHashMap<>();
+        AtomicLong started = new AtomicLong();
+        Path own = Files.createDirectories(folder.resolve("memory"));
+        try (ControllerProcesses controllers =
+                new ControllerProcesses(
+                        own,
+                        MEMBERS,
+                        ELECTION_TIMEOUT_MILLIS + "ms",
+                        1,
+                        (member, incarnation, line) -> {})) {
+            List<String> addresses = new ArrayList<>();
+            for (int member = 0; member < MEMBERS; member++) {
+                controllers.start(member);
+                addresses.add(controllers.clientAddress(member));
+            }
+            List<Thread> threads = new ArrayList<>();
+            for (int number = 0; number < MEMORY_CLIENTS; number++) {
+                int seed = number;
+                threads.add(
+                        new Thread(
+                                () -> changeTimes(changes, addresses, seed, started),
+                                "client " + number));
+            }
+            threads.forEach(Thread::start);
+            for (long next = 0; next <= changes; next += changes / MEMORY_SAMPLES) {
+                long reached = next;
+                ControllerProcesses.await(() -> started.get() >= reached, 600_000);
+                megabytesByChanges.put(next, mostResidentMegabytes(controllers));
+            }
+            for (Thread thread : threads) {
+                thread.join();
+            }
+        }
+        return megabytesByChanges;
+    }
+
+    private static void changeTimes(
+            long changes, List<String> addresses, int seed, AtomicLong started) {
+        try (Client client = new Client(addresses, new SplittableRandom(seed), 2_000)) {
+            while (started.incrementAndGet() <= changes) {
+                client.change(change(seed), true, deadlineMillis());
+            }
+        } catch (IOException failure) {
+            System.err.println("a client ended: " + failure.getMessage());
+        } catch (InterruptedException interrupted) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private static double mostResidentMegabytes(ControllerProcesses controllers)
+            throws IOException {
+        double most = 0;
+        for (int member = 0; member < MEMBERS; member++) {
+            most = Math.max(most, ProcessUsage.of(controllers.pid(member)).residentMegabytes());
+        }
+        return most;
+    }
+
+    /** From the end of the leader until another member says that it leads. */
+    private void measureFailover(int kills) throws IOException, InterruptedException {
+        Histogram histogram = new Histogram(3);
+        try (Client client = client(2)) {
+            for (int i = 0; i < kills; i++) {
+                int leader = awaitLeader(-1);
+                long startedNanos = System.nanoTime();
+                members[leader].close();
+                awaitLeader(leader);
+                histogram.recordValue((System.nanoTime() - startedNanos) / 1_000);
+                start(leader);
+                client.change(change(i), true, deadlineMillis());
+                TimeUnit.MILLISECONDS.sleep(100);
+            }
+        }
+        putPercentiles("leaderless, ms", histogram, 1_000);
+    }
+
+    private int awaitLeader(int except) {
+        while (true) {
+            for (int i = 0; i < members.length; i++) {
+                if (i != except && members[i].leads()) {
+                    return i;
+                }
+            }
+            LockSupport.parkNanos(500_000);
+        }
+    }
+}
--- a/src/main/java/rockshift/testkit/Charts.java
+++ b/src/main/java/rockshift/testkit/MeasurementCharts.java
@@ -12,12 +12,12 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Pictures of measurements, drawn without a screen. */
-public final class Charts {
-    private Charts() {}
+/** Draws the charts of measurements as PNG files, without a screen. */
+public final class MeasurementCharts {
+    private MeasurementCharts() {}
 
-    /** Bars by name. */
-    public static void bars(
+    /** Draws a bar for each name. */
+    public static void drawBars(
             Path file, String title, String unit, Map<String, ? extends Number> values)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
@@ -34,9 +34,9 @@
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    /** Times a budget by name, on a logarithmic axis: what ends below 1 holds. */
-    public static void factors(Path file, String title, Map<String, ? extends Number> values)
-            throws IOException {
+    /** Draws each value as a multiple of its budget, on a logarithmic axis: below 1 it holds. */
+    public static void drawBudgetFactors(
+            Path file, String title, Map<String, ? extends Number> values) throws IOException {
         System.setProperty("java.awt.headless", "true");
         CategoryChart chart =
                 new CategoryChartBuilder()
@@ -56,16 +56,17 @@
     }
 
     /**
-     * The share of values that are slower, against the value: the tail of a histogram in us, in ms.
+     * Draws the share of values above each value: the tail of a histogram in microseconds, in ms.
      */
-    public static void tail(Path file, String title, Histogram taken) throws IOException {
+    public static void drawLatencyTail(Path file, String title, Histogram histogram)
+            throws IOException {
         System.setProperty("java.awt.headless", "true");
         List<Double> at = new ArrayList<>();
         List<Double> slower = new ArrayList<>();
         for (double percentile = 0;
                 percentile < 99.99;
                 percentile = 100 - (100 - percentile) * 0.8) {
-            at.add(Math.max(0.001, taken.getValueAtPercentile(percentile) / 1_000.0));
+            at.add(Math.max(0.001, histogram.getValueAtPercentile(percentile) / 1_000.0));
             slower.add((100 - percentile) / 100);
         }
         XYChart chart =
--- a/src/main/java/rockshift/testkit/ProgramCommand.java
+++ b/src/main/java/rockshift/testkit/ProgramCommand.java
@@ -24,7 +24,7 @@
 
     private ProgramCommand() {}
 
-    /** A governor on this program's own classes; what it logs comes on the process's output. */
+    /** A controller on this program's own classes; what it logs comes on the process's output. */
     public static ProcessBuilder serve(
             Path configuration, List<String> moreOptions, List<String> arguments) {
         List<String> words = new ArrayList<>(List.of("serve"));
