--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -35,6 +35,6 @@
                                 change.kind() == Change.Kind.DRAIN && change.started() > 0
                                         ? change.started() * TENTHS_PER_MILLI + TENTHS_PER_MILLI - 1
                                         : Long.MAX_VALUE));
-        receiver.agreed(version, until, SettingsParser.overrides(terms), inForce);
+        receiver.applyAgreed(version, until, SettingsParser.overrides(terms), inForce);
     }
 }
