--- a/src/main/java/rockshift/capacity/Capacity.java
+++ b/src/main/java/rockshift/capacity/CapacityReport.java
@@ -14,10 +14,10 @@
  * What was measured, worked out at the target by lines through it, beside the budgets. It reads the
  * tables that the other commands keep; void runs are left out.
  */
-public final class Capacity {
-    private static final double TARGET_GOVERNORS = 1_300;
+public final class CapacityReport {
+    private static final double TARGET_CONTROLLERS = 1_300;
 
-    /** Replicas of the average governor's scope, and of the largest: a hundred times that. */
+    /** Replicas of the average controller's scope, and of the largest: a hundred times that. */
     private static final double AVERAGE_SCOPE = 36;
 
     private static final double LARGEST_SCOPE = 3_600;
@@ -27,7 +27,7 @@
     private static final double CORE_BUDGET = 0.037;
     private static final double MEMORY_BUDGET_MB = 64;
     private static final double BYTES_BUDGET = 10_000;
-    private static final double IN_FORCE_BUDGET_MILLIS = ScaleVerdict.IN_FORCE_MILLIS;
+    private static final double IN_FORCE_BUDGET_MILLIS = ScaleVerdict.MAX_IN_FORCE_MILLIS;
 
     /**
      * One figure at the target.
@@ -35,10 +35,10 @@
      * @param what role and unit
      * @param size the size at the target, in the unit of the line
      * @param line through what was measured
-     * @param budget what it may be; NaN where nothing is told
+     * @param budget what it may be; NaN where there is no budget
      */
-    public record Worked(String what, double size, SlopeFit line, double budget) {
-        /** Whether a budget is told. */
+    public record Projection(String what, double size, SlopeFit line, double budget) {
+        /** Whether there is a budget. */
         public boolean budgeted() {
             return !Double.isNaN(budget);
         }
@@ -90,10 +90,10 @@
     private final List<RunFigure> figures = new ArrayList<>();
 
     /** One figure of one run of many governors. */
-    private record RunFigure(int governors, String name, double value) {}
+    private record RunFigure(int controllers, String name, double value) {}
 
     /** Reads a folder of tables; one that is missing counts as empty. */
-    public Capacity(Path folder) throws IOException {
+    public CapacityReport(Path folder) throws IOException {
         for (String row : rows(folder.resolve("governor.csv"))) {
             ControllerSample sample = ControllerSample.parse(row);
             if (!sample.isVoid()) {
@@ -121,8 +121,14 @@
     }
 
     /** All that can be worked out from the tables; what has too few runs is left out. */
-    public List<Worked> worked() {
-        List<Worked> all = new ArrayList<>();
+    public List<Projection> projections() {
+        List<Projection> projections = new ArrayList<>();
+        addSweeps(projections);
+        addRunFigures(projections);
+        return projections;
+    }
+
+    private void addSweeps(List<Projection> projections) {
         Predicate<FleetShape> usual = shape -> shape.proxies() == 16;
         Predicate<FleetShape> two = usual.and(shape -> shape.classes() == 2);
         Set<ControllerSweep.Figure> budgeted =
@@ -130,65 +136,67 @@
                         ControllerSweep.Figure.CORE_SHARE,
                         ControllerSweep.Figure.PEAK,
                         ControllerSweep.Figure.BYTES_OUT);
-        governor(
-                all,
+        addSweep(
+                projections,
                 "average governor",
                 ControllerSweep.Size.REPLICAS,
                 AVERAGE_SCOPE,
                 two.and(shape -> shape.replicas() <= SMALL_SCOPES),
                 EnumSet.allOf(ControllerSweep.Figure.class));
-        governor(
-                all,
+        addSweep(
+                projections,
                 "average, 12 classes",
                 ControllerSweep.Size.CLASSES,
                 MANY_CLASSES,
                 usual.and(shape -> shape.replicas() == AVERAGE_SCOPE),
                 budgeted);
-        governor(
-                all,
+        addSweep(
+                projections,
                 "largest governor",
                 ControllerSweep.Size.REPLICAS,
                 LARGEST_SCOPE,
                 two.and(shape -> shape.replicas() >= SMALL_SCOPES),
                 EnumSet.allOf(ControllerSweep.Figure.class));
-        governor(
-                all,
+        addSweep(
+                projections,
                 "largest, 12 classes",
                 ControllerSweep.Size.REPLICAS_TIMES_CLASSES,
                 LARGEST_SCOPE * MANY_CLASSES,
                 usual.and(shape -> shape.replicas() >= SMALL_SCOPES),
                 budgeted);
-        governor(
-                all,
+        addSweep(
+                projections,
                 "60 replicas, 800 proxies",
                 ControllerSweep.Size.PROXIES,
                 MANY_PROXIES,
                 shape -> shape.replicas() == 60 && shape.classes() == 2,
                 budgeted);
-        run(all, "in force everywhere, longest ms", IN_FORCE_BUDGET_MILLIS);
-        run(all, "governor, bytes a second", BYTES_BUDGET);
+    }
+
+    private void addRunFigures(List<Projection> projections) {
+        addRunFigure(projections, "in force everywhere, longest ms", IN_FORCE_BUDGET_MILLIS);
+        addRunFigure(projections, "governor, bytes a second", BYTES_BUDGET);
         for (String role : List.of("leader", "follower", "relay", "real governor")) {
-            run(
-                    all,
+            addRunFigure(
+                    projections,
                     role + ", share of a core",
                     role.equals("real governor") ? CORE_BUDGET : Double.NaN);
-            run(all, role + ", bytes a second read", Double.NaN);
-            run(all, role + ", bytes a second written", Double.NaN);
-            run(
-                    all,
+            addRunFigure(projections, role + ", bytes a second read", Double.NaN);
+            addRunFigure(projections, role + ", bytes a second written", Double.NaN);
+            addRunFigure(
+                    projections,
                     role + ", most MB resident",
                     role.equals("real governor") ? MEMORY_BUDGET_MB : Double.NaN);
         }
-        run(all, "busiest member, share of a core", Double.NaN);
-        run(all, "all governors at once until in force, ms", Double.NaN);
-        run(all, "all governors again at once until in force, ms", Double.NaN);
-        run(all, "one governor started until in force, median ms", Double.NaN);
-        run(all, "one governor started until in force, longest ms", Double.NaN);
-        return all;
+        addRunFigure(projections, "busiest member, share of a core", Double.NaN);
+        addRunFigure(projections, "all governors at once until in force, ms", Double.NaN);
+        addRunFigure(projections, "all governors again at once until in force, ms", Double.NaN);
+        addRunFigure(projections, "one governor started until in force, median ms", Double.NaN);
+        addRunFigure(projections, "one governor started until in force, longest ms", Double.NaN);
     }
 
-    private void governor(
-            List<Worked> all,
+    private void addSweep(
+            List<Projection> projections,
             String role,
             ControllerSweep.Size size,
             double at,
@@ -202,8 +210,8 @@
                 .forEach(
                         (figure, line) -> {
                             if (wanted.contains(figure)) {
-                                all.add(
-                                        new Worked(
+                                projections.add(
+                                        new Projection(
                                                 role + ": " + figure.unit(),
                                                 at,
                                                 line,
@@ -221,16 +229,16 @@
         };
     }
 
-    private void run(List<Worked> all, String name, double budget) {
+    private void addRunFigure(List<Projection> projections, String name, double budget) {
         List<RunFigure> found =
                 figures.stream().filter(figure -> figure.name().equals(name)).toList();
         if (found.size() > 2
-                && found.stream().mapToInt(RunFigure::governors).distinct().count() > 1) {
+                && found.stream().mapToInt(RunFigure::controllers).distinct().count() > 1) {
             SlopeFit line =
                     SlopeFit.of(
-                            found.stream().mapToDouble(RunFigure::governors).toArray(),
+                            found.stream().mapToDouble(RunFigure::controllers).toArray(),
                             found.stream().mapToDouble(RunFigure::value).toArray());
-            all.add(new Worked(name, TARGET_GOVERNORS, line, budget));
+            projections.add(new Projection(name, TARGET_CONTROLLERS, line, budget));
         }
     }
 }
--- a/src/main/java/rockshift/capacity/ChangeLoad.java
+++ b/src/main/java/rockshift/capacity/ChangeLoad.java
@@ -15,14 +15,14 @@
 import rockshift.distribution.Update;
 
 /**
- * Asks members for changes one after the other at a rate, and tells the checker what was agreed. A
- * third of the changes concerns everyone, a third one service, and a third one service in one zone;
- * one in four takes an earlier one back.
+ * Proposes changes to members one after the other at a rate, and hands the checker what was agreed.
+ * A third of the changes concerns everyone, a third one service, and a third one service in one
+ * zone; one in four takes an earlier one back.
  */
 final class ChangeLoad implements Runnable {
     private static final int REPLICAS = 400;
-    private static final long PATIENCE_MILLIS = 1_500;
-    private static final long DEADLINE_MILLIS = 60_000;
+    private static final long CALL_TIMEOUT_MILLIS = 1_500;
+    private static final long CHANGE_TIMEOUT_MILLIS = 60_000;
     private static final String KEY_PREFIX = "out/";
 
     private final List<String> members;
@@ -30,11 +30,11 @@
     private final double millisBetween;
     private final ScaleChecker checker;
     private final SplittableRandom random;
-    private final Map<String, Change> held = new TreeMap<>();
-    private final AtomicInteger asked = new AtomicInteger();
+    private final Map<String, Change> activeHolds = new TreeMap<>();
+    private final AtomicInteger proposed = new AtomicInteger();
     private final AtomicInteger unanswered = new AtomicInteger();
 
-    ChangeLoad(List<String> members, Scenario scenario, ScaleChecker checker) {
+    ChangeLoad(List<String> members, ScaleScenario scenario, ScaleChecker checker) {
         this.members = members;
         this.checker = checker;
         count = scenario.changes();
@@ -42,9 +42,9 @@
         random = new SplittableRandom(scenario.seed());
     }
 
-    /** Changes asked for so far. */
-    int asked() {
-        return asked.get();
+    /** Changes proposed so far. */
+    int proposed() {
+        return proposed.get();
     }
 
     /**
@@ -56,45 +56,46 @@
 
     @Override
     public void run() {
-        long began = HollowController.now();
-        try (Client client = new Client(members, random.split(), (int) PATIENCE_MILLIS)) {
+        long began = LightweightController.nowMillis();
+        try (Client client = new Client(members, random.split(), (int) CALL_TIMEOUT_MILLIS)) {
             for (int i = 0; i < count; i++) {
-                long rest = began + (long) (i * millisBetween) - HollowController.now();
+                long rest = began + (long) (i * millisBetween) - LightweightController.nowMillis();
                 TimeUnit.MILLISECONDS.sleep(Math.max(0, rest));
-                ask(client, next());
-                asked.incrementAndGet();
+                propose(client, next());
+                proposed.incrementAndGet();
             }
         } catch (IOException | InterruptedException ended) {
-            unanswered.addAndGet(count - asked.get());
+            unanswered.addAndGet(count - proposed.get());
         }
     }
 
     private Change next() {
-        List<String> out = new ArrayList<>(held.keySet());
+        List<String> out = new ArrayList<>(activeHolds.keySet());
         if (!out.isEmpty() && random.nextInt(4) == 0) {
             return new Change(Change.Kind.BACK, out.get(random.nextInt(out.size())), 0, 0, "");
         }
         int whom = random.nextInt(3);
-        String service = whom == 0 ? "" : Scenario.service(random.nextInt(Scenario.SERVICES));
-        String zone = whom < 2 ? "" : Scenario.zone(random.nextInt(Scenario.ZONES));
+        String service =
+                whom == 0 ? "" : ScaleScenario.service(random.nextInt(ScaleScenario.SERVICES));
+        String zone = whom < 2 ? "" : ScaleScenario.zone(random.nextInt(ScaleScenario.ZONES));
         String subject = "replica-" + random.nextInt(REPLICAS);
-        Change before = held.get(subject);
+        Change before = activeHolds.get(subject);
         // A replica stays where it is: a change of it concerns the same service and zone again.
         return new Change(
                 Change.Kind.HOLD,
                 subject,
                 0,
                 0,
-                "change " + asked.get(),
+                "change " + proposed.get(),
                 before == null ? service : before.service(),
                 before == null ? zone : before.zone());
     }
 
-    private void ask(Client client, Change change) throws IOException, InterruptedException {
-        long at = HollowController.now();
+    private void propose(Client client, Change change) throws IOException, InterruptedException {
+        long at = LightweightController.nowMillis();
         JsonNode answer;
         try {
-            answer = client.change(change, true, at + DEADLINE_MILLIS);
+            answer = client.change(change, true, at + CHANGE_TIMEOUT_MILLIS);
         } catch (Client.Unanswered unknown) {
             unanswered.incrementAndGet();
             return;
@@ -106,13 +107,13 @@
         }
         String key = KEY_PREFIX + change.subject();
         if (change.kind() == Change.Kind.BACK) {
-            Change before = held.remove(change.subject());
+            Change before = activeHolds.remove(change.subject());
             Item item = new Item(key, before.service(), before.zone(), new byte[0]);
-            checker.saw(new Observation.Agreed(at, Update.delete(revision, item)));
+            checker.observe(new Observation.Committed(at, Update.delete(revision, item)));
         } else {
-            held.put(change.subject(), change);
+            activeHolds.put(change.subject(), change);
             Item item = new Item(key, change.service(), change.zone(), change.json());
-            checker.saw(new Observation.Agreed(at, Update.put(revision, item)));
+            checker.observe(new Observation.Committed(at, Update.put(revision, item)));
         }
     }
 }
--- a/src/main/java/rockshift/capacity/ControllerInRegion.java
+++ b/src/main/java/rockshift/capacity/ControllerInRegion.java
@@ -14,8 +14,8 @@
 import rockshift.testkit.StaticDiscoveryServer;
 
 /**
- * A real governor as a process of its own that subscribes at a region's relays for everything; its
- * log tells what is in force.
+ * A real controller as a process of its own that subscribes at a region's relays for everything;
+ * its log tells what is in force.
  */
 final class ControllerInRegion implements AutoCloseable {
     private static final FleetShape SHAPE = new FleetShape(36, 2, 16, 3);
@@ -51,7 +51,8 @@
                 Files.writeString(
                         folder.resolve(name + ".json"),
                         SHAPE.configuration(discovery.port(), discovery.list()));
-        checker.saw(new Observation.Started(HollowController.now(), name, Scope.all()));
+        checker.observe(
+                new Observation.Started(LightweightController.nowMillis(), name, Scope.all()));
         process =
                 new LoggedProcess(
                         ProgramCommand.serve(
@@ -66,9 +67,9 @@
     private void line(String line) {
         Matcher inForce = IN_FORCE.matcher(line);
         if (inForce.find()) {
-            checker.saw(
-                    new Observation.Logged(
-                            HollowController.now(),
+            checker.observe(
+                    new Observation.RevisionLogged(
+                            LightweightController.nowMillis(),
                             name,
                             new Revision(
                                     Long.parseUnsignedLong(inForce.group(1), 16),
--- a/src/main/java/rockshift/capacity/ControllerRun.java
+++ b/src/main/java/rockshift/capacity/ControllerRun.java
@@ -14,7 +14,7 @@
 import rockshift.testkit.StaticDiscoveryServer;
 
 /**
- * One real governor as a process of its own, with a fleet of some shape before it, watched for a
+ * One real controller as a process of its own, with a fleet of some shape before it, watched for a
  * while once all proxies have tables or the wait for them is over. It owns the process and
  * everything it talks to, and ends them also when it is ended.
  */
@@ -30,7 +30,8 @@
     private static final String FOLDER_PREFIX = "rockshift-scale";
 
     /**
-     * Ms that a rig's round of reports may be late before the run counts for nothing: two rounds.
+     * Ms that a round of the simulated fleet's reports may be late before the run counts for
+     * nothing: two rounds.
      */
     private static final long RIG_LATE_MILLIS = 100;
 
@@ -86,20 +87,20 @@
     /** What was counted at one moment. */
     private record Counts(
             ProcessUsage usage,
-            FleetStandIn.Traffic traffic,
+            FleetSimulator.Traffic traffic,
             StaticDiscoveryServer.Traffic asked) {}
 
     private ControllerSample measure(int run, Times times)
             throws IOException, InterruptedException {
-        try (FleetStandIn fleet = new FleetStandIn(shape, governor.awaitPort(), run)) {
+        try (FleetSimulator fleet = new FleetSimulator(shape, governor.awaitPort(), run)) {
             double tables = awaitTables(fleet, times.tables());
             try {
                 TimeUnit.MILLISECONDS.sleep(times.settle());
-                long lateBefore = fleet.latestMillis();
+                long lateBefore = fleet.longestDelayMillis();
                 Counts before = count(fleet);
                 TimeUnit.MILLISECONDS.sleep(times.watch());
                 Counts after = count(fleet);
-                boolean late = fleet.latestMillis() > Math.max(lateBefore, RIG_LATE_MILLIS);
+                boolean late = fleet.longestDelayMillis() > Math.max(lateBefore, RIG_LATE_MILLIS);
                 return sample(run, fleet, tables, before, after, late);
             } catch (IOException unread) {
                 if (governor.isAlive()) {
@@ -116,7 +117,7 @@
         }
     }
 
-    private Counts count(FleetStandIn fleet) throws IOException {
+    private Counts count(FleetSimulator fleet) throws IOException {
         return new Counts(ProcessUsage.of(governor.pid()), fleet.traffic(), discovery.traffic());
     }
 
@@ -125,13 +126,13 @@
     }
 
     private ControllerSample sample(
-            int run, FleetStandIn fleet, double tables, Counts before, Counts after, boolean late)
+            int run, FleetSimulator fleet, double tables, Counts before, Counts after, boolean late)
             throws IOException {
         double seconds = (after.usage().takenNanos() - before.usage().takenNanos()) / 1e9;
         double share = after.usage().coreShareSince(before.usage());
         double deciding = after.usage().coreShareSince(before.usage(), DECIDING_THREAD);
-        FleetStandIn.Traffic from = before.traffic();
-        FleetStandIn.Traffic to = after.traffic();
+        FleetSimulator.Traffic from = before.traffic();
+        FleetSimulator.Traffic to = after.traffic();
         Heap heap = watchHeap ? heap() : new Heap(Double.NaN, Double.NaN);
         return new ControllerSample(
                 shape,
@@ -152,14 +153,14 @@
                 fleet.withTables(),
                 fleet.lostConnections(),
                 fleet.droppedReports(),
-                fleet.latestMillis(),
+                fleet.longestDelayMillis(),
                 loadAverage(),
                 late,
                 false);
     }
 
     /** Seconds until all proxies had a table, or NaN where the wait was over before. */
-    private double awaitTables(FleetStandIn fleet, long millis) throws InterruptedException {
+    private double awaitTables(FleetSimulator fleet, long millis) throws InterruptedException {
         long began = System.nanoTime();
         while (fleet.withTables() < shape.proxies()) {
             if (System.nanoTime() - began > TimeUnit.MILLISECONDS.toNanos(millis)) {
--- a/src/main/java/rockshift/capacity/ControllerSample.java
+++ b/src/main/java/rockshift/capacity/ControllerSample.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 
 /**
- * What one real governor used in one run at one size. Shares are of one core; rates are a second;
- * memory is in MB, and NaN where the run did not watch it. A run is void where the rig itself was
- * the limit.
+ * What one real controller used in one run at one size. Shares are of one core; rates are a second;
+ * memory is in MB, and NaN where the run did not watch it. A run is void where this program itself
+ * was the limit.
  */
 public record ControllerSample(
         FleetShape shape,
@@ -38,7 +38,7 @@
                 + "heap_after_gc_mb,heap_committed_mb,tables_s,tables,"
                 + "connections_lost,reports_dropped,rig_late_ms,load_average,void,died";
 
-    /** A run in which the governor's process ended by itself. */
+    /** A run in which the controller's process ended by itself. */
     static ControllerSample died(
             FleetShape shape,
             int run,
--- a/src/main/java/rockshift/capacity/ControllerSweep.java
+++ b/src/main/java/rockshift/capacity/ControllerSweep.java
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
 
-/** Runs of one real governor over sizes, and the lines through what they used. */
+/** Runs of one real controller over sizes, and the lines through what they used. */
 public final class ControllerSweep {
-    /** Core shares from which a governor is busy throughout: what it uses then tells no slope. */
-    private static final double SATURATED = 0.95;
+    /** Core shares from which a controller is busy throughout: what it uses then tells no slope. */
+    private static final double SATURATED_CORE_SHARE = 0.95;
 
     /** What is measured of each run and fitted against the size. */
     public enum Figure {
@@ -45,10 +45,12 @@
             this.of = of;
         }
 
+        /** What it is, with its unit. */
         public String unit() {
             return unit;
         }
 
+        /** The figure of one run. */
         public double of(ControllerSample sample) {
             return of.applyAsDouble(sample);
         }
@@ -70,6 +72,7 @@
             this.of = of;
         }
 
+        /** The size of a shape. */
         public double of(FleetShape shape) {
             return of.applyAsDouble(shape);
         }
@@ -130,7 +133,7 @@
                     all.add(() -> ControllerRun.measure(shape, number, number == 0, times, under));
                 }
                 for (Future<ControllerSample> run : beside.invokeAll(all)) {
-                    take(run.get(), progress);
+                    add(run.get(), progress);
                 }
             }
         } catch (ExecutionException failure) {
@@ -141,7 +144,7 @@
         }
     }
 
-    private void take(ControllerSample sample, Consumer<String> progress) {
+    private void add(ControllerSample sample, Consumer<String> progress) {
         samples.add(sample);
         progress.accept(
                 String.format(
@@ -158,6 +161,7 @@
                                 : sample.isVoid() ? ", void: the rig was late" : ""));
     }
 
+    /** All runs so far, those that are void among them. */
     public List<ControllerSample> samples() {
         return samples;
     }
@@ -200,7 +204,7 @@
         for (Figure figure : Figure.values()) {
             List<ControllerSample> points =
                     counted(figure).stream()
-                            .filter(sample -> sample.coreShare() < SATURATED)
+                            .filter(sample -> sample.coreShare() < SATURATED_CORE_SHARE)
                             .toList();
             if (points.size() > 2
                     && points.stream()
--- a/src/main/java/rockshift/capacity/FleetShape.java
+++ b/src/main/java/rockshift/capacity/FleetShape.java
@@ -5,8 +5,8 @@
 import java.util.stream.IntStream;
 
 /**
- * The size of what one governor serves. The protocol of governors knows classes of requests and no
- * services.
+ * The size of what one controller serves. The protocol of controllers knows classes of requests and
+ * no services.
  */
 public record FleetShape(int replicas, int classes, int proxies, int zones) {
     /**
@@ -21,7 +21,7 @@
     /** Lines that each proxy's first table may take of the channel. */
     private static final double LINES_PER_PROXY = 60;
 
-    /** Descriptors that the governor uses beside its proxies' and collectors' streams. */
+    /** Descriptors that the controller uses beside its proxies' and collectors' streams. */
     private static final int OWN_DESCRIPTORS = 200;
 
     /** The zones by name. */
@@ -34,7 +34,7 @@
         return "class-" + number;
     }
 
-    /** The governor's file: the terms of {@code example/governor.json} at this size. */
+    /** The controller's file: the terms of {@code example/governor.json} at this size. */
     String configuration(int discoveryPort, String known) {
         double more = LINES_PER_PROXY * Math.max(0, proxies - CHANNEL_PROXIES);
         StringBuilder kinds = new StringBuilder();
@@ -73,6 +73,6 @@
                 proxies,
                 CHANNEL_RATE + more,
                 CHANNEL_BACKLOG + more,
-                FleetStandIn.REPORT_MILLIS * 1_000L);
+                FleetSimulator.REPORT_MILLIS * 1_000L);
     }
 }
--- a/src/main/java/rockshift/capacity/FleetStandIn.java
+++ b/src/main/java/rockshift/capacity/FleetSimulator.java
@@ -22,11 +22,11 @@
 import rockshift.testkit.StaticDiscoveryServer;
 
 /**
- * The proxies and collectors of one governor, on one thread: each proxy joins, answers marks and
- * reports what came to it; each zone's collector reports what was met at the replicas there. The
- * figures reported are drawn from a seed; nothing is served.
+ * The proxies and collectors of one controller, on one thread: each proxy joins, acknowledges its
+ * tables and reports its requests; each zone's collector reports the load of the replicas there.
+ * The figures reported are drawn from a seed; nothing is served.
  */
-public final class FleetStandIn implements AutoCloseable {
+public final class FleetSimulator implements AutoCloseable {
     /** Ms between two reports on the same replica or by the same proxy. */
     public static final int REPORT_MILLIS = 2_000;
 
@@ -34,100 +34,109 @@
     private static final int TICKS = REPORT_MILLIS / TICK_MILLIS;
 
     /** Requests that a replica answers between two reports, and the share by which they vary. */
-    private static final int TRIES = 40;
+    private static final int REQUESTS_PER_REPORT = 40;
 
     private static final double VARIATION = 0.1;
-    private static final int PIECE = 1 << 16;
+    private static final int READ_BUFFER_BYTES = 1 << 16;
 
     /**
-     * Bytes that a governor may leave unread of one party before its reports are dropped and
+     * Bytes that a controller may leave unread of one peer before its reports are dropped and
      * counted.
      */
-    private static final int MOST_WAITING = 1 << 18;
+    private static final int MAX_UNSENT_BYTES = 1 << 18;
 
-    /** One connection to the governor: a proxy by its number, or a collector with -1. */
-    private static final class Party {
+    /** One connection to the controller: a proxy by its number, or a collector with -1. */
+    private static final class Peer {
         private final int proxy;
         private final String zone;
         private SocketChannel channel;
         private RespCodec codec;
-        private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
-        private int waitingBytes;
+        private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+        private int unsentBytes;
         private boolean hasTable;
 
-        Party(int proxy, String zone) {
+        Peer(int proxy, String zone) {
             this.proxy = proxy;
             this.zone = zone;
         }
     }
 
     private final FleetShape shape;
-    private final InetSocketAddress governor;
+    private final InetSocketAddress controller;
     private final SplittableRandom random;
     private final Selector selector = Selector.open();
-    private final List<Party> proxies = new ArrayList<>();
-    private final List<Party> collectors = new ArrayList<>();
-    private final ByteBuffer piece = ByteBuffer.allocate(PIECE);
+    private final List<Peer> proxies = new ArrayList<>();
+    private final List<Peer> collectors = new ArrayList<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     private final Thread thread = new Thread(this::run, "fleet-stand-in");
+
+    /** Says to the fleet's thread that it is to end. */
     private volatile boolean closed;
+
     private final AtomicLong bytesIn = new AtomicLong();
     private final AtomicLong bytesOut = new AtomicLong();
     private final AtomicLong messagesIn = new AtomicLong();
     private final AtomicLong messagesOut = new AtomicLong();
     private final AtomicInteger withTables = new AtomicInteger();
-    private final AtomicInteger lost = new AtomicInteger();
-    private final AtomicLong dropped = new AtomicLong();
-    private final AtomicLong latestMillis = new AtomicLong();
+    private final AtomicInteger lostConnections = new AtomicInteger();
+    private final AtomicLong droppedReports = new AtomicLong();
+    private final AtomicLong longestDelayMillis = new AtomicLong();
 
-    /** What passed so far, as the governor sees it: in is what it was sent. */
+    /** What passed so far, as the controller sees it: in is what it was sent. */
     public record Traffic(long bytesIn, long bytesOut, long messagesIn, long messagesOut) {}
 
-    public FleetStandIn(FleetShape shape, int port, long seed) throws IOException {
+    /** Connects all peers of a shape to the controller at a port, and begins to report. */
+    public FleetSimulator(FleetShape shape, int port, long seed) throws IOException {
         this.shape = shape;
-        governor = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+        controller = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         random = new SplittableRandom(seed);
         List<String> zones = shape.zoneNames();
         for (String zone : zones) {
-            collectors.add(new Party(-1, zone));
+            collectors.add(new Peer(-1, zone));
         }
         for (int i = 0; i < shape.proxies(); i++) {
-            proxies.add(new Party(i, zones.get(i % zones.size())));
+            proxies.add(new Peer(i, zones.get(i % zones.size())));
         }
-        for (Party party : collectors) {
-            connect(party);
+        for (Peer peer : collectors) {
+            connect(peer);
         }
-        for (Party party : proxies) {
-            connect(party);
+        for (Peer peer : proxies) {
+            connect(peer);
         }
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Dials, also again where the governor ended a connection, and says who it is. */
-    private void connect(Party party) throws IOException {
-        party.channel = SocketChannel.open(governor);
-        party.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        party.channel.configureBlocking(false);
-        party.channel.register(selector, SelectionKey.OP_READ, party);
-        party.codec = new RespCodec();
-        party.waiting.clear();
-        party.waitingBytes = 0;
-        if (party.proxy < 0) {
-            send(party, "collector az " + party.zone);
+    /** Dials, also again where the controller ended a connection, and says who it is. */
+    private void connect(Peer peer) throws IOException {
+        peer.channel = SocketChannel.open(controller);
+        peer.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+        peer.channel.configureBlocking(false);
+        peer.channel.register(selector, SelectionKey.OP_READ, peer);
+        peer.codec = new RespCodec();
+        peer.unsent.clear();
+        peer.unsentBytes = 0;
+        if (peer.proxy < 0) {
+            send(peer, "collector az " + peer.zone);
         } else {
             double share =
-                    (double) shape.replicas() * TRIES * 1_000 / REPORT_MILLIS / shape.proxies();
+                    (double) shape.replicas()
+                            * REQUESTS_PER_REPORT
+                            * 1_000
+                            / REPORT_MILLIS
+                            / shape.proxies();
             send(
-                    party,
+                    peer,
                     String.format(
                             Locale.ROOT,
                             "joined sidecar %d az %s share %.1f standing 1",
-                            party.proxy,
-                            party.zone,
+                            peer.proxy,
+                            peer.zone,
                             share));
         }
     }
 
+    /** What passed so far. */
     public Traffic traffic() {
         return new Traffic(bytesIn.get(), bytesOut.get(), messagesIn.get(), messagesOut.get());
     }
@@ -137,21 +146,22 @@
         return withTables.get();
     }
 
-    /** Connections that the governor ended, and reports dropped as it left too much unread. */
+    /** Connections that the controller ended. */
     public int lostConnections() {
-        return lost.get();
+        return lostConnections.get();
     }
 
+    /** Reports dropped as the controller left too much unread. */
     public long droppedReports() {
-        return dropped.get();
+        return droppedReports.get();
     }
 
     /**
-     * How late a round of reports began at most, in ms: this thread, not the governor, was the
-     * limit then.
+     * How late a round of reports began at most: this thread, not the controller, was the limit
+     * then.
      */
-    public long latestMillis() {
-        return latestMillis.get();
+    public long longestDelayMillis() {
+        return longestDelayMillis.get();
     }
 
     private void run() {
@@ -161,7 +171,7 @@
                 report(tick % TICKS);
                 next += TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS);
                 long rest = TimeUnit.NANOSECONDS.toMillis(next - System.nanoTime());
-                latestMillis.accumulateAndGet(-rest, Math::max);
+                longestDelayMillis.accumulateAndGet(-rest, Math::max);
                 do {
                     selector.select(Math.max(1, rest));
                     readAll();
@@ -169,52 +179,52 @@
                 } while (rest > 0 && !closed);
             }
         } catch (IOException failure) {
-            lost.incrementAndGet();
+            lostConnections.incrementAndGet();
         }
     }
 
     private void readAll() throws IOException {
         for (SelectionKey key : List.copyOf(selector.selectedKeys())) {
-            Party party = (Party) key.attachment();
+            Peer peer = (Peer) key.attachment();
             try {
-                read(party);
+                read(peer);
             } catch (IOException | MalformedStreamException | InvalidMessageException ended) {
-                again(party);
+                reconnect(peer);
             }
         }
         selector.selectedKeys().clear();
     }
 
-    private void again(Party party) throws IOException {
-        lost.incrementAndGet();
-        party.channel.close();
+    private void reconnect(Peer peer) throws IOException {
+        lostConnections.incrementAndGet();
+        peer.channel.close();
         if (!closed) {
-            connect(party);
+            connect(peer);
         }
     }
 
-    private void read(Party party)
+    private void read(Peer peer)
             throws IOException, MalformedStreamException, InvalidMessageException {
-        piece.clear();
-        int count = party.channel.read(piece);
+        readBuffer.clear();
+        int count = peer.channel.read(readBuffer);
         if (count < 0) {
             throw new IOException("the governor ended a connection");
         }
         bytesOut.addAndGet(count);
-        party.codec.feed(piece.flip());
-        while (party.codec.next()) {
+        peer.codec.feed(readBuffer.flip());
+        while (peer.codec.next()) {
             messagesOut.incrementAndGet();
-            if (party.codec.has("lines") && !party.hasTable) {
-                party.hasTable = true;
+            if (peer.codec.has("lines") && !peer.hasTable) {
+                peer.hasTable = true;
                 withTables.incrementAndGet();
             }
-            if (party.codec.has("ticket")) {
+            if (peer.codec.has("ticket")) {
                 send(
-                        party,
+                        peer,
                         "applied sidecar "
-                                + party.proxy
+                                + peer.proxy
                                 + " version "
-                                + party.codec.text("ticket")
+                                + peer.codec.text("ticket")
                                 + " lag_ms 1.0");
             }
         }
@@ -223,7 +233,7 @@
     /** The reports of one tick: each replica and each proxy has its turn once in a period. */
     private void report(int tick) {
         for (int i = tick; i < shape.replicas(); i += TICKS) {
-            Party collector = collectors.get(i % shape.zones());
+            Peer collector = collectors.get(i % shape.zones());
             send(
                     collector,
                     String.format(
@@ -231,11 +241,12 @@
                             "heard az %s host %s n %d bad 0 avg 150.0 window %d report util:%.2f",
                             collector.zone,
                             StaticDiscoveryServer.replica(i),
-                            varied(TRIES),
+                            varied(REQUESTS_PER_REPORT),
                             REPORT_MILLIS,
                             0.5 * varied(100) / 100));
         }
-        double each = (double) shape.replicas() * TRIES / shape.proxies() / shape.classes();
+        double each =
+                (double) shape.replicas() * REQUESTS_PER_REPORT / shape.proxies() / shape.classes();
         for (int i = tick; i < shape.proxies(); i += TICKS) {
             for (int k = 0; k < shape.classes(); k++) {
                 send(
@@ -256,32 +267,32 @@
         return (int) Math.round(mean * (1 + VARIATION * (2 * random.nextDouble() - 1)));
     }
 
-    private void send(Party party, String words) {
+    private void send(Peer peer, String words) {
         byte[] message = RespCodec.message(List.of(words.split(" ")));
-        if (party.waitingBytes + message.length <= MOST_WAITING) {
+        if (peer.unsentBytes + message.length <= MAX_UNSENT_BYTES) {
             messagesIn.incrementAndGet();
-            party.waiting.add(ByteBuffer.wrap(message));
-            party.waitingBytes += message.length;
+            peer.unsent.add(ByteBuffer.wrap(message));
+            peer.unsentBytes += message.length;
         } else {
-            dropped.incrementAndGet();
+            droppedReports.incrementAndGet();
         }
         try {
-            flush(party);
+            flush(peer);
         } catch (IOException ended) {
-            party.waiting.clear();
-            party.waitingBytes = 0;
+            peer.unsent.clear();
+            peer.unsentBytes = 0;
         }
     }
 
-    private void flush(Party party) throws IOException {
-        while (!party.waiting.isEmpty()) {
-            int written = party.channel.write(party.waiting.peek());
+    private void flush(Peer peer) throws IOException {
+        while (!peer.unsent.isEmpty()) {
+            int written = peer.channel.write(peer.unsent.peek());
             bytesIn.addAndGet(written);
-            party.waitingBytes -= written;
-            if (party.waiting.peek().hasRemaining()) {
+            peer.unsentBytes -= written;
+            if (peer.unsent.peek().hasRemaining()) {
                 return;
             }
-            party.waiting.remove();
+            peer.unsent.remove();
         }
     }
 
@@ -294,11 +305,11 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        for (Party party : proxies) {
-            party.channel.close();
+        for (Peer peer : proxies) {
+            peer.channel.close();
         }
-        for (Party party : collectors) {
-            party.channel.close();
+        for (Peer peer : collectors) {
+            peer.channel.close();
         }
         selector.close();
     }
--- a/src/main/java/rockshift/capacity/HollowController.java
+++ b/src/main/java/rockshift/capacity/LightweightController.java
@@ -15,10 +15,11 @@
 import rockshift.distribution.wire.DistributionReactor;
 
 /**
- * A governor without a solve: the client of a real one with its own name, socket and scope. All
- * that it is told is in force at once and handed to the checker.
+ * A controller without a planner: the client of a real one with its own name, socket and scope. All
+ * that it receives is in force at once and handed to the checker. Its methods may be called from
+ * any thread; its state comes on the threads of its reactor.
  */
-final class HollowController implements DistributionListener, AutoCloseable {
+final class LightweightController implements DistributionListener, AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final String name;
@@ -28,38 +29,38 @@
     private final ScaleChecker checker;
 
     /** Items that many hold are kept once. */
-    private final UnaryOperator<Item> shared;
+    private final UnaryOperator<Item> interned;
 
     private final SplittableRandom random;
     private DistributionClient client;
 
+    private long startedAtMillis;
+
     /**
-     * When this life began, and who wants to know how long its first snapshot took; null once that
-     * is told.
+     * Records how long the first snapshot takes; null once it has. Volatile publishes the start,
+     * with {@link #startedAtMillis}, to the reactor's thread that takes the snapshot.
      */
-    private long startedAt;
-
     private volatile Histogram startTimes;
 
-    HollowController(
+    LightweightController(
             String name,
             Scope scope,
             List<InetSocketAddress> upstreams,
             DistributionReactor reactor,
             ScaleChecker checker,
-            UnaryOperator<Item> shared,
+            UnaryOperator<Item> interned,
             long seed) {
         this.name = name;
         this.scope = scope;
         this.upstreams = upstreams;
         this.reactor = reactor;
         this.checker = checker;
-        this.shared = shared;
+        this.interned = interned;
         random = new SplittableRandom(seed);
     }
 
     /** The clock of a run, in ms. */
-    static long now() {
+    static long nowMillis() {
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
@@ -67,13 +68,11 @@
         return name;
     }
 
-    /**
-     * Begins a life that holds nothing; the ms until its first snapshot is in force are recorded.
-     */
+    /** Starts without a state; the time until its first snapshot is in force is recorded, in ms. */
     synchronized void start(Histogram times) {
-        startedAt = now();
+        startedAtMillis = nowMillis();
         startTimes = times;
-        checker.saw(new Observation.Started(startedAt, name, scope));
+        checker.observe(new Observation.Started(startedAtMillis, name, scope));
         client =
                 new DistributionClient(
                         reactor, name, upstreams, scope, Limits.standard(), random.split(), this);
@@ -83,18 +82,18 @@
     /** Ends as a killed process does: nothing is said but by the end of the connection. */
     synchronized void kill() {
         client.close();
-        checker.saw(new Observation.Ended(now(), name));
+        checker.observe(new Observation.Ended(nowMillis(), name));
     }
 
-    synchronized boolean holdsSomething() {
+    synchronized boolean hasState() {
         return !client.revision().isNone();
     }
 
-    /** Hands the checker how old what is held may be, as the client tells it. */
-    synchronized void tellAge() {
-        if (holdsSomething()) {
-            long at = now();
-            checker.saw(new Observation.AgeTold(at, name, client.ageMillis()));
+    /** Hands the checker how old the state may be, as the client reports it. */
+    synchronized void reportAge() {
+        if (hasState()) {
+            long at = nowMillis();
+            checker.observe(new Observation.AgeReported(at, name, client.ageMillis()));
         }
     }
 
@@ -102,24 +101,24 @@
     public void snapshot(Revision revision, List<Item> items, Runnable inForce) {
         Histogram times = startTimes;
         if (times != null) {
-            times.recordValue(now() - startedAt);
+            times.recordValue(nowMillis() - startedAtMillis);
             startTimes = null;
         }
-        checker.saw(
+        checker.observe(
                 new Observation.SnapshotTaken(
-                        now(), name, revision, items.stream().map(shared).toList()));
+                        nowMillis(), name, revision, items.stream().map(interned).toList()));
         inForce.run();
     }
 
     @Override
     public void difference(Revision revision, List<Update> updates, Runnable inForce) {
-        checker.saw(new Observation.DifferenceTaken(now(), name, revision, updates));
+        checker.observe(new Observation.DifferenceTaken(nowMillis(), name, revision, updates));
         inForce.run();
     }
 
     @Override
     public void advanced(Revision revision) {
-        checker.saw(new Observation.Advanced(now(), name, revision));
+        checker.observe(new Observation.Advanced(nowMillis(), name, revision));
     }
 
     @Override
--- a/src/main/java/rockshift/capacity/Observation.java
+++ b/src/main/java/rockshift/capacity/Observation.java
@@ -6,50 +6,47 @@
 import rockshift.distribution.Scope;
 import rockshift.distribution.Update;
 
-/**
- * Something that a run of many governors saw, with the ms at which it happened on the one clock of
- * the run.
- */
+/** Something seen in a run of many controllers, with its time on the one clock of the run. */
 public sealed interface Observation {
+    /** When it happened. */
     long atMillis();
 
-    /** Something that one governor saw or that was done to it. */
-    sealed interface OfGovernor extends Observation {
-        String governor();
+    /** Something that one controller saw or that was done to it. */
+    sealed interface OfController extends Observation {
+        /** The name of the controller. */
+        String controller();
     }
 
-    /** A change that the members agreed; the time is when it was asked for. */
-    record Agreed(long atMillis, Update update) implements Observation {}
+    /** A change that the members agreed; the time is that of its proposal. */
+    record Committed(long atMillis, Update update) implements Observation {}
 
-    /** A governor began a life with nothing. */
-    record Started(long atMillis, String governor, Scope scope) implements OfGovernor {}
+    /** A controller started without a state. */
+    record Started(long atMillis, String controller, Scope scope) implements OfController {}
 
-    /** A governor was ended. */
-    record Ended(long atMillis, String governor) implements OfGovernor {}
+    /** A controller was ended. */
+    record Ended(long atMillis, String controller) implements OfController {}
 
     /** A whole state is in force at a governor. */
-    record SnapshotTaken(long atMillis, String governor, Revision revision, List<Item> items)
-            implements OfGovernor {}
+    record SnapshotTaken(long atMillis, String controller, Revision revision, List<Item> items)
+            implements OfController {}
 
     /** A difference is in force at a governor. */
-    record DifferenceTaken(long atMillis, String governor, Revision to, List<Update> updates)
-            implements OfGovernor {}
+    record DifferenceTaken(long atMillis, String controller, Revision to, List<Update> updates)
+            implements OfController {}
 
-    /** A governor learned that what it holds stands unchanged at a later revision. */
-    record Advanced(long atMillis, String governor, Revision to) implements OfGovernor {}
+    /** A controller learned that its state stands unchanged at a later revision. */
+    record Advanced(long atMillis, String controller, Revision to) implements OfController {}
 
-    /**
-     * A governor of its own process logged what revision is in force; what it holds there is not
-     * seen.
-     */
-    record Logged(long atMillis, String governor, Revision revision) implements OfGovernor {}
+    /** A controller of its own process logged which revision is in force; its state is not seen. */
+    record RevisionLogged(long atMillis, String controller, Revision revision)
+            implements OfController {}
 
-    /** A governor was asked how old what it holds may be at most. */
-    record AgeTold(long atMillis, String governor, long ageMillis) implements OfGovernor {}
+    /** A controller was asked how old its state may be. */
+    record AgeReported(long atMillis, String controller, long ageMillis) implements OfController {}
 
-    /** The run cut a governor off from the members. */
-    record CutOff(long atMillis, String governor) implements OfGovernor {}
+    /** The run cut a controller off from the members. */
+    record Partitioned(long atMillis, String controller) implements OfController {}
 
-    /** The run let a governor reach the members again. */
-    record Healed(long atMillis, String governor) implements OfGovernor {}
+    /** The run let a controller reach the members again. */
+    record Healed(long atMillis, String controller) implements OfController {}
 }
--- a/src/main/java/rockshift/capacity/Region.java
+++ b/src/main/java/rockshift/capacity/Region.java
@@ -15,7 +15,7 @@
 
 /**
  * The relays of a region as processes, with links to the members that can be cut; all of the
- * region's governors use both.
+ * region's controllers use both.
  */
 final class Region implements AutoCloseable {
     static final int RELAYS = 2;
@@ -83,17 +83,17 @@
     }
 
     /** Cuts the region off from all members, both ways and silently, or heals it. */
-    void cut(boolean now) {
+    void setPartitioned(boolean now) {
         links.forEach(link -> link.setPartitioned(now));
     }
 
     /** The relays, another one first for every other governor. */
-    List<InetSocketAddress> upstreams(int governor) {
+    List<InetSocketAddress> upstreams(int controller) {
         List<InetSocketAddress> all = new ArrayList<>();
         for (int i = 0; i < RELAYS; i++) {
             all.add(
                     new InetSocketAddress(
-                            InetAddress.getLoopbackAddress(), ports[(governor + i) % RELAYS]));
+                            InetAddress.getLoopbackAddress(), ports[(controller + i) % RELAYS]));
         }
         return all;
     }
--- a/src/main/java/rockshift/capacity/RoleUsage.java
+++ b/src/main/java/rockshift/capacity/RoleUsage.java
@@ -14,21 +14,21 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /** One process and what it is there for. */
-    private record Place(String role, long pid) {}
+    private record RoleProcess(String role, long pid) {}
 
-    private final Map<Place, ProcessUsage> before = new HashMap<>();
+    private final Map<RoleProcess, ProcessUsage> before = new HashMap<>();
 
     void add(String role, long pid) throws IOException {
-        before.put(new Place(role, pid), ProcessUsage.of(pid));
+        before.put(new RoleProcess(role, pid), ProcessUsage.of(pid));
     }
 
     /**
      * The most that a process of each role used since, by figure; what relays passed is shared by
      * governors.
      */
-    Map<String, Double> since(int governors) throws IOException {
+    Map<String, Double> since(int controllers) throws IOException {
         Map<String, Double> figures = new LinkedHashMap<>();
-        for (Map.Entry<Place, ProcessUsage> each : before.entrySet()) {
+        for (Map.Entry<RoleProcess, ProcessUsage> each : before.entrySet()) {
             ProcessUsage then = each.getValue();
             ProcessUsage now = ProcessUsage.of(each.getKey().pid());
             String role = each.getKey().role();
@@ -37,7 +37,7 @@
             double written = (now.bytesWritten() - then.bytesWritten()) / seconds;
             if (role.equals(RELAY)) {
                 figures.merge(
-                        "governor, bytes a second", (read + written) / governors, Double::sum);
+                        "governor, bytes a second", (read + written) / controllers, Double::sum);
             }
             figures.merge(role + ", share of a core", now.coreShareSince(then), Math::max);
             figures.merge(role + ", bytes a second read", read, Math::max);
--- a/src/main/java/rockshift/capacity/ScaleCluster.java
+++ b/src/main/java/rockshift/capacity/ScaleCluster.java
@@ -20,18 +20,19 @@
 import rockshift.testkit.ControllerProcesses;
 
 /**
- * Five members as processes, relays as processes, some real governors, and many hollow ones in this
- * process, on loopback. It owns all that it starts, and ends it also when this program is ended.
+ * Five members as processes, relays as processes, some real controllers, and many lightweight ones
+ * in this process, on loopback. It owns all that it starts, and ends it also when this program is
+ * ended.
  */
 final class ScaleCluster implements AutoCloseable {
     private static final String ELECTION = "1s";
 
-    /** Hollow governors that share two threads. */
-    private static final int GOVERNORS_PER_REACTOR = 325;
+    /** Lightweight controllers that share two threads. */
+    private static final int CONTROLLERS_PER_REACTOR = 325;
 
-    private static final long START_MILLIS = 120_000;
+    private static final long START_TIMEOUT_MILLIS = 120_000;
 
-    private final Scenario scenario;
+    private final ScaleScenario scenario;
     private final ScaleChecker checker;
     private final Consumer<String> progress;
     private final Path folder = Files.createTempDirectory("rockshift-scale-run");
@@ -39,25 +40,25 @@
     private final ControllerProcesses members;
     private final List<Region> regions = new ArrayList<>();
     private final List<DistributionReactor> reactors = new ArrayList<>();
-    private final List<HollowController> governors = new ArrayList<>();
+    private final List<LightweightController> controllers = new ArrayList<>();
     private final List<ControllerInRegion> processes = new ArrayList<>();
 
-    /** Items that many governors hold, kept once. */
+    /** Items that many controllers hold, kept once. */
     private final Map<Item, Item> items = new ConcurrentHashMap<>();
 
-    private final Thread atEnd = new Thread(this::deleteFolder);
+    private final Thread shutdownHook = new Thread(this::deleteFolder);
 
-    ScaleCluster(Scenario scenario, ScaleChecker checker, Consumer<String> progress)
+    ScaleCluster(ScaleScenario scenario, ScaleChecker checker, Consumer<String> progress)
             throws IOException {
         this.scenario = scenario;
         this.checker = checker;
         this.progress = progress;
-        Runtime.getRuntime().addShutdownHook(atEnd);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         random = new SplittableRandom(scenario.seed());
         members =
                 new ControllerProcesses(
                         folder,
-                        Scenario.MEMBERS,
+                        ScaleScenario.MEMBERS,
                         ELECTION,
                         scenario.seed(),
                         (member, life, line) -> {});
@@ -71,32 +72,34 @@
         return regions;
     }
 
-    List<HollowController> governors() {
-        return governors;
+    List<LightweightController> controllers() {
+        return controllers;
     }
 
-    /** Governors of both kinds. */
+    /** Controllers of both kinds. */
     int subscribers() {
-        return governors.size() + processes.size();
+        return controllers.size() + processes.size();
     }
 
     /** Where members take commands. */
-    List<String> fronts() {
+    List<String> memberAddresses() {
         List<String> fronts = new ArrayList<>();
-        for (int i = 0; i < Scenario.MEMBERS; i++) {
+        for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
             fronts.add(members.clientAddress(i));
         }
         return fronts;
     }
 
-    /** Starts members, relays and real governors; hollow ones are there and not started. */
+    /** Starts members, relays and real controllers; lightweight ones are there and not started. */
     void start() throws IOException, InterruptedException {
-        for (int i = 0; i < Scenario.MEMBERS; i++) {
+        for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
             members.start(i);
         }
-        progress.accept(Scenario.MEMBERS + " members serve");
+        progress.accept(ScaleScenario.MEMBERS + " members serve");
         List<Integer> ports =
-                fronts().stream().map(front -> Integer.parseInt(front.split(":")[1])).toList();
+                memberAddresses().stream()
+                        .map(front -> Integer.parseInt(front.split(":")[1]))
+                        .toList();
         for (int i = 0; i < scenario.regions(); i++) {
             regions.add(new Region("region-" + i, folder, ports, scenario.seed() + i));
         }
@@ -112,8 +115,8 @@
                             regions.get(i % regions.size()).upstreams(i),
                             checker));
         }
-        for (int i = 0; i < scenario.governors(); i++) {
-            governors.add(governor(i));
+        for (int i = 0; i < scenario.controllers(); i++) {
+            controllers.add(createController(i));
         }
     }
 
@@ -126,22 +129,23 @@
         }
     }
 
-    private int regionOf(int governor) {
-        return governor % scenario.regions();
+    private int regionOf(int controller) {
+        return controller % scenario.regions();
     }
 
-    private HollowController governor(int number) {
-        if (number % GOVERNORS_PER_REACTOR == 0) {
+    private LightweightController createController(int number) {
+        if (number % CONTROLLERS_PER_REACTOR == 0) {
             reactors.add(new DistributionReactor());
         }
         int zone =
                 regionOf(number)
-                        + scenario.regions() * random.nextInt(Scenario.ZONES / scenario.regions());
+                        + scenario.regions()
+                                * random.nextInt(ScaleScenario.ZONES / scenario.regions());
         Scope scope =
                 Scope.of(
-                        Set.of(Scenario.service(random.nextInt(Scenario.SERVICES))),
-                        Set.of(Scenario.zone(zone)));
-        return new HollowController(
+                        Set.of(ScaleScenario.service(random.nextInt(ScaleScenario.SERVICES))),
+                        Set.of(ScaleScenario.zone(zone)));
+        return new LightweightController(
                 "g-" + number,
                 scope,
                 regions.get(regionOf(number)).upstreams(number / scenario.regions()),
@@ -151,26 +155,26 @@
                 random.nextLong());
     }
 
-    /** Waits until each hollow governor holds something. */
-    void awaitGovernors() throws IOException, InterruptedException {
-        long end = HollowController.now() + START_MILLIS;
-        while (!governors.stream().allMatch(HollowController::holdsSomething)) {
-            if (HollowController.now() > end) {
+    /** Waits until each lightweight controller holds something. */
+    void awaitStates() throws IOException, InterruptedException {
+        long end = LightweightController.nowMillis() + START_TIMEOUT_MILLIS;
+        while (!controllers.stream().allMatch(LightweightController::hasState)) {
+            if (LightweightController.nowMillis() > end) {
                 throw new IOException(
-                        governors.stream().filter(one -> !one.holdsSomething()).count()
+                        controllers.stream().filter(one -> !one.hasState()).count()
                                 + " governors hold nothing after "
-                                + START_MILLIS
+                                + START_TIMEOUT_MILLIS
                                 + " ms");
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    /** The governors of a region, hollow and real. */
+    /** The controllers of a region, lightweight and real. */
     List<String> namesIn(int region) {
         List<String> names = new ArrayList<>();
-        for (int i = region; i < governors.size(); i += scenario.regions()) {
-            names.add(governors.get(i).name());
+        for (int i = region; i < controllers.size(); i += scenario.regions()) {
+            names.add(controllers.get(i).name());
         }
         for (int i = region; i < processes.size(); i += scenario.regions()) {
             names.add(processes.get(i).name());
@@ -180,10 +184,10 @@
 
     /** The number of the member that leads, or 0 while none says so. */
     int leader() throws IOException {
-        try (Client client = new Client(fronts(), random.split(), 1_000)) {
+        try (Client client = new Client(memberAddresses(), random.split(), 1_000)) {
             for (var status : client.statuses().entrySet()) {
                 if (status.getValue().path("role").asText().equals("leader")) {
-                    return fronts().indexOf(status.getKey());
+                    return memberAddresses().indexOf(status.getKey());
                 }
             }
         }
@@ -198,7 +202,7 @@
                 usage.add(RoleUsage.RELAY, region.pid(i));
             }
         }
-        for (int i = 0; i < Scenario.MEMBERS; i++) {
+        for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
             usage.add(i == leader ? "leader" : "follower", members.pid(i));
         }
         for (ControllerInRegion process : processes) {
@@ -217,7 +221,7 @@
 
     @Override
     public void close() throws IOException, InterruptedException {
-        governors.forEach(HollowController::close);
+        controllers.forEach(LightweightController::close);
         for (DistributionReactor reactor : reactors) {
             reactor.close();
         }
@@ -229,6 +233,6 @@
         }
         members.close();
         deleteFolder();
-        Runtime.getRuntime().removeShutdownHook(atEnd);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 }
--- a/src/main/java/rockshift/capacity/ScaleRun.java
+++ b/src/main/java/rockshift/capacity/ScaleRun.java
@@ -15,45 +15,46 @@
 import rockshift.testkit.ProcessUsage;
 
 /**
- * One play of a {@link Scenario}: changes at a rate, governors killed at a rate, and each fault
- * once, on a {@link ScaleCluster}. What all governors saw goes to a {@link ScaleChecker}.
+ * One run of a {@link ScaleScenario}: changes at a rate, controllers killed at a rate, and each
+ * fault once, on a {@link ScaleCluster}. What all controllers saw goes to a {@link ScaleChecker}.
  */
 public final class ScaleRun implements AutoCloseable {
     private static final long STEP_MILLIS = 100;
     private static final long SAMPLE_MILLIS = 1_000;
 
     /** How long a member or relay stays away after it was killed. */
-    private static final long AWAY_MILLIS = 2_000;
+    private static final long DOWNTIME_MILLIS = 2_000;
 
     /**
      * Ms for which this program may be held up before a run is void: a tenth of what a change may
      * take.
      */
-    private static final long RIG_LATE_MILLIS = ScaleVerdict.IN_FORCE_MILLIS / 10;
+    private static final long MAX_STALL_MILLIS = ScaleVerdict.MAX_IN_FORCE_MILLIS / 10;
 
     /** Shares of the changes after which each fault comes. */
-    private static final double CUT_AT = 0.2;
+    private static final double PARTITION_AT_FRACTION = 0.2;
 
-    private static final double LEADER_AT = 0.5;
-    private static final double RELAY_AT = 0.65;
-    private static final double ALL_AT = 0.8;
+    private static final double LEADER_KILL_AT_FRACTION = 0.5;
+    private static final double RELAY_KILL_AT_FRACTION = 0.65;
+    private static final double RESTART_ALL_AT_FRACTION = 0.8;
 
     /** What came of a run; figures by name, in their order. */
     public record Outcome(
             ScaleVerdict verdict, Map<String, Double> figures, List<String> voidReasons) {
         /** The last line of a run. */
-        public String line() {
-            return verdict.line(
+        public String summary() {
+            return verdict.summary(
                     figures.get("busiest member, share of a core"),
                     figures.get("governor, bytes a second"));
         }
 
-        public boolean held() {
-            return verdict.held() && voidReasons.isEmpty();
+        /** Whether nothing went wrong and the run counts. */
+        public boolean passed() {
+            return verdict.passed() && voidReasons.isEmpty();
         }
     }
 
-    private final Scenario scenario;
+    private final ScaleScenario scenario;
     private final Consumer<String> progress;
     private final ScaleChecker checker = new ScaleChecker();
     private final SplittableRandom random;
@@ -62,16 +63,17 @@
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
     /**
-     * Ms until governors hold their state: those killed and started one by one, and all at once.
+     * Ms until controllers hold their state: those killed and started one by one, and all at once.
      */
     private final Histogram startedAlone = new ConcurrentHistogram(3);
 
     private final Histogram startedTogether = new ConcurrentHistogram(3);
     private double busiestMember;
-    private long lastSampleAt;
-    private long nextKillAt;
+    private long lastSampleAtMillis;
+    private long nextKillAtMillis;
 
-    public ScaleRun(Scenario scenario, Consumer<String> progress) throws IOException {
+    /** A run that has not begun; progress hears a line from time to time. */
+    public ScaleRun(ScaleScenario scenario, Consumer<String> progress) throws IOException {
         if (!scenario.fits()) {
             throw new IllegalArgumentException("more processes or regions than a run may have");
         }
@@ -81,22 +83,23 @@
         cluster = new ScaleCluster(scenario, checker, progress);
     }
 
-    /** Plays it all and judges. */
+    /** Runs the scenario and checks what was seen. */
     public Outcome run() throws IOException, InterruptedException {
-        try (RigWatch rig = new RigWatch()) {
+        try (StallMonitor stalls = new StallMonitor()) {
             cluster.start();
-            startGovernors("all governors at once until in force, ms");
-            ChangeLoad load = new ChangeLoad(cluster.fronts(), scenario, checker);
+            startControllers("all governors at once until in force, ms");
+            ChangeLoad load = new ChangeLoad(cluster.memberAddresses(), scenario, checker);
             playChanges(load);
-            awaitQuiet();
+            awaitLastChanges();
             figures.put("busiest member, share of a core", busiestMember);
-            figures.put("rig, held up at most, ms", (double) rig.latestMillis());
+            figures.put("rig, held up at most, ms", (double) stalls.longestStallMillis());
             figures.put(
                     "load average at the end",
                     ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
             ScaleVerdict verdict = checker.verdict();
             figures.put(
-                    "in force everywhere, longest ms", (double) verdict.everywhere().getMaxValue());
+                    "in force everywhere, longest ms",
+                    (double) verdict.inForceEverywhereMillis().getMaxValue());
             figures.put("governors started one by one", (double) startedAlone.getTotalCount());
             figures.put(
                     "one governor started until in force, median ms",
@@ -104,14 +107,14 @@
             figures.put(
                     "one governor started until in force, longest ms",
                     (double) startedAlone.getMaxValue());
-            return new Outcome(verdict, figures, voidReasons(rig, load));
+            return new Outcome(verdict, figures, voidReasons(stalls, load));
         }
     }
 
-    private static List<String> voidReasons(RigWatch rig, ChangeLoad load) {
+    private static List<String> voidReasons(StallMonitor stalls, ChangeLoad load) {
         List<String> reasons = new ArrayList<>();
-        if (rig.latestMillis() > RIG_LATE_MILLIS) {
-            reasons.add("the rig was held up for " + rig.latestMillis() + " ms");
+        if (stalls.longestStallMillis() > MAX_STALL_MILLIS) {
+            reasons.add("the rig was held up for " + stalls.longestStallMillis() + " ms");
         }
         if (load.unanswered() > 0) {
             reasons.add(load.unanswered() + " changes were not answered for good");
@@ -121,16 +124,21 @@
 
     // ---- changes and faults ---------------------------------------------------------------------
 
-    private List<Fault> faults() {
-        List<Fault> faults = new ArrayList<>();
-        if (scenario.cutMillis() > 0) {
-            faults.add(new Fault(CUT_AT, scenario.cutMillis(), () -> cut(true), () -> cut(false)));
+    private List<ScheduledFault> faults() {
+        List<ScheduledFault> faults = new ArrayList<>();
+        if (scenario.partitionMillis() > 0) {
+            faults.add(
+                    new ScheduledFault(
+                            PARTITION_AT_FRACTION,
+                            scenario.partitionMillis(),
+                            () -> setPartitioned(true),
+                            () -> setPartitioned(false)));
         }
         int[] leader = new int[1];
         faults.add(
-                new Fault(
-                        LEADER_AT,
-                        AWAY_MILLIS,
+                new ScheduledFault(
+                        LEADER_KILL_AT_FRACTION,
+                        DOWNTIME_MILLIS,
                         () -> {
                             leader[0] = cluster.leader();
                             progress.accept("leader n" + leader[0] + " is killed");
@@ -139,95 +147,104 @@
                         () -> cluster.members().start(leader[0])));
         Region last = cluster.regions().get(scenario.regions() - 1);
         faults.add(
-                new Fault(
-                        RELAY_AT,
-                        AWAY_MILLIS,
+                new ScheduledFault(
+                        RELAY_KILL_AT_FRACTION,
+                        DOWNTIME_MILLIS,
                         () -> {
                             progress.accept("a relay is killed");
                             last.killRelay(0);
                         },
                         () -> last.startRelay(0)));
-        faults.add(new Fault(ALL_AT, 0, this::restartAll, () -> {}));
+        faults.add(new ScheduledFault(RESTART_ALL_AT_FRACTION, 0, this::restartAll, () -> {}));
         return faults;
     }
 
     private void playChanges(ChangeLoad load) throws IOException, InterruptedException {
         Thread asking = new Thread(load, "changes");
         asking.setDaemon(true);
-        List<Fault> faults = faults();
+        List<ScheduledFault> faults = faults();
         int leader = cluster.leader();
         RoleUsage before = cluster.usage(leader);
-        long began = HollowController.now();
+        long startedMillis = LightweightController.nowMillis();
         asking.start();
-        nextKillAt = began + (long) Math.min(Integer.MAX_VALUE, scenario.millisBetweenKills());
+        nextKillAtMillis =
+                startedMillis + (long) Math.min(Integer.MAX_VALUE, scenario.millisBetweenKills());
         boolean steady = true;
         while (asking.isAlive()) {
-            double done = (double) load.asked() / scenario.changes();
-            if (steady && done >= CUT_AT) {
+            double done = (double) load.proposed() / scenario.changes();
+            if (steady && done >= PARTITION_AT_FRACTION) {
                 steady = false;
                 figures.putAll(before.since(cluster.subscribers()));
             }
             step(faults, done);
         }
-        for (long end = HollowController.now() + scenario.cutMillis() + AWAY_MILLIS;
-                HollowController.now() < end; ) {
+        for (long end =
+                        LightweightController.nowMillis()
+                                + scenario.partitionMillis()
+                                + DOWNTIME_MILLIS;
+                LightweightController.nowMillis() < end; ) {
             step(faults, 1);
         }
     }
 
-    private void step(List<Fault> faults, double done) throws IOException, InterruptedException {
+    private void step(List<ScheduledFault> faults, double done)
+            throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
-        long now = HollowController.now();
-        for (Fault fault : faults) {
+        long now = LightweightController.nowMillis();
+        for (ScheduledFault fault : faults) {
             fault.step(done, now);
         }
-        if (now > nextKillAt) {
-            nextKillAt += (long) scenario.millisBetweenKills();
-            HollowController one = cluster.governors().get(random.nextInt(scenario.governors()));
+        if (now > nextKillAtMillis) {
+            nextKillAtMillis += (long) scenario.millisBetweenKills();
+            LightweightController one =
+                    cluster.controllers().get(random.nextInt(scenario.controllers()));
             one.kill();
             one.start(startedAlone);
         }
-        if (now > lastSampleAt + SAMPLE_MILLIS) {
-            lastSampleAt = now;
-            cluster.governors().forEach(HollowController::tellAge);
+        if (now > lastSampleAtMillis + SAMPLE_MILLIS) {
+            lastSampleAtMillis = now;
+            cluster.controllers().forEach(LightweightController::reportAge);
             sampleMembers();
         }
     }
 
-    private void cut(boolean cut) {
-        progress.accept("region " + scenario.cutRegion() + (cut ? " is cut" : " is healed"));
+    private void setPartitioned(boolean cut) {
+        progress.accept(
+                "region " + scenario.partitionedRegion() + (cut ? " is cut" : " is healed"));
         if (!cut) {
-            cluster.regions().get(scenario.cutRegion()).cut(false);
+            cluster.regions().get(scenario.partitionedRegion()).setPartitioned(false);
         }
-        long now = HollowController.now();
-        for (String name : cluster.namesIn(scenario.cutRegion())) {
-            checker.saw(
-                    cut ? new Observation.CutOff(now, name) : new Observation.Healed(now, name));
+        long now = LightweightController.nowMillis();
+        for (String name : cluster.namesIn(scenario.partitionedRegion())) {
+            checker.observe(
+                    cut
+                            ? new Observation.Partitioned(now, name)
+                            : new Observation.Healed(now, name));
         }
         if (cut) {
-            cluster.regions().get(scenario.cutRegion()).cut(true);
+            cluster.regions().get(scenario.partitionedRegion()).setPartitioned(true);
         }
     }
 
-    private void startGovernors(String figure) throws IOException, InterruptedException {
-        long began = HollowController.now();
-        cluster.governors().forEach(governor -> governor.start(startedTogether));
-        cluster.awaitGovernors();
-        figures.put(figure, (double) (HollowController.now() - began));
+    private void startControllers(String figure) throws IOException, InterruptedException {
+        long startedMillis = LightweightController.nowMillis();
+        cluster.controllers().forEach(governor -> governor.start(startedTogether));
+        cluster.awaitStates();
+        figures.put(figure, (double) (LightweightController.nowMillis() - startedMillis));
     }
 
     private void restartAll() throws IOException, InterruptedException {
         progress.accept("all governors start again");
-        cluster.governors().forEach(HollowController::kill);
-        startGovernors("all governors again at once until in force, ms");
+        cluster.controllers().forEach(LightweightController::kill);
+        startControllers("all governors again at once until in force, ms");
     }
 
     /** Waits as long as a change may take, so that what is then missing is lost. */
-    private void awaitQuiet() throws InterruptedException {
-        long end = HollowController.now() + 2 * ScaleVerdict.IN_FORCE_MILLIS;
-        while (HollowController.now() < end) {
+    private void awaitLastChanges() throws InterruptedException {
+        long end = LightweightController.nowMillis() + 2 * ScaleVerdict.MAX_IN_FORCE_MILLIS;
+        while (LightweightController.nowMillis() < end) {
             TimeUnit.MILLISECONDS.sleep(SAMPLE_MILLIS);
-            cluster.governors().forEach(HollowController::tellAge);
+            cluster.controllers().forEach(LightweightController::reportAge);
         }
     }
 
@@ -235,7 +252,7 @@
 
     private void sampleMembers() throws IOException {
         double most = 0;
-        for (int i = 0; i < Scenario.MEMBERS; i++) {
+        for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
             if (cluster.members().isRunning(i)) {
                 ProcessUsage now = ProcessUsage.of(cluster.members().pid(i));
                 ProcessUsage before = lastUsage.put(cluster.members().pid(i), now);
--- a/src/main/java/rockshift/capacity/ScaleVerdict.java
+++ b/src/main/java/rockshift/capacity/ScaleVerdict.java
@@ -5,45 +5,46 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a checker found.
+ * The result of a {@link ScaleChecker}.
  *
- * @param governors governors seen
+ * @param controllers controllers seen
  * @param changes changes agreed
- * @param everywhere ms from the asking of a change until it was in force at every governor that it
- *     concerns, outside cuts
- * @param lost changes missing at a governor that should have them
+ * @param inForceEverywhereMillis ms from the asking of a change until it was in force at every
+ *     controller that it concerns, outside cuts
+ * @param lost changes missing at a controller that should have them
  * @param disordered revisions that went back, came twice, or came without having been agreed or
  *     asked for
- * @param stale governors that were not up to date in time after a cut, or called fresh what was not
+ * @param stale controllers that were not up to date in time after a cut, or called fresh what was
+ *     not
  * @param examples the first of each kind, in words
  */
 public record ScaleVerdict(
-        int governors,
+        int controllers,
         int changes,
-        Histogram everywhere,
+        Histogram inForceEverywhereMillis,
         int lost,
         int disordered,
         int stale,
         List<String> examples) {
     /** Ms within which each change is to be in force everywhere. */
-    public static final long IN_FORCE_MILLIS = 5_000;
+    public static final long MAX_IN_FORCE_MILLIS = 5_000;
 
     /** Whether nothing was lost, disordered or stale, and no change took too long. */
-    public boolean held() {
+    public boolean passed() {
         return lost == 0
                 && disordered == 0
                 && stale == 0
-                && everywhere.getMaxValue() <= IN_FORCE_MILLIS;
+                && inForceEverywhereMillis.getMaxValue() <= MAX_IN_FORCE_MILLIS;
     }
 
     /** The last line of a run, with what it measured beside. */
-    public String line(double busiestMemberShare, double governorBytesPerSecond) {
+    public String summary(double busiestMemberShare, double governorBytesPerSecond) {
         return String.format(
                 Locale.ROOT,
                 "scale: %d governors, %d changes, in force everywhere p50 %.2f s p99 %.2f s max"
                         + " %.2f s, %d lost, %d out of order, %d stale after heal, busiest member"
                         + " %.1f%% of a core, governor %.0f B/s",
-                governors,
+                controllers,
                 changes,
                 seconds(50),
                 seconds(99),
@@ -56,8 +57,8 @@
     }
 
     private double seconds(double percentile) {
-        return everywhere.getTotalCount() == 0
+        return inForceEverywhereMillis.getTotalCount() == 0
                 ? 0
-                : everywhere.getValueAtPercentile(percentile) / 1_000.0;
+                : inForceEverywhereMillis.getValueAtPercentile(percentile) / 1_000.0;
     }
 }
--- a/src/main/java/rockshift/capacity/RigWatch.java
+++ b/src/main/java/rockshift/capacity/StallMonitor.java
@@ -7,24 +7,24 @@
  * Notices where this program itself was held up: a thread that wakes at an interval, and how late
  * it was at most.
  */
-final class RigWatch implements AutoCloseable {
+final class StallMonitor implements AutoCloseable {
     private static final long INTERVAL_MILLIS = 50;
 
-    private final AtomicLong latest = new AtomicLong();
+    private final AtomicLong longestMillis = new AtomicLong();
     private final Thread thread = new Thread(this::watch, "rig-watch");
 
-    RigWatch() {
+    StallMonitor() {
         thread.setDaemon(true);
         thread.start();
     }
 
     private void watch() {
         try {
-            for (long due = HollowController.now() + INTERVAL_MILLIS;
+            for (long due = LightweightController.nowMillis() + INTERVAL_MILLIS;
                     ;
-                    due = HollowController.now() + INTERVAL_MILLIS) {
+                    due = LightweightController.nowMillis() + INTERVAL_MILLIS) {
                 TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
-                latest.accumulateAndGet(HollowController.now() - due, Math::max);
+                longestMillis.accumulateAndGet(LightweightController.nowMillis() - due, Math::max);
             }
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
@@ -32,8 +32,8 @@
     }
 
     /** The longest that the thread was held up so far, in ms. */
-    long latestMillis() {
-        return latest.get();
+    long longestStallMillis() {
+        return longestMillis.get();
     }
 
     @Override
--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -19,13 +19,13 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import rockshift.capacity.Capacity;
+import rockshift.capacity.CapacityReport;
 import rockshift.capacity.ControllerRun;
 import rockshift.capacity.ControllerSample;
 import rockshift.capacity.ControllerSweep;
 import rockshift.capacity.FleetShape;
 import rockshift.capacity.ScaleRun;
-import rockshift.capacity.Scenario;
+import rockshift.capacity.ScaleScenario;
 import rockshift.capacity.SlopeFit;
 import rockshift.testkit.MeasurementCharts;
 
@@ -323,8 +323,8 @@
             // Thousands of connections begin and end here, each with a line of its own.
             System.setProperty(
                     "org.slf4j.simpleLogger.log.rockshift.cluster.DistributionReactor", "error");
-            Scenario scenario =
-                    new Scenario(
+            ScaleScenario scenario =
+                    new ScaleScenario(
                             governors,
                             processes,
                             changes,
@@ -351,8 +351,8 @@
             if (kept != null) {
                 keep(outcome);
             }
-            out.println(outcome.line());
-            return outcome.held() ? Commands.SUCCESS : Commands.FAILURE;
+            out.println(outcome.summary());
+            return outcome.passed() ? Commands.SUCCESS : Commands.FAILURE;
         }
 
         private void keep(ScaleRun.Outcome outcome) throws IOException {
@@ -382,18 +382,18 @@
                                                     label,
                                                     name,
                                                     value)));
-            rows.append(label + ",\"" + outcome.line() + "\",\n");
+            rows.append(label + ",\"" + outcome.summary() + "\",\n");
             outcome.voidReasons()
                     .forEach(reason -> rows.append(label + ",\"void: " + reason + "\",\n"));
             append(
                     kept.resolve("run.csv"),
                     "governors,changes,seed,change_rate,kill_rate,cut_seconds,void,figure,value\n",
                     rows.toString());
-            if (outcome.verdict().everywhere().getTotalCount() > 0) {
+            if (outcome.verdict().inForceEverywhereMillis().getTotalCount() > 0) {
                 MeasurementCharts.drawLatencyTail(
                         kept.resolve("run-" + governors + ".png"),
                         "Time until a change was in force everywhere, " + governors + " governors",
-                        inMicros(outcome.verdict().everywhere()));
+                        inMicros(outcome.verdict().inForceEverywhereMillis()));
             }
         }
 
@@ -428,12 +428,12 @@
 
         @Override
         public Integer call() throws IOException {
-            List<Capacity.Worked> all = new Capacity(folder).worked();
+            List<CapacityReport.Projection> all = new CapacityReport(folder).projections();
             Map<String, Double> factors = new LinkedHashMap<>();
             all.stream()
-                    .filter(Capacity.Worked::budgeted)
+                    .filter(CapacityReport.Projection::budgeted)
                     .forEach(worked -> factors.put(worked.what(), worked.factor()));
-            table(all.stream().filter(Capacity.Worked::budgeted).toList());
+            table(all.stream().filter(CapacityReport.Projection::budgeted).toList());
             table(all.stream().filter(worked -> !worked.budgeted()).toList());
             MeasurementCharts.drawBudgetFactors(
                     folder.resolve("budgets.png"),
@@ -442,7 +442,7 @@
             return Commands.SUCCESS;
         }
 
-        private void table(List<Capacity.Worked> rows) {
+        private void table(List<CapacityReport.Projection> rows) {
             PrintWriter out = spec.commandLine().getOut();
             out.println(
                     "| figure | at the target (95%) | budget | line |\n| --- | --- | --- | --- |");
--- a/src/test/java/rockshift/capacity/ControllerRunTest.java
+++ b/src/test/java/rockshift/capacity/ControllerRunTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * One real governor before a small fleet: figures come, all proxies get tables, nothing is left
+ * One real controller before a small fleet: figures come, all proxies get tables, nothing is left
  * behind.
  */
 class ControllerRunTest {
