--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -12,11 +12,11 @@
 import rockshift.server.AgreedChangesSource;
 
 /**
- * Joins a member of the agreement to the governor of its process: what was agreed goes in, what is
- * listed comes out.
+ * Connects a member of the cluster to the controller of its process: the agreed state goes in, the
+ * list of replicas comes out. Calls come on the member's thread.
  */
 final class ClusterChangesSource implements AgreedChangesSource, LocalController {
-    private static final long TENTHS_PER_MILLI = 10;
+    private static final long TICKS_PER_MILLI = 10;
 
     private final ClusterSettings settings;
     private AgreedChangesReceiver receiver;
@@ -80,7 +80,7 @@
     @Override
     public long started(String replica) {
         Endpoint entry = receiver.endpoints().get(replica);
-        return entry == null ? 0 : entry.startedAtTicks() / TENTHS_PER_MILLI;
+        return entry == null ? 0 : entry.startedAtTicks() / TICKS_PER_MILLI;
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/rockshift/cli/ClusterMemberCommands.java
@@ -0,0 +1,112 @@
+package rockshift.cli;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import rockshift.cluster.Client;
+
+/** The commands that change members, leadership and snapshots. */
+final class ClusterMemberCommands {
+    private ClusterMemberCommands() {}
+
+    @Command(
+            name = "member",
+            mixinStandardHelpOptions = true,
+            description = "Changes who takes part, one at a time.",
+            synopsisSubcommandLabel = "COMMAND",
+            subcommands = {Add.class, Remove.class})
+    static final class Members extends CommandGroup {}
+
+    @Command(
+            name = "add",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Adds a member that runs already: it is brought up to date first and votes"
+                            + " then.")
+    static final class Add implements Callable<Integer> {
+        @Mixin private MemberOptions members;
+
+        @Parameters(index = "0", paramLabel = "NAME")
+        private String name;
+
+        @Parameters(index = "1", paramLabel = "ADDRESS")
+        private String address;
+
+        @Option(names = "--learner", description = "it only follows, and never votes")
+        private boolean learner;
+
+        @Override
+        public Integer call() throws Exception {
+            try (Client client = members.client()) {
+                JsonNode self = client.ask(address, Client.call("status"));
+                if (!self.path("name").asText().equals(name)) {
+                    members.out()
+                            .println(
+                                    "refused: at "
+                                            + address
+                                            + " is "
+                                            + self.path("name").asText()
+                                            + ", not "
+                                            + name);
+                    return Commands.FAILURE;
+                }
+                return members.print(
+                        client.askLeader(
+                                Client.call("add")
+                                        .put("id", self.path("number").asLong())
+                                        .put("name", name)
+                                        .put("address", address)
+                                        .put("learner", learner),
+                                members.deadlineMillis()),
+                        name + " added");
+            }
+        }
+    }
+
+    @Command(name = "remove", mixinStandardHelpOptions = true, description = "Removes a member.")
+    static final class Remove implements Callable<Integer> {
+        @Mixin private MemberOptions members;
+
+        @Parameters(index = "0", paramLabel = "NAME")
+        private String name;
+
+        @Override
+        public Integer call() throws Exception {
+            return members.ask(Client.call("remove").put("name", name), name + " removed");
+        }
+    }
+
+    @Command(
+            name = "transfer",
+            mixinStandardHelpOptions = true,
+            description = "Hands leadership to a member.")
+    static final class Transfer implements Callable<Integer> {
+        @Mixin private MemberOptions members;
+
+        @Parameters(index = "0", paramLabel = "NAME")
+        private String name;
+
+        @Override
+        public Integer call() throws Exception {
+            return members.ask(
+                    Client.call("transfer").put("name", name), "handing over to " + name);
+        }
+    }
+
+    @Command(
+            name = "snapshot",
+            mixinStandardHelpOptions = true,
+            description = "Has the first member that answers take a snapshot now.")
+    static final class Snapshot implements Callable<Integer> {
+        @Mixin private MemberOptions members;
+
+        @Override
+        public Integer call() throws Exception {
+            return members.ask(
+                    Client.call("snapshot"), "a snapshot is taken, where there is anything new");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rockshift/cli/MemberOptions.java
@@ -0,0 +1,122 @@
+package rockshift.cli;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.random.RandomGenerator;
+import picocli.CommandLine;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Spec;
+import rockshift.cluster.Change;
+import rockshift.cluster.Client;
+import rockshift.cluster.ClusterSettings;
+import rockshift.config.InvalidFileException;
+import rockshift.config.OperatorFile;
+import rockshift.config.Section;
+
+/** Which members a command asks, for how long, and how it prints the answer. */
+final class MemberOptions {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int CALL_TIMEOUT_MILLIS = 2_000;
+
+    @Option(
+            names = "--at",
+            split = ",",
+            paramLabel = "ADDRESS",
+            description = "members to ask, by HOST:PORT")
+    private List<String> addresses = List.of();
+
+    @Option(
+            names = "--operator",
+            paramLabel = "FILE",
+            description = "an operator's file that names the founders")
+    private String operator;
+
+    @Option(
+            names = "--timeout",
+            paramLabel = "SECONDS",
+            defaultValue = "10",
+            description = "how long to go on asking (${DEFAULT-VALUE})")
+    private int timeoutSeconds;
+
+    @Option(names = "--json", description = "print the answer as JSON")
+    private boolean json;
+
+    @Spec(Spec.Target.MIXEE)
+    private CommandSpec spec;
+
+    /** The members to ask, those of the operator's file last. */
+    List<String> addresses() throws InvalidFileException {
+        List<String> all = new ArrayList<>(addresses);
+        if (operator != null) {
+            Section file = OperatorFile.read(operator);
+            ClusterSettings settings = ClusterSettings.read(file);
+            all.add(settings.address());
+            settings.founders().values().stream()
+                    .filter(address -> !all.contains(address))
+                    .forEach(all::add);
+        }
+        if (all.isEmpty()) {
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "name members by --at or --operator");
+        }
+        return all;
+    }
+
+    /** A client of these members; the caller closes it. */
+    Client client() throws InvalidFileException {
+        return new Client(addresses(), RandomGenerator.getDefault(), CALL_TIMEOUT_MILLIS);
+    }
+
+    /** Until when to go on asking, by the monotonic clock. */
+    long deadlineMillis() {
+        return System.nanoTime() / NANOS_PER_MILLI + timeoutSeconds * 1_000L;
+    }
+
+    /** Whether answers are printed as JSON. */
+    boolean json() {
+        return json;
+    }
+
+    PrintWriter out() {
+        return spec.commandLine().getOut();
+    }
+
+    /** Prints an answer and returns the exit status. */
+    int print(JsonNode answer, String done) {
+        String refused =
+                answer.path("refused").asText(answer.path("answer").path("refused").asText(""));
+        if (json) {
+            out().println(answer);
+        } else {
+            out().println(refused.isEmpty() ? done : "refused: " + refused);
+        }
+        return refused.isEmpty() ? Commands.SUCCESS : Commands.FAILURE;
+    }
+
+    /** Proposes a change, prints what came of it, and returns the exit status. */
+    int change(Change change, boolean force)
+            throws InvalidFileException, IOException, InterruptedException {
+        try (Client client = client()) {
+            JsonNode answer = client.change(change, force, deadlineMillis());
+            return print(
+                    answer,
+                    "agreed as version "
+                            + answer.path("answer").path("version")
+                            + ", entry "
+                            + answer.path("index"));
+        }
+    }
+
+    /** Asks the leader, prints its answer, and returns the exit status. */
+    int ask(ObjectNode call, String done)
+            throws InvalidFileException, IOException, InterruptedException {
+        try (Client client = client()) {
+            return print(client.askLeader(call, deadlineMillis()), done);
+        }
+    }
+}
--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -7,13 +7,13 @@
 import rockshift.distribution.wire.DistributionSettings;
 
 /**
- * All that an operator's file switches on.
+ * The settings of an operator's file.
  *
- * @param cluster the member that it makes of a governor; null for none
- * @param distribution what a governor or relay subscribes to; null for nothing
+ * @param cluster the member that a controller becomes by it; null for none
+ * @param distribution what a controller or relay subscribes to; null for nothing
  */
 record OperatorSettings(ClusterSettings cluster, DistributionSettings distribution) {
-    /** Reads a file, and refuses what does not fit together. */
+    /** Reads a file, and rejects settings that do not fit together. */
     static OperatorSettings read(String name) throws InvalidFileException {
         return read(OperatorFile.read(name));
     }
@@ -30,7 +30,7 @@
         return new OperatorSettings(cluster, distribution);
     }
 
-    /** Where a governor that serves by this file has its agreed changes from. */
+    /** Where a controller with this file gets the agreed changes from. */
     static rockshift.server.AgreedChangesSource source(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         OperatorSettings settings = read(file);
@@ -43,7 +43,7 @@
         return new DistributionChangesSource(settings.distribution);
     }
 
-    /** What a relay is told. */
+    /** The settings of a relay. */
     static DistributionSettings relay(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         if (!file.has("distribution")) {
--- a/src/main/java/rockshift/cli/package-info.java
+++ b/src/main/java/rockshift/cli/package-info.java
@@ -1,6 +1,12 @@
 /**
- * The command line: one class for each group of commands. It owns options, help, exit statuses and
- * how results are printed. It must never hold what a command decides or does; nothing else in the
- * program knows of it but the word that starts it.
+ * The commands of the program, and what joins the server to the members or relays in its process.
+ * Exit statuses are those of {@link rockshift.cli.Commands}.
+ *
+ * <p>State: none that outlives a command; {@code ClusterChangesSource} and {@code
+ * DistributionChangesSource} own the member or subscription of a controller's process.
+ *
+ * <p>Threads: a command runs on the main thread; what it starts has threads of its own.
+ *
+ * <p>Begin with {@link rockshift.cli.Commands}; a class a command follows.
  */
 package rockshift.cli;
