--- a/src/main/java/rockshift/planner/TableChange.java
+++ b/src/main/java/rockshift/planner/TableChange.java
@@ -2,16 +2,27 @@
 
 /** A difference between what is published and what should be. */
 sealed interface TableChange {
+    /** Priority of a level; removals come before it, and changed weights after. */
+    double LEVEL_PRIORITY = 1;
+
     RoutingTable table();
 
+    /** Whether it changes a weight that is published already. */
+    boolean changesWeight();
+
     /** Changes of higher priority are sent first. */
     double priority();
 
     /** A new admission level for a table's class. */
     record Level(RoutingTable table, double level) implements TableChange {
+        @Override
+        public boolean changesWeight() {
+            return false;
+        }
+
         @Override
         public double priority() {
-            return 1;
+            return LEVEL_PRIORITY;
         }
     }
 
@@ -22,6 +33,11 @@
             return route.table();
         }
 
+        @Override
+        public boolean changesWeight() {
+            return !isNew();
+        }
+
         boolean isRemoval() {
             return weight == 0;
         }
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -13,13 +13,13 @@
  * priority and within a budget of entries.
  *
  * <p>Inputs: target fractions, levels, entries that wait in the channel and its rate in entries a
- * tick. Differences are gathered; what is owed goes at once: a replica that left comes out, and a
- * table without a usable entry gets one. Other urgent changes are a cold replica's cut, and an
- * entry that more than doubles in a message that goes anyway.
+ * tick. Differences are gathered for a regular round; what safety requires is sent at once: removal
+ * of a replica that left, and an entry for a table without a usable one. Other urgent changes are a
+ * cold replica's cut, and an entry that more than doubles in a message that is sent anyway.
  *
  * <p>Guards against a channel filled by changes that are worth little while drains wait. Shows as
  * messages in flight and late drains. Holds because each kind of change has a budget, and nothing
- * deferrable goes while a proxy waits that could be bound.
+ * deferrable is sent while a proxy waits that could be bound.
  */
 final class TablePublisher {
     /** Proxies retry only after proof that the attempt never ran: safe for every class. */
@@ -53,56 +53,13 @@
         this.proxies = proxies;
     }
 
-    /**
-     * Entries that a batch may send.
-     *
-     * @param urgent for all, as long as urgent changes go
-     * @param deferrable for all, as long as deferrable changes go
-     * @param weights for changed weights that are not urgent
-     */
-    private record Budget(double urgent, double deferrable, double weights) {
-        double forChange(Urgency urgency, boolean changesWeight) {
-            if (urgency.isUrgent()) {
-                return urgent;
-            }
-            return changesWeight ? Math.min(weights, deferrable) : deferrable;
-        }
-
-        Budget without(double cost, boolean fromWeights) {
-            return new Budget(
-                    urgent - cost, deferrable - cost, fromWeights ? weights - cost : weights);
-        }
-    }
-
-    /** How pressing a change is. */
-    private enum Urgency {
-        /** Safety requires it, also while the controller is cut off from others. */
-        OWED,
-        /** It goes in any round, within the urgent budget. */
-        AT_ONCE,
-        /** It goes in regular rounds, within the urgent budget. */
-        GATHERED_URGENT,
-        /** It goes in any round, within the deferrable budget. */
-        RIDES_ALONG,
-        /** It goes in regular rounds, within the deferrable budget. */
-        GATHERED;
-
-        boolean isUrgent() {
-            return this == OWED || this == AT_ONCE || this == GATHERED_URGENT;
-        }
-
-        boolean goesNow(boolean regularRound) {
-            return regularRound || this != GATHERED_URGENT && this != GATHERED;
-        }
-    }
-
     /**
      * Sends a batch.
      *
      * @param round inputs of the target weights
      * @param regular whether it is a regular round, in which gathered changes are sent
      * @param commandPrice price of a fully used channel, as a fraction of the goal
-     * @return whether something owed could not be sent
+     * @return whether something required could not be sent
      */
     boolean publish(
             ProxyCommands commands,
@@ -113,41 +70,40 @@
             boolean regular,
             double commandPrice) {
         long now = round.now();
-        double queue = pacer.queue(now);
         boolean joinsFirst = hasBindableWaiting(now);
-        Budget budget =
-                new Budget(
-                        pacer.urgentQueueLimit() - queue,
-                        joinsFirst ? 0 : pacer.deferrableBacklog() - queue,
-                        regular ? weightEntriesPerRound(commandPrice) : 0);
+        PublishBudget budget =
+                openBudget(joinsFirst, regular ? weightEntriesPerRound(commandPrice) : 0, now);
         List<GroupBatch> batches = openBatches(groups, now);
         Set<RoutingTable> withoutEntry =
                 tables.stream().filter(RoutingTable::hasNoUsableEntry).collect(Collectors.toSet());
-        boolean owedIsHeld = false;
+        boolean requiredIsDeferred = false;
         for (TableChange change : differences.find(tables, round)) {
             GroupBatch batch = batches.get(change.table().group().number());
-            boolean owed = isOwed(change, withoutEntry);
-            Urgency urgency = owed ? Urgency.OWED : urgency(change, batch, joinsFirst, now);
-            if (!mayChange(scope, owed) || !urgency.goesNow(regular)) {
-                continue;
+            ChangeUrgency urgency =
+                    isRequired(change, withoutEntry)
+                            ? ChangeUrgency.REQUIRED
+                            : urgency(change, batch, joinsFirst, now);
+            boolean due = regular || urgency.isInEveryRound();
+            if (due && isInScope(urgency, scope)) {
+                boolean sent = send(commands, change, urgency, batch, budget);
+                requiredIsDeferred |= !sent && urgency == ChangeUrgency.REQUIRED;
             }
-            boolean changesWeight = change instanceof TableChange.Entry entry && !entry.isNew();
-            double cost = batch.cost();
-            if (cost > 0
-                    && (cost > budget.forChange(urgency, changesWeight)
-                            || !batch.allows(urgency.isUrgent()))) {
-                owedIsHeld |= owed;
-                continue;
-            }
-            budget = budget.without(cost, changesWeight && !urgency.isUrgent());
-            batch.add(change.table(), send(commands, change));
         }
         postMessages(batches, now);
-        return owedIsHeld;
+        return requiredIsDeferred;
     }
 
-    private static boolean mayChange(ControlScope scope, boolean owed) {
-        return scope == ControlScope.FULL || scope == ControlScope.REMOVALS_ONLY && owed;
+    private static boolean isInScope(ChangeUrgency urgency, ControlScope scope) {
+        return scope == ControlScope.FULL
+                || scope == ControlScope.REMOVALS_ONLY && urgency == ChangeUrgency.REQUIRED;
+    }
+
+    private PublishBudget openBudget(boolean joinsFirst, double weightEntries, long now) {
+        double queue = pacer.queue(now);
+        return new PublishBudget(
+                pacer.urgentQueueLimit() - queue,
+                joinsFirst ? 0 : pacer.deferrableBacklog() - queue,
+                weightEntries);
     }
 
     /**
@@ -169,12 +125,13 @@
 
     // ---- how pressing a change is --------------------------------------------------------------
 
-    private static boolean isOwed(TableChange change, Set<RoutingTable> withoutEntry) {
+    private static boolean isRequired(TableChange change, Set<RoutingTable> withoutEntry) {
         return change instanceof TableChange.Entry entry
                 && (entry.isRemoval() || withoutEntry.contains(entry.table()));
     }
 
-    private Urgency urgency(TableChange change, GroupBatch batch, boolean joinsFirst, long now) {
+    private ChangeUrgency urgency(
+            TableChange change, GroupBatch batch, boolean joinsFirst, long now) {
         boolean inEveryRound = batch.boundProxies() == 0;
         if (change instanceof TableChange.Entry entry) {
             boolean coldIsCut =
@@ -182,14 +139,14 @@
             // After the largest entry left, a cold one would be most of the rest for a round.
             boolean doublesInMessage = batch.isStarted() && entry.isMoreThanDoubled();
             if (doublesInMessage || coldIsCut && entry.isMoreThanHalved()) {
-                return Urgency.AT_ONCE;
+                return ChangeUrgency.IMMEDIATE;
             }
             if (coldIsCut && !joinsFirst) {
-                return inEveryRound ? Urgency.AT_ONCE : Urgency.GATHERED_URGENT;
+                return inEveryRound ? ChangeUrgency.IMMEDIATE : ChangeUrgency.URGENT;
             }
             inEveryRound |= entry.isNew() && batch.isStarted();
         }
-        return inEveryRound ? Urgency.RIDES_ALONG : Urgency.GATHERED;
+        return inEveryRound ? ChangeUrgency.PIGGYBACKED : ChangeUrgency.BATCHED;
     }
 
     // ---- messages ------------------------------------------------------------------------------
@@ -197,7 +154,7 @@
     private List<GroupBatch> openBatches(List<ProxyGroup> groups, long now) {
         List<GroupBatch> batches = new ArrayList<>();
         for (ProxyGroup group : groups) {
-            batches.add(new GroupBatch(group, pacer.messageOverheadEntries()));
+            batches.add(new GroupBatch(group, pacer.shortestMessageEntries()));
         }
         pacer.expireMessages(now);
         for (Proxy proxy : proxies.all()) {
@@ -208,6 +165,23 @@
         return batches;
     }
 
+    /** Sends a change if there is room for it; whether it did. */
+    private boolean send(
+            ProxyCommands commands,
+            TableChange change,
+            ChangeUrgency urgency,
+            GroupBatch batch,
+            PublishBudget budget) {
+        double cost = batch.cost();
+        boolean hasRoom = budget.covers(cost, change, urgency) && batch.allows(urgency.isUrgent());
+        if (cost > 0 && !hasRoom) {
+            return false;
+        }
+        budget.spend(cost, change, urgency);
+        batch.add(change.table(), send(commands, change));
+        return true;
+    }
+
     /** Sends a change; answers how many entries each bound proxy is sent for it. */
     private int send(ProxyCommands commands, TableChange change) {
         RoutingTable table = change.table();
--- a/src/main/java/rockshift/testkit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -141,7 +141,7 @@
     void found(List<Member> founders) throws IOException {
         DurableLog fresh = new DurableLog(disk, line -> cluster.trace("n%d %s", index, line));
         fresh.open(memberId);
-        fresh.found(1, founders);
+        fresh.joinCluster(1, founders);
     }
 
     void start() {
@@ -169,7 +169,7 @@
             }
             cluster.trace(
                     "n%d starts with %d entries, %s",
-                    index, engine.raft().log().lastIndex(), found.ballot());
+                    index, engine.raft().log().lastIndex(), found.termAndVote());
         } catch (UnrecoverableStorageException refused) {
             throw new HistoryChecker.Violation(
                     "recovery: n" + index + " refused its own disk: " + refused.getMessage());
@@ -410,7 +410,7 @@
         enqueueDiskTask(
                 () -> {
                     try {
-                        log.keep(snapshot);
+                        log.saveSnapshot(snapshot);
                         handle(() -> engine.kept(snapshot));
                     } catch (SimulatedDisk.Crashed crashed) {
                         // It ends here.
