--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -22,9 +22,9 @@
         DistributionSettings distribution = DistributionSettings.read(file);
         ClusterSettings cluster =
                 file.has("cluster") || distribution == null ? ClusterSettings.read(file) : null;
-        file.end();
+        file.rejectUnknownFields();
         if (cluster != null && distribution != null && distribution.relay() == null) {
-            throw file.wrong(
+            throw file.invalid(
                     "distribution", "has no meaning beside cluster: a member knows what is agreed");
         }
         return new OperatorSettings(cluster, distribution);
@@ -37,7 +37,7 @@
         if (settings.cluster != null) {
             return new ClusterChangesSource(settings.cluster);
         } else if (settings.distribution.relay() != null) {
-            throw file.wrong(
+            throw file.invalid(
                     "distribution.relay", "is served by 'rockshift relay', not by a governor");
         }
         return new DistributionChangesSource(settings.distribution);
@@ -47,11 +47,11 @@
     static DistributionSettings relay(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         if (!file.has("distribution")) {
-            throw file.wrong("distribution", "is missing");
+            throw file.invalid("distribution", "is missing");
         }
         DistributionSettings distribution = read(file).distribution;
         if (distribution.relay() == null) {
-            throw file.wrong("distribution.relay", "is missing");
+            throw file.invalid("distribution.relay", "is missing");
         }
         return distribution;
     }
--- a/src/main/java/rockshift/cluster/Client.java
+++ b/src/main/java/rockshift/cluster/Client.java
@@ -90,7 +90,7 @@
 
     private static InetSocketAddress remote(String address) throws IOException {
         try {
-            return Section.socket(address);
+            return Section.parseAddress(address);
         } catch (IllegalArgumentException wrong) {
             throw new IOException(wrong.getMessage(), wrong);
         }
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -71,44 +71,45 @@
     public static ClusterSettings read(Section file) throws InvalidFileException {
         Section cluster = file.block("cluster");
         if (cluster == null) {
-            throw file.wrong("cluster", "is missing");
+            throw file.invalid("cluster", "is missing");
         }
         String name = cluster.text("name", null);
         InetSocketAddress listen = cluster.address("listen", null);
         String address = cluster.text("address", cluster.text("listen", null));
         Path folder = Path.of(cluster.text("folder", null));
-        long election = cluster.span("election", "1s", LEAST_ELECTION, 60_000);
-        long heartbeat = cluster.span("heartbeat", election / 50 + "ms", 5, 30_000);
+        long election = cluster.durationTicks("election", "1s", LEAST_ELECTION, 60_000);
+        long heartbeat = cluster.durationTicks("heartbeat", election / 50 + "ms", 5, 30_000);
         if (heartbeat * 3 > election) {
-            throw cluster.wrong("heartbeat", "must be a third of election at most");
+            throw cluster.invalid("heartbeat", "must be a third of election at most");
         }
         double drift = cluster.number("drift", 0.05, 0, 0.5);
         boolean leases = cluster.flag("leases", true);
-        int batch = cluster.whole("batch", 512, 1, 4_096);
+        int batch = cluster.integer("batch", 512, 1, 4_096);
         Engine.Compaction compaction =
                 new Engine.Compaction(
-                        cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
+                        cluster.integer("snapshot_after", 10_000, 100, 1_000_000),
                         cluster.bytes("snapshot_bytes", "4MB", 64 << 10, 64 << 20));
         Minority minority =
                 Minority.valueOf(
-                        cluster.word("minority", "withdraw", "serve", "withdraw", "hold")
+                        cluster.choice("minority", "withdraw", "serve", "withdraw", "hold")
                                 .toUpperCase(java.util.Locale.ROOT));
         Map<String, String> founders = addresses(cluster, "founder");
         if (!founders.isEmpty() && !founders.containsKey(name)) {
-            throw cluster.wrong("founder", "does not name " + name + " itself");
+            throw cluster.invalid("founder", "does not name " + name + " itself");
         } else if (founders.size() > MOST_FOUNDERS
                 || founders.size() == 2
                 || founders.size() == 4) {
-            throw cluster.wrong("founder", "must name one, three or five, not " + founders.size());
+            throw cluster.invalid(
+                    "founder", "must name one, three or five, not " + founders.size());
         }
         Map<String, String> routes = addresses(cluster, "route");
         int subscribers =
-                cluster.whole(
+                cluster.integer(
                         "subscribers",
                         DistributionSettings.DEFAULT_SUBSCRIBERS,
                         1,
                         DistributionSettings.MAX_SUBSCRIBERS);
-        cluster.end();
+        cluster.rejectUnknownFields();
         return new ClusterSettings(
                 name,
                 listen,
--- a/src/main/java/rockshift/cluster/Links.java
+++ b/src/main/java/rockshift/cluster/Links.java
@@ -161,7 +161,7 @@
     }
 
     private void dial(String address, Dialled to) {
-        InetSocketAddress remote = Section.socket(address);
+        InetSocketAddress remote = Section.parseAddress(address);
         reactor.connect(
                 new HttpHost(remote.getHostString(), remote.getPort()),
                 remote,
--- a/src/main/java/rockshift/config/InvalidFileException.java
+++ b/src/main/java/rockshift/config/InvalidFileException.java
@@ -4,6 +4,13 @@
 public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /**
+     * A fault at a place of a file.
+     *
+     * @param line where it is; 0 if it concerns the whole file
+     * @param field its path; empty if it concerns no field
+     * @param what what is wrong there
+     */
     public InvalidFileException(String file, int line, String field, String what) {
         super(
                 file
--- /dev/null
+++ b/src/main/java/rockshift/config/LineScanner.java
@@ -0,0 +1,158 @@
+package rockshift.config;
+
+import java.util.ArrayDeque;
+import java.util.Map;
+
+/**
+ * Scans a text once for the lines of its fields and blocks, and rejects what the HCL parser accepts
+ * without a word: unclosed blocks and strings, and missing values. Knows words, strings, comments
+ * and brackets, and no more of the language.
+ */
+final class LineScanner {
+    private final String file;
+    private final String text;
+    private final Map<String, Integer> lineByPath;
+
+    /** The blocks around the present position, and the lines where they were opened. */
+    private final ArrayDeque<String> blocks = new ArrayDeque<>();
+
+    private final ArrayDeque<Integer> blockLines = new ArrayDeque<>();
+
+    /** The words before a value or block, joined by dots: its name. */
+    private final StringBuilder name = new StringBuilder();
+
+    private int line = 1;
+    private int valueLine = 1;
+    private int openBrackets;
+    private boolean inValue;
+    private boolean valueMissing;
+
+    LineScanner(String file, String text, Map<String, Integer> lineByPath) {
+        this.file = file;
+        this.text = text;
+        this.lineByPath = lineByPath;
+    }
+
+    void scan() throws InvalidFileException {
+        int position = 0;
+        while (position < text.length()) {
+            position = scanAt(position);
+        }
+        checkValue();
+        if (!blocks.isEmpty()) {
+            throw new InvalidFileException(
+                    file,
+                    blockLines.getLast(),
+                    String.join(".", blocks),
+                    "a block that is not closed");
+        }
+    }
+
+    /** Scans what begins at a position; returns where the next begins. */
+    private int scanAt(int position) throws InvalidFileException {
+        char next = text.charAt(position);
+        if (isComment(position)) {
+            return endOfLine(position);
+        } else if (next == '"') {
+            return scanString(position);
+        } else if (next == '\n') {
+            endLine();
+        } else if (next == '=' && !inValue) {
+            beginValue();
+        } else if (next == '[' || next == ']') {
+            openBrackets += next == '[' ? 1 : -1;
+            valueMissing = false;
+        } else if (next == '{' && !inValue) {
+            openBlock();
+        } else if (next == '}') {
+            closeBlock();
+        } else if (!Character.isWhitespace(next)) {
+            scanWord(position);
+        }
+        return position + 1;
+    }
+
+    private boolean isComment(int position) {
+        return text.charAt(position) == '#' || text.startsWith("//", position);
+    }
+
+    private int scanString(int position) throws InvalidFileException {
+        int end = endOfString(position + 1);
+        if (end >= text.length() || text.charAt(end) == '\n') {
+            throw new InvalidFileException(file, line, "", "a string that does not end");
+        }
+        if (!inValue) {
+            name.append(name.isEmpty() ? "" : ".").append(text, position + 1, end);
+        }
+        valueMissing = false;
+        return end + 1;
+    }
+
+    private void endLine() throws InvalidFileException {
+        checkValue();
+        if (openBrackets == 0) {
+            inValue = false;
+            name.setLength(0);
+        }
+        line++;
+    }
+
+    private void beginValue() {
+        inValue = true;
+        valueMissing = true;
+        valueLine = line;
+        lineByPath.put(path(), line);
+    }
+
+    private void openBlock() throws InvalidFileException {
+        if (lineByPath.putIfAbsent(path(), line) != null) {
+            throw new InvalidFileException(file, line, path(), "given twice");
+        }
+        blocks.addLast(name.toString());
+        blockLines.addLast(line);
+        name.setLength(0);
+    }
+
+    private void closeBlock() throws InvalidFileException {
+        if (blocks.isEmpty()) {
+            throw new InvalidFileException(file, line, "", "a closing brace too many");
+        }
+        blocks.removeLast();
+        blockLines.removeLast();
+        inValue = false;
+        name.setLength(0);
+    }
+
+    private void scanWord(int position) {
+        valueMissing = false;
+        if (!inValue) {
+            boolean startsWord =
+                    !name.isEmpty() && Character.isWhitespace(text.charAt(position - 1));
+            name.append(startsWord ? "." : "").append(text.charAt(position));
+        }
+    }
+
+    private void checkValue() throws InvalidFileException {
+        if (inValue && valueMissing) {
+            throw new InvalidFileException(file, valueLine, path(), "no value");
+        }
+    }
+
+    private int endOfLine(int from) {
+        int end = text.indexOf('\n', from);
+        return end < 0 ? text.length() : end;
+    }
+
+    /** The closing quote of a string, or the end of the line or text that cuts it off. */
+    private int endOfString(int from) {
+        int end = from;
+        while (end < text.length() && text.charAt(end) != '"' && text.charAt(end) != '\n') {
+            end += text.charAt(end) == '\\' ? 2 : 1;
+        }
+        return end;
+    }
+
+    private String path() {
+        return blocks.isEmpty() ? name.toString() : String.join(".", blocks) + "." + name;
+    }
+}
--- a/src/main/java/rockshift/config/OperatorFile.java
+++ b/src/main/java/rockshift/config/OperatorFile.java
@@ -9,16 +9,17 @@
 
 /** Reads an operator's file into its outermost section. */
 public final class OperatorFile {
-    /** Bytes of the longest file that is read: far more than a fleet's. */
-    private static final int LONGEST = 1 << 20;
+    /** The longest file that is read: far longer than one of a large fleet. */
+    private static final int MAX_BYTES = 1 << 20;
 
     private OperatorFile() {}
 
+    /** Reads a file; what it says is checked as its fields are read. */
     public static Section read(String file) throws InvalidFileException {
         try {
             Path path = Path.of(file);
-            if (Files.size(path) > LONGEST) {
-                throw new InvalidFileException(file, 0, "", "over " + LONGEST + " bytes");
+            if (Files.size(path) > MAX_BYTES) {
+                throw new InvalidFileException(file, 0, "", "over " + MAX_BYTES + " bytes");
             }
             return parse(file, Files.readString(path));
         } catch (IOException failure) {
--- a/src/main/java/rockshift/config/Section.java
+++ b/src/main/java/rockshift/config/Section.java
@@ -12,11 +12,13 @@
 import java.util.regex.Pattern;
 
 /**
- * One block of the operator's file. Each field is read as what it must be; what nobody reads is
- * refused at the end.
+ * One block of the operator's file. Each field is read by its type and range; a missing field takes
+ * the default, and is an error where that is null. Fields that nobody read are rejected at the end.
+ * Not thread-safe.
  */
 public final class Section {
-    private static final Pattern SPAN = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m|h)");
+    private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m|h)");
+    private static final int TICKS_PER_MILLI = 10;
     private static final Pattern BYTES = Pattern.compile("(\\d+)(B|KB|MB)");
 
     private final String file;
@@ -24,7 +26,7 @@
     private final String path;
     private final Map<String, Object> values;
     private final TreeSet<String> read = new TreeSet<>();
-    private final List<Section> inner = new ArrayList<>();
+    private final List<Section> nested = new ArrayList<>();
 
     Section(String file, LineIndex lines, String path, Map<String, Object> values) {
         this.file = file;
@@ -37,90 +39,90 @@
         return path.isEmpty() ? field : path + "." + field;
     }
 
-    public InvalidFileException wrong(String field, String what) {
+    /** An error at a field of this block; an empty name stands for the block itself. */
+    public InvalidFileException invalid(String field, String what) {
         String full = field.isEmpty() ? path : path(field);
         return new InvalidFileException(file, lines.of(full), full, what);
     }
 
-    private Object take(String field) {
+    private Object read(String field) {
         read.add(field);
         return values.get(field);
     }
 
+    /** Whether a field or block is there. */
     public boolean has(String field) {
         return values.get(field) != null;
     }
 
-    public String text(String field, String otherwise) throws InvalidFileException {
-        Object value = take(field);
-        if (value == null && otherwise != null) {
-            return otherwise;
+    /** A text that is not empty. */
+    public String text(String field, String defaultValue) throws InvalidFileException {
+        Object value = read(field);
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         } else if (value == null) {
-            throw wrong(field, "is missing");
+            throw invalid(field, "is missing");
         } else if (!(value instanceof String) || ((String) value).isEmpty()) {
-            throw wrong(field, "must be text, not " + value);
+            throw invalid(field, "must be text, not " + value);
         }
         return (String) value;
     }
 
     /** A list of texts, each once; empty where the field is not there. */
-    public Set<String> texts(String field, int longest) throws InvalidFileException {
-        Object value = take(field);
+    public Set<String> texts(String field, int maxLength) throws InvalidFileException {
+        Object value = read(field);
         if (value != null && !(value instanceof List<?>)) {
-            throw wrong(field, "must be a list of texts, not " + value);
+            throw invalid(field, "must be a list of texts, not " + value);
         }
         Set<String> found = new LinkedHashSet<>();
         for (Object each : value == null ? List.of() : (List<?>) value) {
-            if (!(each instanceof String text) || text.isEmpty() || text.length() > longest) {
-                throw wrong(
-                        field, "must list texts of 1 to " + longest + " characters, not " + each);
+            if (!(each instanceof String text) || text.isEmpty() || text.length() > maxLength) {
+                throw invalid(
+                        field, "must list texts of 1 to " + maxLength + " characters, not " + each);
             } else if (!found.add(text)) {
-                throw wrong(field, "names '" + text + "' twice");
+                throw invalid(field, "names '" + text + "' twice");
             }
         }
         return found;
     }
 
     /** One of a few words. */
-    public String word(String field, String otherwise, String... allowed)
+    public String choice(String field, String defaultValue, String... allowed)
             throws InvalidFileException {
-        String value = text(field, otherwise);
+        String value = text(field, defaultValue);
         if (!List.of(allowed).contains(value)) {
-            throw wrong(
+            throw invalid(
                     field,
                     "must be one of " + String.join(", ", allowed) + ", not '" + value + "'");
         }
         return value;
     }
 
-    public double number(String field, Double otherwise, double least, double most)
+    /** A number within a range. */
+    public double number(String field, Double defaultValue, double min, double max)
             throws InvalidFileException {
-        Object value = take(field);
-        if (value == null && otherwise != null) {
-            return otherwise;
+        Object value = read(field);
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         } else if (!(value instanceof Number)) {
-            throw wrong(field, value == null ? "is missing" : "must be a number, not " + value);
+            throw invalid(field, value == null ? "is missing" : "must be a number, not " + value);
         }
         double number = ((Number) value).doubleValue();
-        if (!(number >= least && number <= most)) {
-            throw wrong(
+        if (!(number >= min && number <= max)) {
+            throw invalid(
                     field,
-                    "must be from "
-                            + plain(least)
-                            + " to "
-                            + plain(most)
-                            + ", not "
-                            + plain(number));
+                    "must be from " + plain(min) + " to " + plain(max) + ", not " + plain(number));
         }
         return number;
     }
 
-    public int whole(String field, Integer otherwise, int least, int most)
+    /** A whole number within a range. */
+    public int integer(String field, Integer defaultValue, int min, int max)
             throws InvalidFileException {
         double number =
-                number(field, otherwise == null ? null : otherwise.doubleValue(), least, most);
+                number(field, defaultValue == null ? null : defaultValue.doubleValue(), min, max);
         if (number != Math.rint(number)) {
-            throw wrong(field, "must be a whole number, not " + number);
+            throw invalid(field, "must be a whole number, not " + number);
         }
         return (int) number;
     }
@@ -129,25 +131,26 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    public boolean flag(String field, boolean otherwise) throws InvalidFileException {
-        Object value = take(field);
+    /** True or false. */
+    public boolean flag(String field, boolean defaultValue) throws InvalidFileException {
+        Object value = read(field);
         if (value != null && !(value instanceof Boolean)) {
-            throw wrong(field, "must be true or false, not " + value);
+            throw invalid(field, "must be true or false, not " + value);
         }
-        return value == null ? otherwise : (Boolean) value;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
-    /** A span such as 200ms or 5s, in tenths of a ms. */
-    public long span(String field, String otherwise, long leastMs, long mostMs)
+    /** A duration such as 200ms or 5s, in ticks of 100 us. */
+    public long durationTicks(String field, String defaultValue, long minMillis, long maxMillis)
             throws InvalidFileException {
-        String value = text(field, otherwise);
-        Matcher parts = SPAN.matcher(value);
+        String value = text(field, defaultValue);
+        Matcher parts = DURATION.matcher(value);
         if (!parts.matches()) {
-            throw wrong(
+            throw invalid(
                     field,
                     "must be a span with its unit, such as 200ms or 5s, not '" + value + "'");
         }
-        double ms =
+        double millis =
                 Double.parseDouble(parts.group(1))
                         * switch (parts.group(2)) {
                             case "ms" -> 1;
@@ -155,19 +158,20 @@
                             case "m" -> 60_000;
                             default -> 3_600_000;
                         };
-        if (ms < leastMs || ms > mostMs) {
-            throw wrong(field, "must be from " + leastMs + "ms to " + mostMs + "ms, not " + value);
+        if (millis < minMillis || millis > maxMillis) {
+            throw invalid(
+                    field, "must be from " + minMillis + "ms to " + maxMillis + "ms, not " + value);
         }
-        return Math.round(ms * 10);
+        return Math.round(millis * TICKS_PER_MILLI);
     }
 
     /** A size such as 4MB, in bytes. */
-    public long bytes(String field, String otherwise, long least, long most)
+    public long bytes(String field, String defaultValue, long min, long max)
             throws InvalidFileException {
-        String value = text(field, otherwise);
+        String value = text(field, defaultValue);
         Matcher parts = BYTES.matcher(value);
         if (!parts.matches()) {
-            throw wrong(
+            throw invalid(
                     field,
                     "must be a size with its unit, such as 512KB or 4MB, not '" + value + "'");
         }
@@ -178,23 +182,25 @@
                             case "KB" -> 10;
                             default -> 20;
                         };
-        if (size < least || size > most) {
-            throw wrong(field, "must be from " + least + " to " + most + " bytes, not " + value);
+        if (size < min || size > max) {
+            throw invalid(field, "must be from " + min + " to " + max + " bytes, not " + value);
         }
         return size;
     }
 
-    public InetSocketAddress address(String field, String otherwise) throws InvalidFileException {
-        String value = text(field, otherwise);
+    /** An address as HOST:PORT. */
+    public InetSocketAddress address(String field, String defaultValue)
+            throws InvalidFileException {
+        String value = text(field, defaultValue);
         try {
-            return socket(value);
+            return parseAddress(value);
         } catch (IllegalArgumentException wrong) {
-            throw wrong(field, "must be " + wrong.getMessage());
+            throw invalid(field, "must be " + wrong.getMessage());
         }
     }
 
-    /** An address told as HOST:PORT. */
-    public static InetSocketAddress socket(String text) {
+    /** Parses an address as HOST:PORT. */
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         try {
             if (colon > 0) {
@@ -202,21 +208,21 @@
                         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException wrong) {
-            // Told below, in words that fit both.
+            // Reported below, in words that fit a missing and an invalid port.
         }
         throw new IllegalArgumentException("an address with its port, not '" + text + "'");
     }
 
     /** A block within; null if it is not there. */
     public Section block(String field) throws InvalidFileException {
-        Object value = take(field);
+        Object value = read(field);
         return value == null ? null : section(field, value);
     }
 
     /** Labelled blocks within, in their order. */
     public Map<String, Section> blocks(String field) throws InvalidFileException {
         Map<String, Section> found = new LinkedHashMap<>();
-        Object value = take(field);
+        Object value = read(field);
         if (value instanceof Map<?, ?> map) {
             for (Map.Entry<?, ?> entry : map.entrySet()) {
                 found.put(
@@ -224,31 +230,31 @@
                         section(field + "." + entry.getKey(), entry.getValue()));
             }
         } else if (value != null) {
-            throw wrong(field, "must be blocks with a label");
+            throw invalid(field, "must be blocks with a label");
         }
         return found;
     }
 
     private Section section(String field, Object value) throws InvalidFileException {
         if (!(value instanceof Map<?, ?> map)) {
-            throw wrong(field, "must be a block");
+            throw invalid(field, "must be a block");
         }
         Map<String, Object> plain = new LinkedHashMap<>();
         map.forEach((key, each) -> plain.put(key.toString(), each));
         Section section = new Section(file, lines, path(field), plain);
-        inner.add(section);
+        nested.add(section);
         return section;
     }
 
-    /** Refuses whatever nobody asked for: a field that is misspelt must not go unnoticed. */
-    public void end() throws InvalidFileException {
+    /** Rejects fields that nobody read: one that is misspelt must not go unnoticed. */
+    public void rejectUnknownFields() throws InvalidFileException {
         for (String field : values.keySet()) {
             if (!read.contains(field)) {
-                throw wrong(field, "is not known here");
+                throw invalid(field, "is not known here");
             }
         }
-        for (Section section : inner) {
-            section.end();
+        for (Section section : nested) {
+            section.rejectUnknownFields();
         }
     }
 }
--- a/src/main/java/rockshift/distribution/wire/DistributionSettings.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionSettings.java
@@ -48,14 +48,14 @@
         }
         String name = block.text("name", null);
         if (name.length() > MAX_NAME_LENGTH) {
-            throw block.wrong("name", "must be at most " + MAX_NAME_LENGTH + " characters");
+            throw block.invalid("name", "must be at most " + MAX_NAME_LENGTH + " characters");
         }
         Map<String, InetSocketAddress> upstreams = new LinkedHashMap<>();
         for (Map.Entry<String, Section> each : block.blocks("upstream").entrySet()) {
             upstreams.put(each.getKey(), each.getValue().address("address", null));
         }
         if (upstreams.isEmpty()) {
-            throw block.wrong("upstream", "is missing");
+            throw block.invalid("upstream", "is missing");
         }
         RelaySettings relay = relay(block.block("relay"));
         Scope scope = scope(block, relay != null);
@@ -68,7 +68,7 @@
                 ? null
                 : new RelaySettings(
                         block.address("listen", null),
-                        block.whole("subscribers", DEFAULT_SUBSCRIBERS, 1, MAX_SUBSCRIBERS));
+                        block.integer("subscribers", DEFAULT_SUBSCRIBERS, 1, MAX_SUBSCRIBERS));
     }
 
     private static Scope scope(Section distribution, boolean relays) throws InvalidFileException {
@@ -76,14 +76,14 @@
         if (block == null && relays) {
             return Scope.all();
         } else if (block == null) {
-            throw distribution.wrong("scope", "is missing");
+            throw distribution.invalid("scope", "is missing");
         }
         if (block.flag("everything", false)) {
             return Scope.all();
         }
         Scope scope = Scope.of(names(block, "services"), names(block, "zones"));
         if (scope.isEmpty()) {
-            throw block.wrong("", "names no services and no zones");
+            throw block.invalid("", "names no services and no zones");
         }
         return scope;
     }
@@ -91,7 +91,7 @@
     private static Set<String> names(Section scope, String field) throws InvalidFileException {
         Set<String> names = scope.texts(field, MAX_NAME_LENGTH);
         if (names.size() > Limits.standard().sizes().maxScopeNames()) {
-            throw scope.wrong(
+            throw scope.invalid(
                     field, "names more than " + Limits.standard().sizes().maxScopeNames());
         }
         return names;
