--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -9,6 +9,7 @@
 public final class Main {
     private Main() {}
 
+    /** Starts the program that the first word names, and ends with its status. */
     public static void main(String[] arguments) throws IOException, InterruptedException {
         String command = arguments.length == 1 ? arguments[0] : "";
         if (command.equals("serve")) {
