--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -5,7 +5,10 @@
 import rockshift.server.ProcessSignals;
 import rockshift.simulation.SimulatorAdapter;
 
-/** Looks at its first word: a governor and the drill start without anything that commands need. */
+/**
+ * Starts the program that the first word names. The controller and the simulator adapter start
+ * without loading anything that only commands need.
+ */
 public final class Main {
     private Main() {}
 
