--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -38,13 +38,13 @@
     private static final double MIN_LEVEL = 0.05;
 
     /** Median failure ratio up to which the fleet counts as calm, and its capacity as known. */
-    private static final double CALM_FAILURE_RATIO = 0.05;
+    private static final double HEALTHY_FAILURE_RATIO = 0.05;
 
     /** Fraction of the difference by which the calm capacity moves a round. */
-    private static final double CALM_CAPACITY_STEP_FRACTION = 0.3;
+    private static final double HEALTHY_RATE_STEP_FRACTION = 0.3;
 
     /** Fraction of the calm capacity that counts as there in a congestion collapse. */
-    private static final double COLLAPSE_CAPACITY_FRACTION = 0.75;
+    private static final double COLLAPSE_RATE_FRACTION = 0.75;
 
     /** Median failure ratio that means a congestion collapse. */
     private static final double COLLAPSE_FAILURE_RATIO = 0.6;
@@ -66,7 +66,7 @@
     private final DecisionLog log;
     private final double[] levels;
     private double clientRetries;
-    private double calmRatePerBaselineRate;
+    private double healthyRatePerBaselineRate;
     private long pausedUntilTicks;
 
     AdmissionController(AdmissionMode mode, List<ClassSettings> classes, DecisionLog log) {
@@ -102,7 +102,7 @@
         if (!enabled || traffic.isEmpty()) {
             return;
         }
-        learnClientRetries(traffic);
+        updateClientRetries(traffic);
         boolean overloaded = !(capacity.load() < OVERLOAD);
         double[] demand = demandPerTick(traffic, baseline, overloaded);
         double admissible =
@@ -116,7 +116,7 @@
      * attempts seen; slowly, as attempts end late. Taken for new demand, retries would have ever
      * more refused.
      */
-    private void learnClientRetries(TrafficWindows traffic) {
+    private void updateClientRetries(TrafficWindows traffic) {
         double admitted = traffic.admittedArrivals();
         double refusedFraction = 1 - admitted / traffic.arrivals();
         double excess = admitted / Math.max(1, traffic.attempts()) - 1;
@@ -133,7 +133,10 @@
     private double[] demandPerTick(
             TrafficWindows traffic, BaselineRates baseline, boolean overloaded) {
         double fromFirst = traffic.coveredTicksFromFirstReport();
-        double covered = overloaded ? Math.max(traffic.coveredTicks(), fromFirst / 2) : fromFirst;
+        double covered =
+                overloaded
+                        ? Math.max(traffic.conservativeCoveredTicks(), fromFirst / 2)
+                        : fromFirst;
         double growth = baseline.growthSinceTrafficWindow();
         double[] demand = new double[classes.size()];
         for (int k = 0; k < demand.length; k++) {
@@ -158,25 +161,25 @@
             double medianFailureRatio,
             boolean overloaded) {
         double baselineRate = baseline.currentPerSecond();
-        updateCalmRate(
+        updateHealthyRate(
                 capacity.answersPerTick() / Math.max(baselineRate, Double.MIN_NORMAL),
-                medianFailureRatio < CALM_FAILURE_RATIO);
+                medianFailureRatio < HEALTHY_FAILURE_RATIO);
         double answersPerTick =
                 overloaded
                         ? capacity.answersPerTick()
                         : capacity.answersPerTick()
-                                * traffic.capacityTicks()
+                                * traffic.conservativeCapacityTicks()
                                 / traffic.capacityTicksFromFirstReport();
-        double inCollapse = COLLAPSE_CAPACITY_FRACTION * calmRatePerBaselineRate * baselineRate;
+        double inCollapse = COLLAPSE_RATE_FRACTION * healthyRatePerBaselineRate * baselineRate;
         return TARGET_UTILIZATION * Math.max(answersPerTick, inCollapse);
     }
 
     /** Follows the answers in calm; the first value is taken as it is. */
-    private void updateCalmRate(double ratePerBaselineRate, boolean calm) {
-        double step = calm ? CALM_CAPACITY_STEP_FRACTION : 0;
-        calmRatePerBaselineRate +=
-                (calmRatePerBaselineRate == 0 ? 1 : step)
-                        * (ratePerBaselineRate - calmRatePerBaselineRate);
+    private void updateHealthyRate(double ratePerBaselineRate, boolean healthy) {
+        double step = healthy ? HEALTHY_RATE_STEP_FRACTION : 0;
+        healthyRatePerBaselineRate +=
+                (healthyRatePerBaselineRate == 0 ? 1 : step)
+                        * (ratePerBaselineRate - healthyRatePerBaselineRate);
     }
 
     /**
@@ -209,7 +212,7 @@
         for (double each : demandPerTick) {
             total += each;
         }
-        int first = firstRefused(demandPerTick, total, worstClassWeight);
+        int first = firstToShed(demandPerTick, total, worstClassWeight);
         double own = first < 0 ? total : demandPerTick[first];
         double rest = total - own;
         double low = limit((admissiblePerTick - rest) / own);
@@ -230,7 +233,7 @@
     }
 
     /** The class whose refusal costs the goal least a request; -1 to refuse all alike. */
-    private int firstRefused(double[] demandPerTick, double total, double worstClassWeight) {
+    private int firstToShed(double[] demandPerTick, double total, double worstClassWeight) {
         double weightedDemand = 0;
         for (int k = 0; k < classes.size(); k++) {
             weightedDemand += demandPerTick[k] * classes.get(k).priorityWeight();
--- a/src/main/java/rockshift/planner/AlphaFairSolver.java
+++ b/src/main/java/rockshift/planner/AlphaFairSolver.java
@@ -43,7 +43,7 @@
     /** Carries the iterates over to new capacities, demand shares and eligibility. */
     void carryOver(List<RoutingTable> tables) {
         for (RoutingTable table : tables) {
-            table.setReachableCapacity(table.capacityOf(eligibility::isOpen));
+            table.setOpenCapacity(table.capacityOf(eligibility::isOpen));
             table.routes().forEach(this::carryOver);
         }
     }
@@ -74,7 +74,7 @@
             route.startCopies(
                     table.demandShare()
                             * link.capacity()
-                            / Math.max(table.reachableCapacity(), Double.MIN_NORMAL));
+                            / Math.max(table.openCapacity(), Double.MIN_NORMAL));
         }
         if (!known) {
             route.startDual(Math.pow(table.demandShare(), 1 - ALPHA));
@@ -110,18 +110,18 @@
     static double penalty(List<RoutingTable> requests) {
         double lowest =
                 requests.stream()
-                        .filter(request -> request.reachableCapacity() > 0)
-                        .mapToDouble(request -> request.demandShare() * request.reachableCapacity())
+                        .filter(request -> request.openCapacity() > 0)
+                        .mapToDouble(request -> request.demandShare() * request.openCapacity())
                         .min()
                         .orElse(1);
         double least = Double.MAX_VALUE;
         double most = 0;
         for (RoutingTable request : requests) {
             double weight = request.demandShare();
-            double midpoint = weight * request.reachableCapacity();
+            double midpoint = weight * request.openCapacity();
             double bound = Math.pow(lowest, 1 - 1 / ALPHA) * Math.pow(midpoint, 1 / ALPHA);
             if (midpoint > 0) {
-                least = Math.min(least, weight / Math.pow(request.reachableCapacity(), ALPHA + 1));
+                least = Math.min(least, weight / Math.pow(request.openCapacity(), ALPHA + 1));
                 most = Math.max(most, weight / Math.pow(bound, ALPHA + 1));
             }
         }
@@ -144,7 +144,7 @@
     private static void updateRequest(
             RoutingTable request, double penalty, double crossingCost, double meanEntry) {
         List<Route> open = request.routes().stream().filter(Route::isOpen).toList();
-        double ratePerWeight = request.classTotal() / request.weightScale();
+        double ratePerWeight = request.linkCopyTotal() / request.weightScale();
         double[] current =
                 open.stream().mapToDouble(path -> path.publishedWeight() * ratePerWeight).toArray();
         double[] moves = new double[current.length];
@@ -159,13 +159,13 @@
         double theta = SWITCHING_COST_ENTRIES * meanEntry;
         RootSearch search =
                 new RootSearch(ALPHA, penalty * request.demandShare(), theta, current, moves);
-        double marginal = search.marginalUtility(request.classTotal());
-        double total = 0;
+        double marginal = search.marginalUtility(request.linkCopyTotal());
+        double linkCopyTotal = 0;
         for (int i = 0; i < moves.length; i++) {
             open.get(i).setRequestCopy(search.rate(i, marginal));
-            total += open.get(i).linkCopy();
+            linkCopyTotal += open.get(i).linkCopy();
         }
-        request.setClassTotal(total);
+        request.setLinkCopyTotal(linkCopyTotal);
     }
 
     private static double crossingCost(Route path, double crossingCost) {
--- a/src/main/java/rockshift/planner/CapacityEstimator.java
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -54,7 +54,7 @@
     void decay(Collection<Replica> replicas, long elapsedTicks, long now) {
         double kept = keptFraction(elapsedTicks);
         for (Replica replica : replicas) {
-            replica.loadEvidence().decay(slowStart.isCold(replica, now) ? 0 : kept);
+            replica.loadEvidence().decay(slowStart.isSlowStarting(replica, now) ? 0 : kept);
         }
     }
 
@@ -63,7 +63,7 @@
      *
      * @param expectedPerTick transactions that the joined proxies bring
      */
-    FleetCapacity estimate(
+    FleetCapacity updateCapacities(
             List<Replica> replicas,
             TrafficWindows traffic,
             BaselineRates baseline,
@@ -72,23 +72,27 @@
         updateLoadWithoutReport(replicas, traffic);
         MachineTypeMeans means = new MachineTypeMeans(replicas);
         double sum = 0;
-        double reachable = 0;
-        double busy = 0;
+        double openCapacity = 0;
+        double busyCapacity = 0;
         for (Replica replica : replicas) {
             replica.beginCapacityRound();
-            replica.setCapacity(estimate(replica, means, now));
+            replica.setCapacity(updateCapacities(replica, means, now));
             sum += replica.capacity();
             // What no proxy can reach, as behind a cut network, is no capacity to admit by.
             if (replica.routesInUse().stream().anyMatch(eligibility::isOpen)) {
-                reachable += replica.capacity();
-                busy += replica.capacity() * loadOf(replica);
+                openCapacity += replica.capacity();
+                busyCapacity += replica.capacity() * loadOf(replica);
             }
         }
-        double rate = traffic.capacityTicks() > 0 ? reachable / traffic.capacityTicks() : 0;
+        double rate =
+                traffic.conservativeCapacityTicks() > 0
+                        ? openCapacity / traffic.conservativeCapacityTicks()
+                        : 0;
         double requestedPerTick = Math.max(expectedPerTick, traffic.attemptsPerTick());
         normalize(replicas, rate > 0 ? requestedPerTick / rate : 0, sum, now);
         return new FleetCapacity(
-                baseline.growthSinceCapacityWindow() * rate, reachable > 0 ? busy / reachable : 0);
+                baseline.growthSinceCapacityWindow() * rate,
+                openCapacity > 0 ? busyCapacity / openCapacity : 0);
     }
 
     /**
@@ -105,7 +109,7 @@
                                 Math.max(MIN_WAITING_FRACTION, traffic.updateWaitingFraction()));
     }
 
-    private double estimate(Replica replica, MachineTypeMeans means, long now) {
+    private double updateCapacities(Replica replica, MachineTypeMeans means, long now) {
         double available =
                 replica.isEjected() || !replica.acceptsNewWork()
                         ? 0
@@ -125,7 +129,9 @@
         double safe = slowStart.safeLoadRatio();
         for (Replica replica : replicas) {
             double guard =
-                    slowStart.isCold(replica, now) && loadRatio > safe ? safe / loadRatio : 1;
+                    slowStart.isSlowStarting(replica, now) && loadRatio > safe
+                            ? safe / loadRatio
+                            : 1;
             double guarded = replica.capacity() * guard;
             replica.setCapacity(sum > 0 ? guarded / sum : 0);
         }
--- a/src/main/java/rockshift/planner/ChangeUrgency.java
+++ b/src/main/java/rockshift/planner/ChangeUrgency.java
@@ -5,22 +5,22 @@
     /** Safety requires it, also while the controller is cut off from others. */
     REQUIRED(true, true),
     IMMEDIATE(true, true),
-    URGENT(true, false),
+    PRIORITIZED(true, false),
     /** It is sent in any round, as it takes no message of its own. */
     PIGGYBACKED(false, true),
     BATCHED(false, false);
 
-    private final boolean urgent;
+    private final boolean priority;
     private final boolean inEveryRound;
 
     ChangeUrgency(boolean urgent, boolean inEveryRound) {
-        this.urgent = urgent;
+        this.priority = urgent;
         this.inEveryRound = inEveryRound;
     }
 
     /** Whether it is sent from the urgent budget; the others are deferrable. */
-    boolean isUrgent() {
-        return urgent;
+    boolean usesPriorityBudget() {
+        return priority;
     }
 
     /** Whether it is sent in urgent rounds as well as in regular ones. */
--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -23,7 +23,7 @@
     enum Allowance {
         ANY,
         /** Only what safety requires. */
-        URGENT_ONLY,
+        PRIORITY_ONLY,
         NONE
     }
 
@@ -34,7 +34,7 @@
     private static final double DEFERRABLE_QUEUE_FRACTION = 0.5;
 
     /** Fraction of the queue limit that urgent entries may fill; the rest is for a slow channel. */
-    private static final double URGENT_QUEUE_FRACTION = 0.6;
+    private static final double PRIORITY_QUEUE_FRACTION = 0.6;
 
     /** Fraction of the drain grace that deferrable entries may take of the channel. */
     private static final double DEFERRABLE_GRACE_FRACTION = 0.2;
@@ -53,7 +53,7 @@
     private final double transitTicks;
     private final Collection<Proxy> proxies;
     private final List<Proxy> writtenThisTurn = new ArrayList<>();
-    private double queuedEntries;
+    private double uncarriedEntries;
     private double unacknowledgedEntries;
     private long queueUpdatedAtTicks;
     private int serial;
@@ -89,26 +89,26 @@
      * Entries that wait. Messages leave in the order in which they were written, so none written
      * before one that any proxy acknowledged still waits, however silent its own proxy is.
      */
-    double queue(long now) {
+    double advanceQueue(long now) {
         if (now != queueUpdatedAtTicks) {
             double carried = (now - queueUpdatedAtTicks) * entriesPerTick;
-            queuedEntries = Math.max(0, queuedEntries - carried);
+            uncarriedEntries = Math.max(0, uncarriedEntries - carried);
             queueUpdatedAtTicks = now;
             countUnacknowledged(now);
         }
-        return Math.max(queuedEntries, unacknowledgedEntries - transitTicks * entriesPerTick);
+        return Math.max(uncarriedEntries, unacknowledgedEntries - transitTicks * entriesPerTick);
     }
 
     private void countUnacknowledged(long now) {
         unacknowledgedEntries = 0;
         long leftUntil =
                 proxies.stream()
-                        .mapToLong(proxy -> proxy.channel().acknowledgedWriteTicks())
+                        .mapToLong(proxy -> proxy.sendState().acknowledgedWriteTicks())
                         .max()
                         .orElse(0);
         for (Proxy proxy : proxies) {
-            proxy.channel().expireInFlight(now - IN_FLIGHT_MEMORY_TICKS);
-            unacknowledgedEntries += proxy.channel().entriesInFlightSince(leftUntil);
+            proxy.sendState().expireInFlight(now - IN_FLIGHT_MEMORY_TICKS);
+            unacknowledgedEntries += proxy.sendState().entriesInFlightSince(leftUntil);
         }
     }
 
@@ -129,8 +129,8 @@
     }
 
     /** The most that may wait with urgent entries. */
-    double urgentQueueLimit() {
-        return queueLimitEntries * URGENT_QUEUE_FRACTION;
+    double priorityQueueLimit() {
+        return queueLimitEntries * PRIORITY_QUEUE_FRACTION;
     }
 
     double entriesPerTick() {
@@ -151,42 +151,42 @@
 
     /** Whether a proxy has had a fraction of the messages that it may be sent in a window. */
     boolean isQuotaSpent(Proxy proxy, double fraction) {
-        return messageQuota > 0 && proxy.channel().messageCount() >= messageQuota * fraction;
+        return messageQuota > 0 && proxy.sendState().messageCount() >= messageQuota * fraction;
     }
 
     /** Forgets messages that the quota's window has passed. */
     void expireMessages(long now) {
         for (Proxy proxy : proxies) {
-            proxy.channel().expireMessages(now - quotaWindowTicks);
+            proxy.sendState().expireMessages(now - quotaWindowTicks);
         }
     }
 
     /** What a proxy may be sent now: urgent messages space out what deferrable ones leave. */
     Allowance allowance(Proxy proxy, long now) {
-        ProxyChannel channel = proxy.channel();
+        ProxySendState sendState = proxy.sendState();
         double deferrable = Math.floor(messageQuota * DEFERRABLE_QUOTA_FRACTION);
-        if (messageQuota <= 0 || channel.messageCount() < deferrable) {
+        if (messageQuota <= 0 || sendState.messageCount() < deferrable) {
             return Allowance.ANY;
         }
         double spacingTicks = quotaWindowTicks / (messageQuota - deferrable);
-        return channel.messageCount() >= messageQuota
-                        || now - channel.lastMessageAtTicks() < spacingTicks
+        return sendState.messageCount() >= messageQuota
+                        || now - sendState.lastMessageAtTicks() < spacingTicks
                 ? Allowance.NONE
-                : Allowance.URGENT_ONLY;
+                : Allowance.PRIORITY_ONLY;
     }
 
     // ---- messages ------------------------------------------------------------------------------
 
     /** Counts entries of this turn's message to a proxy; the first bring the message overhead. */
     void post(Proxy proxy, double entries, long now) {
-        ProxyChannel channel = proxy.channel();
+        ProxySendState sendState = proxy.sendState();
         double withOverhead = entries;
-        if (channel.entriesThisTurn() == 0) {
-            channel.countMessage(now);
+        if (sendState.entriesThisTurn() == 0) {
+            sendState.countMessage(now);
             writtenThisTurn.add(proxy);
             withOverhead = entries + (messageOverheadEntries + 1);
         }
-        count(channel, withOverhead);
+        count(sendState, withOverhead);
     }
 
     /** Closes the turn's messages under one serial number; false where there is none. */
@@ -196,21 +196,21 @@
         }
         serial = serial % LAST_SERIAL + 1;
         for (Proxy proxy : writtenThisTurn) {
-            ProxyChannel channel = proxy.channel();
+            ProxySendState sendState = proxy.sendState();
             for (int further = commands.messageCount(proxy.number()) - 1; further > 0; further--) {
-                channel.countMessage(now);
-                count(channel, messageOverheadEntries);
+                sendState.countMessage(now);
+                count(sendState, messageOverheadEntries);
             }
-            channel.closeMessage(serial, now);
+            sendState.closeMessage(serial, now);
         }
         writtenThisTurn.clear();
         commands.requestAcknowledgement(serial);
         return true;
     }
 
-    private void count(ProxyChannel channel, double entries) {
-        channel.addEntries(entries);
-        queuedEntries += entries;
+    private void count(ProxySendState sendState, double entries) {
+        sendState.addEntries(entries);
+        uncarriedEntries += entries;
         unacknowledgedEntries += entries;
     }
 }
--- a/src/main/java/rockshift/planner/DemandEstimator.java
+++ b/src/main/java/rockshift/planner/DemandEstimator.java
@@ -20,16 +20,16 @@
     private static final double MEMORY_TICKS = 1.5 * Ticks.TICKS_PER_SECOND;
 
     /** Arrivals that a rate reaches back for, no further than capacities do. */
-    private static final double MIN_ARRIVALS = 3;
+    private static final double EXTRA_MEMORY_ARRIVALS = 3;
 
     /** Demand that all tables in use share beside their own, so that each keeps a fair table. */
     private static final double SHARED_DEMAND_FRACTION = 0.02;
 
     /** Memory of the hottest rate. */
-    private static final double HOTTEST_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
+    private static final double BUSIEST_PROXY_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
 
     private double expectedPerTick;
-    private double hottestRatePerSecond;
+    private double busiestProxyRatePerSecond;
     private long updatedAtTicks;
 
     DemandEstimator(long now) {
@@ -42,7 +42,7 @@
             List<ProxyGroup> groups,
             List<RoutingTable> tablesInUse,
             long now) {
-        hottestRatePerSecond *= Math.exp((updatedAtTicks - now) / HOTTEST_MEMORY_TICKS);
+        busiestProxyRatePerSecond *= Math.exp((updatedAtTicks - now) / BUSIEST_PROXY_MEMORY_TICKS);
         updatedAtTicks = now;
         groups.forEach(ProxyGroup::resetDemand);
         expectedPerTick = 0;
@@ -62,15 +62,18 @@
     private void update(Proxy proxy) {
         for (int k = 0; k < proxy.demands().size(); k++) {
             ClassDemand demand = proxy.demands().get(k);
-            double reachTicks =
+            double extraMemoryTicks =
                     Math.min(
                             CapacityEstimator.MEMORY_TICKS,
-                            MIN_ARRIVALS * Ticks.TICKS_PER_SECOND / demand.ratePerSecond());
-            demand.updateRate(1 - Math.exp(-demand.coveredTicks() / (MEMORY_TICKS + reachTicks)));
+                            EXTRA_MEMORY_ARRIVALS
+                                    * Ticks.TICKS_PER_SECOND
+                                    / demand.ratePerSecond());
+            demand.updateRate(
+                    1 - Math.exp(-demand.coveredTicks() / (MEMORY_TICKS + extraMemoryTicks)));
             double rate = demand.ratePerSecond();
             proxy.group().addDemand(k, rate);
             expectedPerTick += rate / Ticks.TICKS_PER_SECOND;
-            hottestRatePerSecond = Math.max(hottestRatePerSecond, rate);
+            busiestProxyRatePerSecond = Math.max(busiestProxyRatePerSecond, rate);
         }
     }
 
@@ -80,7 +83,7 @@
     }
 
     /** The most of one class that one proxy brought of late: any may be the next. */
-    double hottestRatePerSecond() {
-        return hottestRatePerSecond;
+    double busiestProxyRatePerSecond() {
+        return busiestProxyRatePerSecond;
     }
 }
--- a/src/main/java/rockshift/planner/DrainNotifier.java
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -24,7 +24,7 @@
     private final ChannelPacer pacer;
     private final ReplicaRegistry replicas;
     private final ProxyRegistry proxies;
-    private long notifiedAtTicks;
+    private long noticesCheckedAtTicks;
 
     DrainNotifier(
             PlannerSettings settings,
@@ -39,23 +39,23 @@
     }
 
     /** Sends notices, if any are due; whether it did. */
-    boolean notifyNext(ProxyCommands commands, ControlScope scope, long now) {
+    boolean sendOrWithdrawNotices(ProxyCommands commands, ControlScope scope, long now) {
         if (proxies.waiting().isEmpty()) {
-            return scope == ControlScope.FULL && endNextNotice(commands, now);
+            return scope == ControlScope.FULL && withdrawNextNotice(commands, now);
         }
         // Once a turn: later changes are notified in the next one.
-        if (notifiedAtTicks == now || scope == ControlScope.NONE) {
+        if (noticesCheckedAtTicks == now || scope == ControlScope.NONE) {
             return false;
         }
-        notifiedAtTicks = now;
-        return notifyWaiting(commands, now);
+        noticesCheckedAtTicks = now;
+        return sendNotices(commands, now);
     }
 
     /** Tells all proxies that one replica that is back may be used again. */
-    private boolean endNextNotice(ProxyCommands commands, long now) {
+    private boolean withdrawNextNotice(ProxyCommands commands, long now) {
         for (Replica replica : replicas.all()) {
-            if (replica.acceptsNewWork() && replica.isDrainNotified()) {
-                replica.setDrainNotified(false);
+            if (replica.acceptsNewWork() && replica.hasDrainNotice()) {
+                replica.setDrainNotice(false);
                 for (Proxy proxy : proxies.all()) {
                     send(commands, proxy, List.of(replica), false, now);
                 }
@@ -66,30 +66,31 @@
     }
 
     /** Notifies those that would get their tables too late of all replicas that left. */
-    private boolean notifyWaiting(ProxyCommands commands, long now) {
+    private boolean sendNotices(ProxyCommands commands, long now) {
         List<Replica> left =
                 replicas.all().stream().filter(replica -> !replica.acceptsNewWork()).toList();
         double overhead = pacer.messageOverheadEntries();
-        double entriesAhead = pacer.queue(now);
-        boolean notified = false;
+        double entriesAhead = pacer.advanceQueue(now);
+        boolean sent = false;
         for (Proxy proxy : proxies.waiting()) {
             double cost = proxy.bindingCost(true);
             entriesAhead += cost + overhead + 1;
             if (isTooLate(proxy, entriesAhead, now)
-                    && proxy.drainNotifiedAtTicks() < replicas.lastDepartureTicks()
+                    && proxy.drainNoticesSentAtTicks() < replicas.lastDepartureTicks()
                     && left.size() < cost
-                    && pacer.queue(now) + left.size() + overhead + 1 <= pacer.urgentQueueLimit()
+                    && pacer.advanceQueue(now) + left.size() + overhead + 1
+                            <= pacer.priorityQueueLimit()
                     && !pacer.isQuotaSpent(proxy, 1)) {
-                proxy.setDrainNotifiedAtTicks(now);
+                proxy.setDrainNoticesSentAtTicks(now);
                 send(commands, proxy, left, true, now);
-                notified = true;
+                sent = true;
             }
         }
-        return notified;
+        return sent;
     }
 
     private boolean isTooLate(Proxy proxy, double entriesAhead, long now) {
-        long waitsSince = Math.max(proxy.joinedAtTicks(), proxy.drainNotifiedAtTicks());
+        long waitsSince = Math.max(proxy.joinedAtTicks(), proxy.drainNoticesSentAtTicks());
         double boundAfterTicks =
                 now - waitsSince + entriesAhead / pacer.entriesPerTick() + longestTransitTicks;
         return boundAfterTicks > bindingDeadlineTicks;
@@ -99,7 +100,7 @@
             ProxyCommands commands, Proxy proxy, List<Replica> about, boolean draining, long now) {
         int cost = 0;
         for (Replica replica : about) {
-            replica.setDrainNotified(draining);
+            replica.setDrainNotice(draining);
             cost += commands.notifyDraining(replica.id(), draining, proxy.number());
         }
         if (cost > 0) {
--- a/src/main/java/rockshift/planner/GroupBatch.java
+++ b/src/main/java/rockshift/planner/GroupBatch.java
@@ -6,7 +6,7 @@
     private final double shortestMessageEntries;
     private double entries;
     private double provisionalTableEntries;
-    private boolean urgentOnly;
+    private boolean priorityOnly;
     private boolean blocked;
 
     GroupBatch(ProxyGroup group, double shortestMessageEntries) {
@@ -16,12 +16,12 @@
 
     /** Takes one of its proxies into account: the strictest allowance holds for all. */
     void restrict(ChannelPacer.Allowance allowance) {
-        urgentOnly |= allowance != ChannelPacer.Allowance.ANY;
+        priorityOnly |= allowance != ChannelPacer.Allowance.ANY;
         blocked |= allowance == ChannelPacer.Allowance.NONE;
     }
 
-    boolean allows(boolean urgent) {
-        return urgent ? !blocked : !urgentOnly;
+    boolean allows(boolean priority) {
+        return priority ? !blocked : !priorityOnly;
     }
 
     int boundProxies() {
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -57,7 +57,7 @@
     private long now;
     private long lastRoundTicks;
     private boolean timerSet;
-    private boolean urgentRound = true;
+    private boolean roundRequested = true;
     private boolean proxiesUnassigned;
     private boolean requiredIsDeferred;
 
@@ -111,9 +111,9 @@
     // ---- inputs --------------------------------------------------------------------------------
 
     /** Discovery listed endpoints: changes only, or all that there are. */
-    public void updateEndpoints(long now, List<Endpoint> entries, boolean changesOnly) {
+    public void updateEndpoints(long now, List<Endpoint> endpoints, boolean changesOnly) {
         this.now = now;
-        urgentRound |= replicas.update(now, entries, changesOnly);
+        roundRequested |= replicas.update(now, endpoints, changesOnly);
     }
 
     /**
@@ -128,14 +128,14 @@
             agreedVersion = version;
             operatorDrains.replace(drains);
             settings = configured.withOverrides(overrides);
-            urgentRound = true;
+            roundRequested = true;
         }
     }
 
     /** The host is, or is no longer, in touch with most other controllers. */
     public void setControlScope(long now, ControlScope newScope) {
         this.now = now;
-        urgentRound |= newScope != scope;
+        roundRequested |= newScope != scope;
         scope = newScope;
         log.add("controlScope scope=" + newScope);
     }
@@ -198,7 +198,7 @@
         this.now = now;
         Proxy proxy = proxies.get(number);
         if (proxy != null) {
-            proxy.channel().acknowledge(serial);
+            proxy.sendState().acknowledge(serial);
         }
     }
 
@@ -217,17 +217,17 @@
             assignWaitingProxies();
         } else if (!timerSet) {
             timerSet = true;
-            urgentRound |= requiredIsDeferred;
+            roundRequested |= requiredIsDeferred;
             commands.wakeAfter(TIMER_TICKS);
         } else if (!log.isEmpty()) {
             commands.log(log.remove());
-        } else if (urgentRound || schedule.isNextDue(ScheduledTask.Kind.REGULAR_ROUND, now)) {
+        } else if (roundRequested || schedule.isNextDue(ScheduledTask.Kind.REGULAR_ROUND, now)) {
             runPlanningRound(commands);
         } else if (schedule.isNextDue(ScheduledTask.Kind.END_OF_EJECTION, now)) {
             ScheduledTask task = schedule.takeNext();
             outlierDetector.endEjection(replicas.get(task.replicaId()), task.scope(), now);
-        } else if (!drainNotifier.notifyNext(commands, scope, now)
-                && !tableScheduler.sendTables(commands, scope, now)) {
+        } else if (!drainNotifier.sendOrWithdrawNotices(commands, scope, now)
+                && !tableScheduler.bindNextWaiting(commands, scope, now)) {
             return pacer.closeTurn(commands, now);
         }
         return true;
@@ -235,7 +235,7 @@
 
     private void assignWaitingProxies() {
         for (Proxy proxy : proxies.waiting()) {
-            urgentRound |= subsetter.assignToGroup(proxy);
+            roundRequested |= subsetter.assignToGroup(proxy);
         }
         proxiesUnassigned = false;
     }
@@ -244,11 +244,11 @@
     private void runPlanningRound(ProxyCommands commands) {
         boolean regular = schedule.takeDueRegularRound(now);
         operatorDrains.applyOperatorDrains(replicas, now);
-        urgentRound = subsetter.assignSubsets(replicas, proxies);
+        roundRequested = subsetter.assignSubsets(replicas, proxies);
         decayEvidence();
         detectOutliers();
-        estimateDemand();
-        FleetCapacity capacity = estimateCapacity();
+        updateDemand();
+        FleetCapacity capacity = updateCapacities();
         updateAdmissionLevels(capacity);
         solver.carryOver(activeRoutes.tables());
         if (regular) {
@@ -274,15 +274,15 @@
                 replicas.all(), activeRoutes.replicas(), capacityEstimator::loadOf, now);
     }
 
-    private void estimateDemand() {
+    private void updateDemand() {
         List<ProxyGroup> groups = subsetter.groups();
         List<RoutingTable> tables = ActiveRoutes.tablesInUse(groups);
         demand.update(proxies.all(), groups, tables, now);
         activeRoutes = ActiveRoutes.collect(tables, replicas.all());
     }
 
-    private FleetCapacity estimateCapacity() {
-        return capacityEstimator.estimate(
+    private FleetCapacity updateCapacities() {
+        return capacityEstimator.updateCapacities(
                 activeRoutes.replicas(), traffic, baseline, demand.expectedPerTick(), now);
     }
 
@@ -297,8 +297,8 @@
     }
 
     private void publish(ProxyCommands commands, boolean regular) {
-        TargetWeights.Round round =
-                targetWeights.round(
+        TargetWeights.RoundInputs round =
+                targetWeights.roundInputs(
                         demand, proxies.all().size(), subsetter.coversWholeFleet(), now);
         requiredIsDeferred =
                 publisher.publish(
--- a/src/main/java/rockshift/planner/Proxy.java
+++ b/src/main/java/rockshift/planner/Proxy.java
@@ -15,8 +15,8 @@
     private final long joinedAtTicks;
     private final double baselineRatePerSecond;
     private final List<ClassDemand> demands = new ArrayList<>();
-    private final ProxyChannel channel = new ProxyChannel();
-    private long drainNotifiedAtTicks = NEVER;
+    private final ProxySendState sendState = new ProxySendState();
+    private long drainNoticesSentAtTicks = NEVER;
     private ProxyGroup group;
     private boolean bound;
     private boolean provisional;
@@ -65,17 +65,17 @@
     }
 
     /** What it was sent; {@link ChannelPacer} keeps it. */
-    ProxyChannel channel() {
-        return channel;
+    ProxySendState sendState() {
+        return sendState;
     }
 
     /** When it was last notified of all replicas that left. */
-    long drainNotifiedAtTicks() {
-        return drainNotifiedAtTicks;
+    long drainNoticesSentAtTicks() {
+        return drainNoticesSentAtTicks;
     }
 
-    void setDrainNotifiedAtTicks(long now) {
-        drainNotifiedAtTicks = now;
+    void setDrainNoticesSentAtTicks(long now) {
+        drainNoticesSentAtTicks = now;
     }
 
     // ---- group and tables ----------------------------------------------------------------------
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -20,7 +20,7 @@
     private final TreeMap<Long, Replica> subset = new TreeMap<>();
     private final List<RoutingTable> tables = new ArrayList<>();
     private final RoutingTable provisionalTable;
-    private double hottestRatePerSecond;
+    private double busiestProxyRatePerSecond;
     private int joinedProxies;
     private int boundProxies;
     private boolean published;
@@ -116,18 +116,18 @@
     // ---- demand --------------------------------------------------------------------------------
 
     /** The highest rate of one class at one of its proxies. */
-    double hottestRatePerSecond() {
-        return hottestRatePerSecond;
+    double busiestProxyRatePerSecond() {
+        return busiestProxyRatePerSecond;
     }
 
     void resetDemand() {
-        hottestRatePerSecond = 0;
+        busiestProxyRatePerSecond = 0;
         tables.forEach(RoutingTable::resetDemand);
     }
 
     void addDemand(int classNumber, double ratePerSecond) {
         tables.get(classNumber).addDemand(ratePerSecond);
-        hottestRatePerSecond = Math.max(hottestRatePerSecond, ratePerSecond);
+        busiestProxyRatePerSecond = Math.max(busiestProxyRatePerSecond, ratePerSecond);
     }
 
     // ---- publication ---------------------------------------------------------------------------
--- a/src/main/java/rockshift/planner/ProxyChannel.java
+++ b/src/main/java/rockshift/planner/ProxySendState.java
@@ -7,7 +7,7 @@
  * and the one that is being written. Changed by {@link ChannelPacer}; an acknowledgement comes from
  * the proxy.
  */
-final class ProxyChannel {
+final class ProxySendState {
     /** A message in flight, by the serial number that the proxy acknowledges it with. */
     private record InFlight(int serial, long writtenAtTicks, long entries) {}
 
--- a/src/main/java/rockshift/planner/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -18,7 +18,7 @@
     private long startedAtTicks;
     private long changedAtTicks;
     private boolean drainedByOperator;
-    private boolean drainNotified;
+    private boolean drainNotice;
     private final LoadEvidence loadEvidence = new LoadEvidence();
     private final ReplicaObservations ownZoneObservations = new ReplicaObservations();
     private final ReplicaObservations otherZoneObservations = new ReplicaObservations();
@@ -93,12 +93,12 @@
     }
 
     /** Whether a proxy was told to stop using it, whatever its tables say. */
-    boolean isDrainNotified() {
-        return drainNotified;
+    boolean hasDrainNotice() {
+        return drainNotice;
     }
 
-    void setDrainNotified(boolean notified) {
-        drainNotified = notified;
+    void setDrainNotice(boolean notice) {
+        drainNotice = notice;
     }
 
     // ---- evidence and capacity ------------------------------------------------------------------
--- a/src/main/java/rockshift/planner/ReplicaRegistry.java
+++ b/src/main/java/rockshift/planner/ReplicaRegistry.java
@@ -52,15 +52,15 @@
      *
      * @return whether a replica changed that has an entry in a published table
      */
-    boolean update(long now, List<Endpoint> entries, boolean changesOnly) {
+    boolean update(long now, List<Endpoint> endpoints, boolean changesOnly) {
         TreeSet<Long> missing = new TreeSet<>(changesOnly ? List.of() : replicas.keySet());
         boolean tablesAffected = false;
-        for (Endpoint entry : entries) {
-            missing.remove(entry.replicaId());
-            Replica replica = replicas.computeIfAbsent(entry.replicaId(), Replica::new);
-            boolean restarted = entry.startedAtTicks() > replica.startedAtTicks();
-            replica.updateEndpoint(entry);
-            tablesAffected |= changeHealth(replica, entry.health(), restarted, now);
+        for (Endpoint endpoint : endpoints) {
+            missing.remove(endpoint.replicaId());
+            Replica replica = replicas.computeIfAbsent(endpoint.replicaId(), Replica::new);
+            boolean restarted = endpoint.startedAtTicks() > replica.startedAtTicks();
+            replica.updateEndpoint(endpoint);
+            tablesAffected |= changeHealth(replica, endpoint.health(), restarted, now);
         }
         for (long id : missing) {
             tablesAffected |= changeHealth(replicas.get(id), Endpoint.Health.GONE, false, now);
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -88,12 +88,12 @@
         return !proxy.group().isPublished();
     }
 
-    private void createGroups(int usableReplicas, Collection<Proxy> proxies) {
+    private void createGroups(int acceptingReplicas, Collection<Proxy> proxies) {
         entriesPerTable = Math.max(MIN_ENTRIES, Math.floor(affordableEntries(proxies)));
-        if (usableReplicas <= WHOLE_FLEET_RATIO * entriesPerTable) {
+        if (acceptingReplicas <= WHOLE_FLEET_RATIO * entriesPerTable) {
             entriesPerTable = Double.MAX_VALUE;
         }
-        double tables = TABLES_PER_REPLICA * usableReplicas / entriesPerTable;
+        double tables = TABLES_PER_REPLICA * acceptingReplicas / entriesPerTable;
         int perZone = (int) Math.max(1, Math.ceil(tables / zones.size()));
         for (String zone : zones) {
             for (int i = 0; i < perZone; i++) {
@@ -144,19 +144,22 @@
      * @return whether groups were created: their tables take a further round
      */
     boolean assignSubsets(ReplicaRegistry replicas, ProxyRegistry proxies) {
-        List<Replica> usable = replicas.acceptingNewWork();
+        List<Replica> accepting = replicas.acceptingNewWork();
         boolean creates =
-                groups.isEmpty() && !usable.isEmpty() && !proxies.all().isEmpty() && classCount > 0;
+                groups.isEmpty()
+                        && !accepting.isEmpty()
+                        && !proxies.all().isEmpty()
+                        && classCount > 0;
         if (creates) {
-            createGroups(usable.size(), proxies.all());
+            createGroups(accepting.size(), proxies.all());
             proxies.all().forEach(this::assignToGroup);
         }
-        removeUnusable(replicas);
+        removeNotAccepting(replicas);
         for (ProxyGroup group : groups) {
-            refill(group, usable, proxies.waiting().isEmpty());
+            refill(group, accepting, proxies.waiting().isEmpty());
         }
-        double perReplica = groups.size() * entriesPerTable / usable.size();
-        for (Replica replica : usable) {
+        double perReplica = groups.size() * entriesPerTable / accepting.size();
+        for (Replica replica : accepting) {
             double ownZone = Math.max(1, Math.floor(perReplica * OWN_ZONE_FRACTION));
             spreadReplica(replica, true, ownZone - replica.groupCount(true));
             double otherZones = Math.floor(perReplica * (1 - OWN_ZONE_FRACTION));
@@ -170,7 +173,7 @@
         return creates;
     }
 
-    private void removeUnusable(ReplicaRegistry replicas) {
+    private void removeNotAccepting(ReplicaRegistry replicas) {
         for (Replica replica : replicas.all()) {
             boolean inGroups = replica.groupCount(true) + replica.groupCount(false) > 0;
             if (!replica.acceptsNewWork() && inGroups) {
@@ -180,23 +183,24 @@
     }
 
     /** Fills a group that has lost many replicas, or whose demand is near what it reaches. */
-    private void refill(ProxyGroup group, List<Replica> usable, boolean nobodyWaits) {
+    private void refill(ProxyGroup group, List<Replica> accepting, boolean nobodyWaits) {
         double size = group.subsetSize();
         double demand = group.tables().stream().mapToDouble(RoutingTable::demandShare).sum();
-        double reachable = nobodyWaits ? group.tables().get(0).reachableCapacity() : 0;
-        double forDemand = reachable > 0 ? size * CAPACITY_RESERVE_RATIO * demand / reachable : 0;
+        double openCapacity = nobodyWaits ? group.tables().get(0).openCapacity() : 0;
+        double forDemand =
+                openCapacity > 0 ? size * CAPACITY_RESERVE_RATIO * demand / openCapacity : 0;
         double needed = Math.max(entriesPerTable, forDemand);
-        if (size < REFILL_FRACTION * Math.min(needed, usable.size())) {
+        if (size < REFILL_FRACTION * Math.min(needed, accepting.size())) {
             double missing = needed - size;
-            fillGroup(group, usable, true, Math.ceil(missing * OWN_ZONE_FRACTION));
-            fillGroup(group, usable, false, Math.floor(missing * (1 - OWN_ZONE_FRACTION)));
+            fillGroup(group, accepting, true, Math.ceil(missing * OWN_ZONE_FRACTION));
+            fillGroup(group, accepting, false, Math.floor(missing * (1 - OWN_ZONE_FRACTION)));
         }
     }
 
     /** Adds replicas that the fewest groups have, of the group's zone or of the others. */
     private static void fillGroup(
-            ProxyGroup group, List<Replica> usable, boolean ownZone, double count) {
-        usable.stream()
+            ProxyGroup group, List<Replica> accepting, boolean ownZone, double count) {
+        accepting.stream()
                 .filter(replica -> group.canAdd(replica, ownZone) && !replica.isEjected())
                 .sorted(
                         Comparator.comparingInt((Replica replica) -> replica.groupCount(ownZone))
--- a/src/main/java/rockshift/planner/RoutingTable.java
+++ b/src/main/java/rockshift/planner/RoutingTable.java
@@ -17,8 +17,8 @@
     private final TreeMap<Long, Route> routes = new TreeMap<>();
     private double demandShare;
     private double previousDemandShare;
-    private double reachableCapacity;
-    private double classTotal;
+    private double openCapacity;
+    private double linkCopyTotal;
     private double publishedLevel;
     private int entryCount;
     private double weightScale = 1;
@@ -70,7 +70,7 @@
     }
 
     /** Whether no published entry leads to a replica that may get new work. */
-    boolean hasNoUsableEntry() {
+    boolean hasNoAllowedEntry() {
         return routes.values().stream()
                 .noneMatch(route -> route.publishedWeight() > 0 && route.isAllowed());
     }
@@ -109,21 +109,21 @@
     }
 
     /** The capacity of all open routes: the paper's utopic total. */
-    double reachableCapacity() {
-        return reachableCapacity;
+    double openCapacity() {
+        return openCapacity;
     }
 
-    void setReachableCapacity(double capacity) {
-        reachableCapacity = capacity;
+    void setOpenCapacity(double capacity) {
+        openCapacity = capacity;
     }
 
     /** The solver's rate of the whole class: y in the paper. */
-    double classTotal() {
-        return classTotal;
+    double linkCopyTotal() {
+        return linkCopyTotal;
     }
 
-    void setClassTotal(double total) {
-        classTotal = total;
+    void setLinkCopyTotal(double total) {
+        linkCopyTotal = total;
     }
 
     // ---- publication ---------------------------------------------------------------------------
--- a/src/main/java/rockshift/planner/SlowStart.java
+++ b/src/main/java/rockshift/planner/SlowStart.java
@@ -43,7 +43,7 @@
                 : initialFraction + (1 - initialFraction) * ageTicks / durationTicks;
     }
 
-    boolean isCold(Replica replica, long now) {
+    boolean isSlowStarting(Replica replica, long now) {
         return factor(replica, now) < 1;
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** {@link #SAFE_OVERLOAD_FRACTION} of a rate: what one caller may bring beside others. */
-    static double safeFractionOf(double rate) {
+    static double withoutSafetyMargin(double rate) {
         return SAFE_OVERLOAD_FRACTION * rate;
     }
 }
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -26,11 +26,11 @@
     }
 
     /** Removals first, then levels and new entries, then changed weights by their size. */
-    List<TableChange> find(List<RoutingTable> tables, TargetWeights.Round round) {
+    List<TableChange> find(List<RoutingTable> tables, TargetWeights.RoundInputs round) {
         List<TableChange> changes = new ArrayList<>();
         for (RoutingTable table : tables) {
             addLevelChange(changes, table);
-            targetWeights.update(table, round);
+            targetWeights.updateTargets(table, round);
             table.routes().forEach(route -> addEntryChange(changes, route));
         }
         changes.sort(Comparator.comparingDouble(TableChange::priority).reversed());
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -65,7 +65,7 @@
             ProxyCommands commands,
             List<ProxyGroup> groups,
             List<RoutingTable> tables,
-            TargetWeights.Round round,
+            TargetWeights.RoundInputs round,
             ControlScope scope,
             boolean regular,
             double commandPrice) {
@@ -75,7 +75,7 @@
                 openBudget(joinsFirst, regular ? weightEntriesPerRound(commandPrice) : 0, now);
         List<GroupBatch> batches = openBatches(groups, now);
         Set<RoutingTable> withoutEntry =
-                tables.stream().filter(RoutingTable::hasNoUsableEntry).collect(Collectors.toSet());
+                tables.stream().filter(RoutingTable::hasNoAllowedEntry).collect(Collectors.toSet());
         boolean requiredIsDeferred = false;
         for (TableChange change : differences.find(tables, round)) {
             GroupBatch batch = batches.get(change.table().group().number());
@@ -99,9 +99,9 @@
     }
 
     private PublishBudget openBudget(boolean joinsFirst, double weightEntries, long now) {
-        double queue = pacer.queue(now);
+        double queue = pacer.advanceQueue(now);
         return new PublishBudget(
-                pacer.urgentQueueLimit() - queue,
+                pacer.priorityQueueLimit() - queue,
                 joinsFirst ? 0 : pacer.deferrableBacklog() - queue,
                 weightEntries);
     }
@@ -134,15 +134,15 @@
             TableChange change, GroupBatch batch, boolean joinsFirst, long now) {
         boolean inEveryRound = batch.boundProxies() == 0;
         if (change instanceof TableChange.Entry entry) {
-            boolean coldIsCut =
-                    entry.isDecrease() && slowStart.isCold(entry.route().replica(), now);
+            boolean slowStartingIsCut =
+                    entry.isDecrease() && slowStart.isSlowStarting(entry.route().replica(), now);
             // After the largest entry left, a cold one would be most of the rest for a round.
             boolean doublesInMessage = batch.isStarted() && entry.isMoreThanDoubled();
-            if (doublesInMessage || coldIsCut && entry.isMoreThanHalved()) {
+            if (doublesInMessage || slowStartingIsCut && entry.isMoreThanHalved()) {
                 return ChangeUrgency.IMMEDIATE;
             }
-            if (coldIsCut && !joinsFirst) {
-                return inEveryRound ? ChangeUrgency.IMMEDIATE : ChangeUrgency.URGENT;
+            if (slowStartingIsCut && !joinsFirst) {
+                return inEveryRound ? ChangeUrgency.IMMEDIATE : ChangeUrgency.PRIORITIZED;
             }
             inEveryRound |= entry.isNew() && batch.isStarted();
         }
@@ -173,7 +173,8 @@
             GroupBatch batch,
             PublishBudget budget) {
         double cost = batch.cost();
-        boolean hasRoom = budget.covers(cost, change, urgency) && batch.allows(urgency.isUrgent());
+        boolean hasRoom =
+                budget.covers(cost, change, urgency) && batch.allows(urgency.usesPriorityBudget());
         if (cost > 0 && !hasRoom) {
             return false;
         }
--- a/src/main/java/rockshift/planner/TableScheduler.java
+++ b/src/main/java/rockshift/planner/TableScheduler.java
@@ -22,7 +22,7 @@
     private static final double BINDING_DEADLINE_FRACTION = 0.5;
 
     /** Fraction of the deferrable backlog up to which proxies get all of their tables at once. */
-    private static final double CALM_BACKLOG_FRACTION = 0.5;
+    private static final double SMALL_BACKLOG_FRACTION = 0.5;
 
     private final double bindingDeadlineTicks;
     private final boolean provisionalIsSafe;
@@ -43,7 +43,7 @@
     }
 
     /** Binds the next proxy, if there is one and the channel has room; whether it did. */
-    boolean sendTables(ProxyCommands commands, ControlScope scope, long now) {
+    boolean bindNextWaiting(ProxyCommands commands, ControlScope scope, long now) {
         for (Proxy proxy : proxies.waiting()) {
             boolean provisional = needsProvisionalTable(proxy, now);
             double cost = proxy.bindingCost(provisional);
@@ -58,11 +58,11 @@
             bind(commands, proxy, provisional, cost, now);
             return true;
         }
-        return sendFullTables(commands, scope, now);
+        return upgradeNextProvisional(commands, scope, now);
     }
 
     private boolean needsProvisionalTable(Proxy proxy, long now) {
-        return pacer.queue(now) > CALM_BACKLOG_FRACTION * pacer.deferrableBacklog()
+        return pacer.advanceQueue(now) > SMALL_BACKLOG_FRACTION * pacer.deferrableBacklog()
                 && proxy.group() != null
                 && proxy.group().provisionalTable().entryCount() > 0
                 && provisionalIsSafe;
@@ -72,19 +72,20 @@
     private boolean hasRoom(Proxy proxy, double cost, long now) {
         double deferrable = pacer.deferrableBacklog();
         double urgency = Math.min(1, (now - proxy.joinedAtTicks()) / bindingDeadlineTicks);
-        double startLimit = deferrable + urgency * (pacer.urgentQueueLimit() - deferrable);
-        double endLimit = urgency < 1 ? pacer.deferrableQueueLimit() : pacer.urgentQueueLimit();
-        double queue = pacer.queue(now);
+        double startLimit = deferrable + urgency * (pacer.priorityQueueLimit() - deferrable);
+        double endLimit = urgency < 1 ? pacer.deferrableQueueLimit() : pacer.priorityQueueLimit();
+        double queue = pacer.advanceQueue(now);
         double queueAfter = queue + cost + pacer.messageOverheadEntries() + 1;
         return !(queue > startLimit || queueAfter > endLimit);
     }
 
     /** Replaces a provisional table while nobody waits and little is queued. */
-    private boolean sendFullTables(ProxyCommands commands, ControlScope scope, long now) {
+    private boolean upgradeNextProvisional(ProxyCommands commands, ControlScope scope, long now) {
         boolean calm =
                 proxies.waiting().isEmpty()
                         && scope == ControlScope.FULL
-                        && pacer.queue(now) <= CALM_BACKLOG_FRACTION * pacer.deferrableBacklog();
+                        && pacer.advanceQueue(now)
+                                <= SMALL_BACKLOG_FRACTION * pacer.deferrableBacklog();
         if (!calm) {
             return false;
         }
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -22,26 +22,26 @@
     private static final double FLOOR_FRACTION = 0.02;
 
     /** Times its part of the fleet that a cold replica may be of a table of the whole fleet. */
-    private static final double MAX_COLD_SHARE_RATIO = 1.5;
+    private static final double MAX_SLOW_STARTING_SHARE_RATIO = 1.5;
 
     /** Times a cold replica's part that a proxy with a table of the whole fleet may bring. */
     private static final double MAX_PROXY_RATE_RATIO = 40;
 
     /** Rounds in which cold entries get what others leave; few remain to be moved after these. */
-    private static final int ROUNDS = 5;
+    private static final int REBALANCE_PASSES = 5;
 
     /**
      * What is the same for all tables of a planning round.
      *
      * @param expectedPerTick transactions that this controller's proxies bring
      * @param fleetRatePerSecond an estimate for the proxies of all controllers
-     * @param hottestRatePerSecond the most of one class that one proxy brought of late
+     * @param busiestProxyRatePerSecond the most of one class that one proxy brought of late
      * @param wholeFleet whether tables have entries for the whole fleet
      */
-    record Round(
+    record RoundInputs(
             double expectedPerTick,
             double fleetRatePerSecond,
-            double hottestRatePerSecond,
+            double busiestProxyRatePerSecond,
             boolean wholeFleet,
             long now) {}
 
@@ -49,17 +49,18 @@
      * What limits the cold entries of one table.
      *
      * @param floor least fraction of an entry
-     * @param besideLargest fraction of the table that is left without its largest warm entry
-     * @param hasWarm whether warm entries can take the work instead
-     * @param hottestRate transactions a second that one proxy may bring
-     * @param safeColdRate transactions a second that are safe for the cold replicas together
+     * @param shareWithoutLargest fraction of the table that is left without its largest warm entry
+     * @param hasStarted whether warm entries can take the work instead
+     * @param busiestProxyRate transactions a second that one proxy may bring
+     * @param safeSlowStartingRate transactions a second that are safe for the cold replicas
+     *     together
      */
-    private record ColdLimits(
+    private record SlowStartLimits(
             double floor,
-            double besideLargest,
-            boolean hasWarm,
-            double hottestRate,
-            double safeColdRate) {}
+            double shareWithoutLargest,
+            boolean hasStarted,
+            double busiestProxyRate,
+            double safeSlowStartingRate) {}
 
     private final SlowStart slowStart;
     private final double expectedProxies;
@@ -72,25 +73,26 @@
     }
 
     /** The round's inputs, with so many proxies joined here. */
-    Round round(DemandEstimator demand, int joinedProxies, boolean wholeFleet, long now) {
+    RoundInputs roundInputs(
+            DemandEstimator demand, int joinedProxies, boolean wholeFleet, long now) {
         double expectedPerTick = demand.expectedPerTick();
-        return new Round(
+        return new RoundInputs(
                 expectedPerTick,
                 expectedPerTick
                         * Ticks.TICKS_PER_SECOND
                         * Math.max(1, expectedProxies / joinedProxies),
-                demand.hottestRatePerSecond(),
+                demand.busiestProxyRatePerSecond(),
                 wholeFleet,
                 now);
     }
 
     /** Sets the target fractions of a table's allowed routes, and the table's weight scale. */
-    void update(RoutingTable table, Round round) {
+    void updateTargets(RoutingTable table, RoundInputs round) {
         List<Route> routes = table.routes().stream().filter(Route::isAllowed).toList();
         double rateSum = routes.stream().mapToDouble(Route::linkCopy).sum();
-        double largestWarmRate =
+        double largestStartedRate =
                 routes.stream()
-                        .mapToDouble(route -> isCold(route, round) ? 0 : route.linkCopy())
+                        .mapToDouble(route -> isSlowStarting(route, round) ? 0 : route.linkCopy())
                         .max()
                         .orElse(0);
         double floor = FLOOR_FRACTION / routes.size();
@@ -99,16 +101,16 @@
             fractions[i] = solvedFraction(routes.get(i), rateSum, floor, fractions.length);
         }
         // Proxies leave out the largest entry after failures there: the rest takes its part.
-        double besideLargest = rateSum > 0 ? 1 - largestWarmRate / rateSum : 1;
+        double shareWithoutLargest = rateSum > 0 ? 1 - largestStartedRate / rateSum : 1;
         setTargets(
                 routes,
                 fractions,
-                new ColdLimits(
+                new SlowStartLimits(
                         floor,
-                        besideLargest,
-                        largestWarmRate > 0,
-                        hottestRatePerSecond(table, round),
-                        safeColdRatePerSecond(table, round)),
+                        shareWithoutLargest,
+                        largestStartedRate > 0,
+                        busiestProxyRatePerSecond(table, round),
+                        safeSlowStartingRatePerSecond(table, round)),
                 round);
         table.setWeightScale(weightScale(table, routes));
     }
@@ -124,16 +126,20 @@
     }
 
     private void setTargets(
-            List<Route> routes, double[] solvedFractions, ColdLimits limits, Round round) {
+            List<Route> routes,
+            double[] solvedFractions,
+            SlowStartLimits limits,
+            RoundInputs round) {
         double sum = 1;
-        for (int i = 0; i < ROUNDS; i++) {
+        for (int i = 0; i < REBALANCE_PASSES; i++) {
             double previousSum = sum;
             sum = 0;
             for (int k = 0; k < solvedFractions.length; k++) {
                 Route route = routes.get(k);
                 double target =
-                        isCold(route, round)
-                                ? coldTarget(route, solvedFractions[k], previousSum, limits, round)
+                        isSlowStarting(route, round)
+                                ? slowStartingTarget(
+                                        route, solvedFractions[k], previousSum, limits, round)
                                 : solvedFractions[k];
                 route.setTargetFraction(target);
                 sum += target;
@@ -141,44 +147,58 @@
         }
     }
 
-    private static double coldTarget(
-            Route route, double solvedFraction, double tableSum, ColdLimits limits, Round round) {
-        if (limits.hasWarm
-                && limits.hottestRate > safeProxyRate(route, limits.safeColdRate, round)) {
+    private static double slowStartingTarget(
+            Route route,
+            double solvedFraction,
+            double tableSum,
+            SlowStartLimits limits,
+            RoundInputs round) {
+        if (limits.hasStarted
+                && limits.busiestProxyRate
+                        > safeProxyRate(route, limits.safeSlowStartingRate, round)) {
             return 0;
         }
-        double reachable = Math.max(route.table().reachableCapacity(), Double.MIN_NORMAL);
-        double fair = limits.besideLargest * route.replica().capacity() / reachable;
-        double most =
+        double openCapacity = Math.max(route.table().openCapacity(), Double.MIN_NORMAL);
+        double fairShare = limits.shareWithoutLargest * route.replica().capacity() / openCapacity;
+        double maxShare =
                 round.wholeFleet
                         ? Math.min(
                                 solvedFraction,
-                                tableSum * (MAX_COLD_SHARE_RATIO * fair + limits.floor))
-                        : tableSum * fair;
-        return Math.max(limits.floor, most);
+                                tableSum
+                                        * (MAX_SLOW_STARTING_SHARE_RATIO * fairShare
+                                                + limits.floor))
+                        : tableSum * fairShare;
+        return Math.max(limits.floor, maxShare);
     }
 
     /** The highest rate of one class at one proxy with this table, now or soon. */
-    private static double hottestRatePerSecond(RoutingTable table, Round round) {
+    private static double busiestProxyRatePerSecond(RoutingTable table, RoundInputs round) {
         double elsewhere =
-                round.wholeFleet ? 0 : SlowStart.safeFractionOf(round.hottestRatePerSecond);
-        return Math.max(table.group().hottestRatePerSecond(), elsewhere);
+                round.wholeFleet
+                        ? 0
+                        : SlowStart.withoutSafetyMargin(round.busiestProxyRatePerSecond);
+        return Math.max(table.group().busiestProxyRatePerSecond(), elsewhere);
     }
 
     /** The rate of one class that is safe for all cold replicas of a table together. */
-    private double safeColdRatePerSecond(RoutingTable table, Round round) {
-        double cold = table.capacityOf(route -> route.isAllowed() && isCold(route, round));
-        return slowStart.safeLoadRatio() * cold * round.fleetRatePerSecond / classCount;
+    private double safeSlowStartingRatePerSecond(RoutingTable table, RoundInputs round) {
+        double slowStartingCapacity =
+                table.capacityOf(route -> route.isAllowed() && isSlowStarting(route, round));
+        return slowStart.safeLoadRatio()
+                * slowStartingCapacity
+                * round.fleetRatePerSecond
+                / classCount;
     }
 
     /** What one proxy may bring of a class with a cold route in its table. */
-    private static double safeProxyRate(Route route, double safeColdRate, Round round) {
+    private static double safeProxyRate(
+            Route route, double safeSlowStartingRate, RoundInputs round) {
         return round.wholeFleet
                 ? MAX_PROXY_RATE_RATIO
                         * route.replica().capacity()
                         * round.expectedPerTick
                         * Ticks.TICKS_PER_SECOND
-                : safeColdRate;
+                : safeSlowStartingRate;
     }
 
     /**
@@ -195,7 +215,7 @@
         return table.group().boundProxies() > 0 && targets > 0 ? standing / targets : 1;
     }
 
-    private boolean isCold(Route route, Round round) {
-        return slowStart.isCold(route.replica(), round.now);
+    private boolean isSlowStarting(Route route, RoundInputs round) {
+        return slowStart.isSlowStarting(route.replica(), round.now);
     }
 }
--- a/src/main/java/rockshift/planner/TrafficWindows.java
+++ b/src/main/java/rockshift/planner/TrafficWindows.java
@@ -27,9 +27,9 @@
     private double answers;
     private double answerTicks;
     private double shortestMeanAnswerTicks = Double.MAX_VALUE;
-    private double coveredTicks;
+    private double conservativeCoveredTicks;
     private double coveredTicksFromFirstReport;
-    private double capacityTicks;
+    private double conservativeCapacityTicks;
     private double capacityTicksFromFirstReport;
 
     TrafficWindows(int classCount) {
@@ -44,7 +44,8 @@
         attempts += count;
         answers += answered;
         answerTicks += answered * (double) meanAnswerTicks;
-        capacityTicks = capacityTicks == 0 ? spanTicks : capacityTicks;
+        conservativeCapacityTicks =
+                conservativeCapacityTicks == 0 ? spanTicks : conservativeCapacityTicks;
     }
 
     void addArrivals(int classNumber, int count) {
@@ -57,22 +58,22 @@
      * @param admittedFractions by class, what was admitted since the last call
      */
     void decay(long elapsedTicks, double[] admittedFractions) {
-        if (capacityTicks <= 0) {
+        if (conservativeCapacityTicks <= 0) {
             return;
         }
         double kept = Math.exp(-elapsedTicks / MEMORY_TICKS);
         double capacityKept = CapacityEstimator.keptFraction(elapsedTicks);
-        boolean first = coveredTicks == 0;
+        boolean first = conservativeCoveredTicks == 0;
         coveredTicksFromFirstReport =
                 first
-                        ? capacityTicks * kept
+                        ? conservativeCapacityTicks * kept
                         : coveredTicksFromFirstReport * kept + MEMORY_TICKS * (1 - kept);
         double capacityGained = CapacityEstimator.MEMORY_TICKS * (1 - capacityKept);
         capacityTicksFromFirstReport =
-                (first ? capacityTicks : capacityTicksFromFirstReport) * capacityKept
+                (first ? conservativeCapacityTicks : capacityTicksFromFirstReport) * capacityKept
                         + (first ? 0 : capacityGained);
-        capacityTicks = capacityTicks * capacityKept + capacityGained;
-        coveredTicks = coveredTicks * kept + MEMORY_TICKS * (1 - kept);
+        conservativeCapacityTicks = conservativeCapacityTicks * capacityKept + capacityGained;
+        conservativeCoveredTicks = conservativeCoveredTicks * kept + MEMORY_TICKS * (1 - kept);
         attempts *= kept;
         answers *= kept;
         answerTicks *= kept;
@@ -86,7 +87,7 @@
 
     /** Whether anything is covered yet. */
     boolean isEmpty() {
-        return coveredTicks == 0;
+        return conservativeCoveredTicks == 0;
     }
 
     // ---- attempts ------------------------------------------------------------------------------
@@ -96,7 +97,7 @@
     }
 
     double attemptsPerTick() {
-        return coveredTicks > 0 ? attempts / coveredTicks : 0;
+        return conservativeCoveredTicks > 0 ? attempts / conservativeCoveredTicks : 0;
     }
 
     /**
@@ -133,8 +134,8 @@
     // ---- time covered --------------------------------------------------------------------------
 
     /** Time that attempts and arrivals cover, the careful one. */
-    double coveredTicks() {
-        return coveredTicks;
+    double conservativeCoveredTicks() {
+        return conservativeCoveredTicks;
     }
 
     double coveredTicksFromFirstReport() {
@@ -142,8 +143,8 @@
     }
 
     /** Time that the evidence of capacities covers, the careful one; 0 before the first report. */
-    double capacityTicks() {
-        return capacityTicks;
+    double conservativeCapacityTicks() {
+        return conservativeCapacityTicks;
     }
 
     double capacityTicksFromFirstReport() {
