--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -3,13 +3,17 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
+import java.util.OptionalInt;
 import rockshift.model.Ticks;
 import rockshift.settings.AdmissionMode;
 import rockshift.settings.ClassSettings;
 
 /**
- * Sets the fraction of each class that proxies admit: no more than the fleet can answer, and the
- * class refused first whose refusal costs the goal least.
+ * Sets the fraction of each class that proxies admit: no more than the fleet can answer. One class
+ * is shed first, the one whose refusal costs the goal least; the others fall together, to one
+ * level, where that is not enough. Where no class is cheaper to shed than all, all fall together.
+ * In a congestion collapse admission pauses: all levels are at their least until the longest
+ * timeout of the classes has passed.
  *
  * <p>Inputs: arrivals and attempts with the ticks that they cover, the fleet's capacity in answers
  * a tick and its load, the median failure ratio. Acts only where levels are fractions.
@@ -37,13 +41,16 @@
     /** Least level of any class. */
     private static final double MIN_LEVEL = 0.05;
 
-    /** Median failure ratio up to which the fleet counts as calm, and its capacity as known. */
+    /**
+     * Median failure ratio below which the fleet counts as healthy, and its answers as its
+     * capacity.
+     */
     private static final double HEALTHY_FAILURE_RATIO = 0.05;
 
-    /** Fraction of the difference by which the calm capacity moves a round. */
+    /** Fraction of the difference by which the healthy rate of answers moves a round. */
     private static final double HEALTHY_RATE_STEP_FRACTION = 0.3;
 
-    /** Fraction of the calm capacity that counts as there in a congestion collapse. */
+    /** Fraction of the healthy rate of answers that counts as there in a congestion collapse. */
     private static final double COLLAPSE_RATE_FRACTION = 0.75;
 
     /** Median failure ratio that means a congestion collapse. */
@@ -66,7 +73,12 @@
     private final DecisionLog log;
     private final double[] levels;
     private double clientRetries;
+
+    /**
+     * Answers a tick while the fleet was last healthy, per transaction a second of the baseline.
+     */
     private double healthyRatePerBaselineRate;
+
     private long pausedUntilTicks;
 
     AdmissionController(AdmissionMode mode, List<ClassSettings> classes, DecisionLog log) {
@@ -105,8 +117,8 @@
         updateClientRetries(traffic);
         boolean overloaded = !(capacity.load() < OVERLOAD);
         double[] demand = demandPerTick(traffic, baseline, overloaded);
-        double admissible =
-                admissiblePerTick(traffic, baseline, capacity, medianFailureRatio, overloaded);
+        updateHealthyRate(baseline, capacity, medianFailureRatio);
+        double admissible = admissiblePerTick(traffic, baseline, capacity, overloaded);
         pauseOnCongestionCollapse(capacity, medianFailureRatio, now);
         setLevels(demand, admissible, capacity.load() < MIN_LOAD_TO_REFUSE, worstClassWeight, now);
     }
@@ -127,8 +139,8 @@
     }
 
     /**
-     * First attempts a tick, by class. At a start the careful time rates arrivals too high, up to
-     * twice: it is only used for an overloaded fleet, where more arrives than is reported yet.
+     * First attempts a tick, by class. At a start the conservative time rates arrivals too high, up
+     * to twice: it is only used for an overloaded fleet, where more arrives than is reported yet.
      */
     private double[] demandPerTick(
             TrafficWindows traffic, BaselineRates baseline, boolean overloaded) {
@@ -151,31 +163,31 @@
 
     /**
      * What may be admitted a tick. In a congestion collapse answers fall though the capacity is
-     * there, and refusing by them would refuse nearly all: a part of what was there in calmer times
-     * is admitted. That is too much where much capacity is really lost.
+     * there, and refusing by them would refuse nearly all: a part of what was answered while the
+     * fleet was healthy is admitted. That is too much where much capacity is really lost.
      */
     private double admissiblePerTick(
             TrafficWindows traffic,
             BaselineRates baseline,
             FleetCapacity capacity,
-            double medianFailureRatio,
             boolean overloaded) {
-        double baselineRate = baseline.currentPerSecond();
-        updateHealthyRate(
-                capacity.answersPerTick() / Math.max(baselineRate, Double.MIN_NORMAL),
-                medianFailureRatio < HEALTHY_FAILURE_RATIO);
         double answersPerTick =
                 overloaded
                         ? capacity.answersPerTick()
                         : capacity.answersPerTick()
                                 * traffic.conservativeCapacityTicks()
                                 / traffic.capacityTicksFromFirstReport();
-        double inCollapse = COLLAPSE_RATE_FRACTION * healthyRatePerBaselineRate * baselineRate;
+        double inCollapse =
+                COLLAPSE_RATE_FRACTION * healthyRatePerBaselineRate * baseline.currentPerSecond();
         return TARGET_UTILIZATION * Math.max(answersPerTick, inCollapse);
     }
 
-    /** Follows the answers in calm; the first value is taken as it is. */
-    private void updateHealthyRate(double ratePerBaselineRate, boolean healthy) {
+    /** Follows the answers while the fleet is healthy; the first value is taken as it is. */
+    private void updateHealthyRate(
+            BaselineRates baseline, FleetCapacity capacity, double medianFailureRatio) {
+        double baselineRate = Math.max(baseline.currentPerSecond(), Double.MIN_NORMAL);
+        double ratePerBaselineRate = capacity.answersPerTick() / baselineRate;
+        boolean healthy = medianFailureRatio < HEALTHY_FAILURE_RATIO;
         double step = healthy ? HEALTHY_RATE_STEP_FRACTION : 0;
         healthyRatePerBaselineRate +=
                 (healthyRatePerBaselineRate == 0 ? 1 : step)
@@ -202,6 +214,10 @@
         }
     }
 
+    /**
+     * Lowers the level of the class to shed first as far as needed, and then those of all others to
+     * one common level. While admission is paused, all are at the least level.
+     */
     private void setLevels(
             double[] demandPerTick,
             double admissiblePerTick,
@@ -212,17 +228,21 @@
         for (double each : demandPerTick) {
             total += each;
         }
-        int first = firstToShed(demandPerTick, total, worstClassWeight);
-        double own = first < 0 ? total : demandPerTick[first];
-        double rest = total - own;
-        double low = limit((admissiblePerTick - rest) / own);
-        double high = rest > 0 ? limit((admissiblePerTick - low * own) / rest) : 1;
+        OptionalInt firstToShed = firstToShed(demandPerTick, total, worstClassWeight);
+        double shedDemand = firstToShed.isPresent() ? demandPerTick[firstToShed.getAsInt()] : total;
+        double remainingDemand = total - shedDemand;
+        double shedLevel = limit((admissiblePerTick - remainingDemand) / shedDemand);
+        double remainingLevel =
+                remainingDemand > 0
+                        ? limit((admissiblePerTick - shedLevel * shedDemand) / remainingDemand)
+                        : 1;
         for (int k = 0; k < levels.length; k++) {
             if (now < pausedUntilTicks) {
                 levels[k] = MIN_LEVEL;
                 continue;
             }
-            double affordable = first < 0 || k == first ? low : high;
+            boolean isShed = firstToShed.isEmpty() || k == firstToShed.getAsInt();
+            double affordable = isShed ? shedLevel : remainingLevel;
             double target = admitAll ? 1 : affordable;
             levels[k] = Math.min(target, levels[k] + MAX_INCREASE_PER_ROUND);
         }
@@ -232,20 +252,20 @@
         return Math.max(MIN_LEVEL, Math.min(1, level));
     }
 
-    /** The class whose refusal costs the goal least a request; -1 to refuse all alike. */
-    private int firstToShed(double[] demandPerTick, double total, double worstClassWeight) {
+    /** The class whose refusal costs the goal least a request; empty to shed all alike. */
+    private OptionalInt firstToShed(double[] demandPerTick, double total, double worstClassWeight) {
         double weightedDemand = 0;
         for (int k = 0; k < classes.size(); k++) {
             weightedDemand += demandPerTick[k] * classes.get(k).priorityWeight();
         }
-        int first = -1;
+        OptionalInt first = OptionalInt.empty();
         double leastLoss = 1 / total;
         for (int k = 0; k < classes.size(); k++) {
             double loss =
                     (1 - worstClassWeight) * classes.get(k).priorityWeight() / weightedDemand
                             + worstClassWeight / demandPerTick[k];
             if (loss < leastLoss) {
-                first = k;
+                first = OptionalInt.of(k);
                 leastLoss = loss;
             }
         }
--- a/src/main/java/rockshift/planner/AlphaFairSolver.java
+++ b/src/main/java/rockshift/planner/AlphaFairSolver.java
@@ -38,7 +38,8 @@
         this.eligibility = eligibility;
     }
 
-    // ---- warm start ----------------------------------------------------------------------------
+    // ---- carrying over
+    // ----------------------------------------------------------------------------
 
     /** Carries the iterates over to new capacities, demand shares and eligibility. */
     void carryOver(List<RoutingTable> tables) {
@@ -140,7 +141,10 @@
         paths.forEach(path -> path.setLinkCopy(Math.max(0, path.linkCopy() - excess)));
     }
 
-    /** The request's copies x and its class total, by the root search. */
+    /**
+     * The request's copies x, by the root search, which takes the sum of the link copies of the
+     * iteration before as the request's total; then that sum anew.
+     */
     private static void updateRequest(
             RoutingTable request, double penalty, double crossingCost, double meanEntry) {
         List<Route> open = request.routes().stream().filter(Route::isOpen).toList();
--- a/src/main/java/rockshift/planner/CapacityEstimator.java
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -12,7 +12,8 @@
  *
  * <p>Inputs: answers to this controller's proxies, and load as a fraction of time that the replica
  * was busy for everyone. Their quotient is the capacity scaled by this controller's part of it,
- * which needs nothing from other controllers. Few answers lean on the mean of the machine type.
+ * which needs nothing from other controllers. With few answers the estimate is close to the mean of
+ * the machine type.
  *
  * <p>Guards against weights that feed on themselves: the answered rate alone follows the weight
  * that a replica was given, and one replica draws ever more. It shows as one replica with many
@@ -22,14 +23,15 @@
     /** Memory of answers and loads. */
     static final double MEMORY_TICKS = 8 * Ticks.TICKS_PER_SECOND;
 
-    /** A replica with fewer answers leans on the mean of its machine type. */
+    /** Weight of the mean of the machine type in an estimate, in answers. */
     private static final double PRIOR_ANSWERS = 15;
 
     /** A load report below it is mostly noise, and so would be a rate over it. */
     private static final double MIN_LOAD = 0.05;
 
     /**
-     * Answers that wait for a smaller fraction of their time may as well have brought less work.
+     * Answers that wait for a smaller fraction of their time may just as well come from replicas
+     * with less work.
      */
     private static final double MIN_WAITING_FRACTION = 0.25;
 
@@ -50,7 +52,9 @@
         return Math.exp(-elapsedTicks / MEMORY_TICKS);
     }
 
-    /** Lets evidence count less; answers of a cold replica say nothing about a warm one. */
+    /**
+     * Lets evidence count less; answers of a slow-starting replica say nothing about a started one.
+     */
     void decay(Collection<Replica> replicas, long elapsedTicks, long now) {
         double kept = keptFraction(elapsedTicks);
         for (Replica replica : replicas) {
@@ -59,9 +63,10 @@
     }
 
     /**
-     * Sets the capacities of replicas in use, as shares of their sum.
+     * Updates the capacities of replicas in use, as shares of their sum, and the load that counts
+     * for a replica without reports.
      *
-     * @param expectedPerTick transactions that the joined proxies bring
+     * @param expectedPerTick transactions a tick that the joined proxies are expected to receive
      */
     FleetCapacity updateCapacities(
             List<Replica> replicas,
@@ -123,7 +128,7 @@
 
     /**
      * Turns capacities into shares of their sum. Where much more is attempted than the fleet can
-     * do, or much of it is cold, cold replicas get no more than their safe load.
+     * do, or much of it is slow-starting, slow-starting replicas get no more than their safe load.
      */
     private void normalize(List<Replica> replicas, double loadRatio, double sum, long now) {
         double safe = slowStart.safeLoadRatio();
@@ -137,7 +142,7 @@
         }
     }
 
-    /** Fraction of its time that a replica is busy, for all who send to it. */
+    /** Fraction of its time that a replica is busy, for all senders. */
     double loadOf(Replica replica) {
         LoadEvidence evidence = replica.loadEvidence();
         return Math.max(MIN_LOAD, evidence.hasLoad() ? evidence.meanLoad() : loadWithoutReport);
--- a/src/main/java/rockshift/planner/ChangeUrgency.java
+++ b/src/main/java/rockshift/planner/ChangeUrgency.java
@@ -1,13 +1,28 @@
 package rockshift.planner;
 
-/** How pressing a {@link TableChange} is: in which rounds it is sent, and from which budget. */
+/**
+ * How urgent a {@link TableChange} is: from which budget it is paid, and in which rounds it is
+ * sent.
+ *
+ * <p>There are two budgets, priority and deferrable, see {@link PublishBudget}. There are two kinds
+ * of planning round: regular ones, once a second, and interim ones, which the planner requests as
+ * soon as something changes that may not wait.
+ */
 enum ChangeUrgency {
-    /** Safety requires it, also while the controller is cut off from others. */
+    /**
+     * Safety requires it: priority budget, all rounds. The only one that is also sent while the
+     * controller may make removals only.
+     */
     REQUIRED(true, true),
+    /** It protects a replica from overload now: priority budget, all rounds. */
     IMMEDIATE(true, true),
+    /**
+     * It takes a smaller load off a slow-starting replica: priority budget, regular rounds only.
+     */
     PRIORITIZED(true, false),
-    /** It is sent in any round, as it takes no message of its own. */
+    /** It needs no message of its own: deferrable budget, all rounds. */
     PIGGYBACKED(false, true),
+    /** Any other change: deferrable budget, regular rounds only. */
     BATCHED(false, false);
 
     private final boolean priority;
@@ -18,12 +33,12 @@
         this.inEveryRound = inEveryRound;
     }
 
-    /** Whether it is sent from the urgent budget; the others are deferrable. */
+    /** Whether it is paid from the priority budget, and not from the deferrable one. */
     boolean usesPriorityBudget() {
         return priority;
     }
 
-    /** Whether it is sent in urgent rounds as well as in regular ones. */
+    /** Whether it is sent in interim rounds as well as in regular ones. */
     boolean isInEveryRound() {
         return inEveryRound;
     }
--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -9,31 +9,41 @@
 /**
  * Says how much may still be queued on the way to the proxies, and what a proxy may be sent now.
  *
- * <p>Inputs: table entries posted for each proxy, acknowledgements, and time in ticks. The queue is
- * what the channel's usual rate has not carried yet, or what no proxy has acknowledged but for what
- * is in transit, whichever is more.
+ * <p>The channel's unit of cost is the entry: what one row of a routing table takes. Bindings,
+ * levels and notices are counted in it as well.
  *
- * <p>Guards against a drain that is queued behind less urgent entries until its grace is over, and
- * against messages above a proxy's quota, which it drops. Shows as late drains with messages in
+ * <p>Inputs: entries posted for each proxy, acknowledgements, and time in ticks. The queue is what
+ * the channel's usual rate has not carried yet, or what no proxy has acknowledged but for what is
+ * in transit, whichever is more.
+ *
+ * <p>Guards against a drain that is queued behind entries that could wait until its grace is over,
+ * and against messages above a proxy's quota, which it drops. Shows as late drains with messages in
  * flight. Holds because deferrable entries only ever fill a part of the queue and of the quota, and
  * because unacknowledged entries count where the channel is slower than its usual rate.
  */
 final class ChannelPacer {
     /** What a proxy's quota leaves at present. */
     enum Allowance {
+        /** Any change. */
         ANY,
-        /** Only what safety requires. */
+        /** Changes of the priority budget, see {@link ChangeUrgency#usesPriorityBudget}. */
         PRIORITY_ONLY,
+        /** No change until older messages leave the window, or the spacing has passed. */
         NONE
     }
 
-    /** Fraction of the quota left to what is deferrable; urgent messages space out the rest. */
+    /**
+     * Fraction of the quota open to deferrable changes; messages with priority are spaced over the
+     * rest.
+     */
     static final double DEFERRABLE_QUOTA_FRACTION = 0.6;
 
     /** Fraction of the queue limit that deferrable entries may fill. */
     private static final double DEFERRABLE_QUEUE_FRACTION = 0.5;
 
-    /** Fraction of the queue limit that urgent entries may fill; the rest is for a slow channel. */
+    /**
+     * Fraction of the queue limit that priority entries may fill; the rest is for a slow channel.
+     */
     private static final double PRIORITY_QUEUE_FRACTION = 0.6;
 
     /** Fraction of the drain grace that deferrable entries may take of the channel. */
@@ -86,8 +96,12 @@
     // ---- the queue -----------------------------------------------------------------------------
 
     /**
-     * Entries that wait. Messages leave in the order in which they were written, so none written
-     * before one that any proxy acknowledged still waits, however silent its own proxy is.
+     * Advances the queue to the present, once for each tick, and answers how many entries wait.
+     * Takes off what the channel has carried since, and forgets unacknowledged messages that are
+     * too old to count as in flight.
+     *
+     * <p>Messages leave in the order in which they were written, so none written before one that
+     * any proxy acknowledged still waits, however silent its own proxy is.
      */
     double advanceQueue(long now) {
         if (now != queueUpdatedAtTicks) {
@@ -123,12 +137,12 @@
         return Math.min(deferrableQueueLimit(), usual);
     }
 
-    /** The most that may wait with deferrable entries. */
+    /** The most that may wait once deferrable entries are added. */
     double deferrableQueueLimit() {
         return queueLimitEntries * DEFERRABLE_QUEUE_FRACTION;
     }
 
-    /** The most that may wait with urgent entries. */
+    /** The most that may wait once priority entries are added. */
     double priorityQueueLimit() {
         return queueLimitEntries * PRIORITY_QUEUE_FRACTION;
     }
@@ -161,7 +175,10 @@
         }
     }
 
-    /** What a proxy may be sent now: urgent messages space out what deferrable ones leave. */
+    /**
+     * What a proxy may be sent now. Deferrable changes use the first part of the quota; messages
+     * with priority are spaced evenly over the rest.
+     */
     Allowance allowance(Proxy proxy, long now) {
         ProxySendState sendState = proxy.sendState();
         double deferrable = Math.floor(messageQuota * DEFERRABLE_QUOTA_FRACTION);
@@ -177,7 +194,9 @@
 
     // ---- messages ------------------------------------------------------------------------------
 
-    /** Counts entries of this turn's message to a proxy; the first bring the message overhead. */
+    /**
+     * Counts entries of this turn's message to a proxy; the first ones add the message overhead.
+     */
     void post(Proxy proxy, double entries, long now) {
         ProxySendState sendState = proxy.sendState();
         double withOverhead = entries;
--- a/src/main/java/rockshift/planner/DemandEstimator.java
+++ b/src/main/java/rockshift/planner/DemandEstimator.java
@@ -12,20 +12,20 @@
  *
  * <p>Guards against tables that follow noise: a proxy with less than one arrival a report would
  * move its group's tables by its last spans alone. It shows as weights that change at every round
- * in calm. Holds because a rate reaches back for some arrivals, and all tables in use share a
- * floor.
+ * though demand is steady. Holds because the memory of a low rate is longer, so that it covers some
+ * arrivals, and all tables in use share a floor.
  */
 final class DemandEstimator {
     /** Memory of a proxy's rate: short, as callers come and go, but some reports long. */
     private static final double MEMORY_TICKS = 1.5 * Ticks.TICKS_PER_SECOND;
 
-    /** Arrivals that a rate reaches back for, no further than capacities do. */
+    /** Arrivals whose mean time is added to the memory, up to the memory of capacities. */
     private static final double EXTRA_MEMORY_ARRIVALS = 3;
 
     /** Demand that all tables in use share beside their own, so that each keeps a fair table. */
     private static final double SHARED_DEMAND_FRACTION = 0.02;
 
-    /** Memory of the hottest rate. */
+    /** Memory of the highest rate at one proxy. */
     private static final double BUSIEST_PROXY_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
 
     private double expectedPerTick;
@@ -36,7 +36,7 @@
         updatedAtTicks = now;
     }
 
-    /** Updates the rates of proxies, the hottest ones, and the demand shares of tables in use. */
+    /** Updates the rates of proxies, the highest ones, and the demand shares of tables in use. */
     void update(
             Collection<Proxy> proxies,
             List<ProxyGroup> groups,
@@ -77,12 +77,12 @@
         }
     }
 
-    /** Transactions a tick that the joined proxies bring. */
+    /** Transactions a tick that the joined proxies are expected to receive. */
     double expectedPerTick() {
         return expectedPerTick;
     }
 
-    /** The most of one class that one proxy brought of late: any may be the next. */
+    /** The highest recent rate of one class at one proxy; any proxy may be the next with it. */
     double busiestProxyRatePerSecond() {
         return busiestProxyRatePerSecond;
     }
--- a/src/main/java/rockshift/planner/DrainNotifier.java
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -5,8 +5,8 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Notifies proxies that wait for their tables of drained and gone replicas, and later that these
- * may be used again.
+ * Sends drain notices of drained and gone replicas to proxies that wait for their tables, and later
+ * withdraws them: the replicas may be used again.
  *
  * <p>Inputs: entries that wait in the channel and the rate at which it carries them, the drain
  * grace in ticks.
@@ -14,9 +14,9 @@
  * <p>Guards against work for drained replicas from proxies that still have the tables they joined
  * with, where the channel is too slow to bind them within the grace. Shows as attempts at replicas
  * that are listed as draining. Holds because a notice is only sent where it is shorter than the
- * tables, while the queue and the proxy's quota have room for it. Replicas that are back may be
- * used again when nobody waits, so that no cold one meets old weights; that loses some of their
- * work.
+ * tables, while the queue and the proxy's quota have room for it. Notices are withdrawn only when
+ * nobody waits, so that no slow-starting replica meets old weights; until then it goes without some
+ * of its work. Withdrawals check neither queue nor quota.
  */
 final class DrainNotifier {
     private final double longestTransitTicks;
@@ -38,12 +38,12 @@
         this.proxies = proxies;
     }
 
-    /** Sends notices, if any are due; whether it did. */
+    /** Sends or withdraws notices, if any are due; whether it did. */
     boolean sendOrWithdrawNotices(ProxyCommands commands, ControlScope scope, long now) {
         if (proxies.waiting().isEmpty()) {
             return scope == ControlScope.FULL && withdrawNextNotice(commands, now);
         }
-        // Once a turn: later changes are notified in the next one.
+        // Once a turn: later changes are for the next one.
         if (noticesCheckedAtTicks == now || scope == ControlScope.NONE) {
             return false;
         }
@@ -51,7 +51,7 @@
         return sendNotices(commands, now);
     }
 
-    /** Tells all proxies that one replica that is back may be used again. */
+    /** Withdraws the notice of one replica that accepts new work again, at all proxies. */
     private boolean withdrawNextNotice(ProxyCommands commands, long now) {
         for (Replica replica : replicas.all()) {
             if (replica.acceptsNewWork() && replica.hasDrainNotice()) {
@@ -65,7 +65,9 @@
         return false;
     }
 
-    /** Notifies those that would get their tables too late of all replicas that left. */
+    /**
+     * Sends notices of all replicas that left to the proxies that would get their tables too late.
+     */
     private boolean sendNotices(ProxyCommands commands, long now) {
         List<Replica> left =
                 replicas.all().stream().filter(replica -> !replica.acceptsNewWork()).toList();
@@ -73,7 +75,7 @@
         double entriesAhead = pacer.advanceQueue(now);
         boolean sent = false;
         for (Proxy proxy : proxies.waiting()) {
-            double cost = proxy.bindingCost(true);
+            double cost = proxy.provisionalBindingCost();
             entriesAhead += cost + overhead + 1;
             if (isTooLate(proxy, entriesAhead, now)
                     && proxy.drainNoticesSentAtTicks() < replicas.lastDepartureTicks()
--- a/src/main/java/rockshift/planner/FleetCapacity.java
+++ b/src/main/java/rockshift/planner/FleetCapacity.java
@@ -1,7 +1,7 @@
 package rockshift.planner;
 
 /**
- * What the replicas can do that this controller's proxies reach.
+ * Capacity and load of the replicas that this controller's proxies can reach.
  *
  * @param answersPerTick for this controller's proxies, if the replicas were busy all the time
  * @param load fraction of their time that they are busy, weighted by capacity
--- a/src/main/java/rockshift/planner/OperatorDrains.java
+++ b/src/main/java/rockshift/planner/OperatorDrains.java
@@ -32,7 +32,9 @@
         agreed.putAll(lastStartByReplica);
     }
 
-    /** Marks which replicas are drained now. */
+    /**
+     * Marks which replicas are drained now. With any agreed drain, each call records a departure.
+     */
     void applyOperatorDrains(ReplicaRegistry replicas, long now) {
         for (Replica replica : replicas.all()) {
             replica.setDrainedByOperator(isAgreed(replica));
--- a/src/main/java/rockshift/planner/OutlierDetector.java
+++ b/src/main/java/rockshift/planner/OutlierDetector.java
@@ -12,15 +12,16 @@
  * Ejects replicas whose failure ratio stands out from the fleet's median, and lets them recover.
  *
  * <p>Inputs: attempts, failures and loads that proxies report, of the replica's own zone and of the
- * others apart. An ejected replica has no capacity for some seconds and keeps the floor weight;
- * after that it recovers along a ramp. An ejection that follows soon after another takes twice as
- * long.
+ * others apart. A replica ejected for all proxies has no capacity for some seconds and keeps the
+ * floor weight; after that it recovers along a ramp. One ejected for other zones keeps its
+ * capacity, has the floor weight in their tables, and returns without a ramp. An ejection that
+ * follows soon after another takes twice as long.
  *
  * <p>Guards against one replica that fails fast and so draws more traffic. Shows as {@code ejected
  * replica=... scope=... failureRatio=... median=... load=...}, later {@code ejectionEnded}. Holds
  * because a trouble common to all raises the median, a busy replica is left to the capacity
- * estimate, and a part of the fleet is ejected at most, as the rest must do all of the work. It may
- * keep a dead replica where many fail.
+ * estimate, and at most a quarter of the replicas in use, rounded up, is ejected for all proxies,
+ * as the rest must do all of the work. It may keep a dead replica where many fail.
  */
 final class OutlierDetector {
     /** An outlier's ratio exceeds this multiple of the median by {@link #EXCESS_FAILURE_RATIO}. */
@@ -36,7 +37,9 @@
      */
     private static final double OVERLOAD = 0.8;
 
-    /** Fraction of the replicas in use that may be ejected at a time. */
+    /**
+     * Fraction of the replicas in use that may be ejected for all proxies at a time, rounded up.
+     */
     private static final double MAX_EJECTED_FRACTION = 0.25;
 
     /** Memory of failures: short, as a failing replica does harm at once. */
@@ -128,6 +131,11 @@
                         > MEDIAN_MULTIPLE * medianFailureRatio + EXCESS_FAILURE_RATIO;
     }
 
+    /**
+     * Begins an ejection unless it is active. The log line shows the failure ratio of all zones,
+     * for either scope, and the load that {@code loadOf} estimates, which is not the one that
+     * {@link #isOutlier} tested: that counts an attempt without a reported load as 0.
+     */
     private void eject(
             Replica replica, EjectionScope scope, ToDoubleFunction<Replica> loadOf, long now) {
         Ejection ejection = ejectionOf(replica, scope);
@@ -152,7 +160,11 @@
                         loadOf.applyAsDouble(replica)));
     }
 
-    /** Ends an ejection whose time is over; the replica starts over without observations. */
+    /**
+     * Ends an ejection whose time is over; the replica starts over without observations. That also
+     * cancels its ejection for the other scope. The call is not tied to one ejection: if that was
+     * cancelled and another began since, the other ends early.
+     */
     void endEjection(Replica replica, EjectionScope scope, long now) {
         Ejection ejection = replica == null ? null : ejectionOf(replica, scope);
         if (ejection != null && ejection.isActive()) {
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -100,7 +100,8 @@
                 new TablePublisher(
                         settings.admissionMode(),
                         slowStart,
-                        new TableDifferences(admission, targetWeights),
+                        targetWeights,
+                        new TableDifferences(admission),
                         pacer,
                         proxies);
         tableScheduler = new TableScheduler(settings, pacer, proxies);
@@ -110,7 +111,7 @@
 
     // ---- inputs --------------------------------------------------------------------------------
 
-    /** Discovery listed endpoints: changes only, or all that there are. */
+    /** Discovery listed endpoints: only changed ones, or all. */
     public void updateEndpoints(long now, List<Endpoint> endpoints, boolean changesOnly) {
         this.now = now;
         roundRequested |= replicas.update(now, endpoints, changesOnly);
@@ -211,23 +212,26 @@
 
     // ---- decisions -----------------------------------------------------------------------------
 
-    /** Takes one decision, if there is one to take now. */
+    /**
+     * Takes the first of these steps that there is something to do for, and answers whether there
+     * was one: assign joined proxies to groups; arm the timer; write one line of the log; run a
+     * planning round; end one ejection; send or withdraw drain notices; bind one proxy; replace the
+     * tables of one proxy; close the turn's messages.
+     */
     public boolean decideNext(ProxyCommands commands) {
         if (proxiesUnassigned) {
             assignWaitingProxies();
         } else if (!timerSet) {
-            timerSet = true;
-            roundRequested |= requiredIsDeferred;
-            commands.wakeAfter(TIMER_TICKS);
+            armTimer(commands);
         } else if (!log.isEmpty()) {
             commands.log(log.remove());
         } else if (roundRequested || schedule.isNextDue(ScheduledTask.Kind.REGULAR_ROUND, now)) {
             runPlanningRound(commands);
         } else if (schedule.isNextDue(ScheduledTask.Kind.END_OF_EJECTION, now)) {
-            ScheduledTask task = schedule.takeNext();
-            outlierDetector.endEjection(replicas.get(task.replicaId()), task.scope(), now);
+            endNextEjection();
         } else if (!drainNotifier.sendOrWithdrawNotices(commands, scope, now)
-                && !tableScheduler.bindNextWaiting(commands, scope, now)) {
+                && !tableScheduler.bindNextWaiting(commands, scope, now)
+                && !tableScheduler.upgradeNextProvisional(commands, scope, now)) {
             return pacer.closeTurn(commands, now);
         }
         return true;
@@ -240,6 +244,18 @@
         proxiesUnassigned = false;
     }
 
+    /** Arms the timer; a round is due with it while something required could not be sent. */
+    private void armTimer(ProxyCommands commands) {
+        timerSet = true;
+        roundRequested |= requiredIsDeferred;
+        commands.wakeAfter(TIMER_TICKS);
+    }
+
+    private void endNextEjection() {
+        ScheduledTask task = schedule.takeNext();
+        outlierDetector.endEjection(replicas.get(task.replicaId()), task.scope(), now);
+    }
+
     /** One round: what is known, what should be, and what is sent of the difference. */
     private void runPlanningRound(ProxyCommands commands) {
         boolean regular = schedule.takeDueRegularRound(now);
@@ -253,7 +269,8 @@
         solver.carryOver(activeRoutes.tables());
         if (regular) {
             solver.solve(activeRoutes, settings.zoneCrossingPrice());
-            // Urgent rounds do not put the next regular one off: a list that changes often would.
+            // Only a regular round sets the next one: often changing lists must not put it off. A
+            // round that throws before this schedules none.
             schedule.add(ScheduledTask.regularRound(now + ROUND_INTERVAL_TICKS));
         }
         publish(commands, regular);
--- a/src/main/java/rockshift/planner/Proxy.java
+++ b/src/main/java/rockshift/planner/Proxy.java
@@ -5,7 +5,10 @@
 
 /** A proxy whose stream is up: its group and tables, its demand, and what it was sent. */
 final class Proxy {
-    /** The binding cost where there are no tables to bind: above any budget. */
+    /**
+     * The binding cost where there are no tables to bind: above any budget. It is a number, as
+     * {@link DrainNotifier} adds up the costs of the proxies that are bound before another.
+     */
     static final double NOT_BINDABLE = Double.MAX_VALUE;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -69,7 +72,7 @@
         return sendState;
     }
 
-    /** When it was last notified of all replicas that left. */
+    /** When it was last sent notices of all replicas that left. */
     long drainNoticesSentAtTicks() {
         return drainNoticesSentAtTicks;
     }
@@ -101,22 +104,42 @@
         return bound;
     }
 
-    /** Whether one table does for all classes as yet. */
+    /** Whether one provisional table still serves all classes. */
     boolean isProvisional() {
         return provisional;
     }
 
-    /** Notes that the tables of its group, or the provisional one, were bound. */
-    void bind(boolean provisionally) {
+    /** Notes that it was bound to the provisional table of its group. */
+    void boundToProvisionalTable() {
+        setBound();
+        provisional = true;
+    }
+
+    /** Notes that it was bound to all tables of its group. */
+    void boundToTables() {
+        setBound();
+        provisional = false;
+    }
+
+    private void setBound() {
         if (!bound) {
             group.proxyBound();
         }
         bound = true;
-        provisional = provisionally;
+    }
+
+    /** Whether there are tables to bind it to. */
+    boolean isBindable() {
+        return group != null && group.isBindable();
     }
 
     /** Entries that binding its tables takes; {@link #NOT_BINDABLE} where there are none yet. */
-    double bindingCost(boolean provisionally) {
-        return group == null ? NOT_BINDABLE : group.bindingCost(provisionally);
+    double bindingCost() {
+        return isBindable() ? group.bindingCost() : NOT_BINDABLE;
+    }
+
+    /** The same for the provisional table. */
+    double provisionalBindingCost() {
+        return isBindable() ? group.provisionalBindingCost() : NOT_BINDABLE;
     }
 }
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -29,7 +29,7 @@
     /**
      * A group without replicas.
      *
-     * @param provisionalClass the class whose table can do for all classes
+     * @param provisionalClass the class whose table can serve all classes
      */
     ProxyGroup(int number, String zone, int classCount, int provisionalClass) {
         this.number = number;
@@ -49,7 +49,7 @@
         return tables;
     }
 
-    /** The table that does for all classes while a proxy waits for its own tables. */
+    /** The table that serves all classes while a proxy waits for its own tables. */
     RoutingTable provisionalTable() {
         return provisionalTable;
     }
@@ -60,9 +60,13 @@
         return zone.equals(replica.zone());
     }
 
-    /** Whether it could take a replica, from its own zone or from the others. */
-    boolean canAdd(Replica replica, boolean fromOwnZone) {
-        return isInZoneOf(replica) == fromOwnZone && !contains(replica);
+    private ZoneRelation relationTo(Replica replica) {
+        return isInZoneOf(replica) ? ZoneRelation.SAME_ZONE : ZoneRelation.OTHER_ZONE;
+    }
+
+    /** Whether a replica is of the wanted zones, and not in the subset yet. */
+    boolean canAdd(Replica replica, ZoneRelation wanted) {
+        return relationTo(replica) == wanted && !contains(replica);
     }
 
     boolean contains(Replica replica) {
@@ -79,12 +83,12 @@
 
     void add(Replica replica) {
         subset.put(replica.id(), replica);
-        replica.joinedGroup(isInZoneOf(replica));
+        replica.joinedGroup(relationTo(replica));
     }
 
     void remove(Replica replica) {
         if (subset.remove(replica.id()) != null) {
-            replica.leftGroup(isInZoneOf(replica));
+            replica.leftGroup(relationTo(replica));
         }
     }
 
@@ -137,19 +141,24 @@
         return published;
     }
 
+    /** Whether a proxy can be bound to the tables: they are published and not all empty. */
+    boolean isBindable() {
+        return published && entryCount != 0;
+    }
+
     /** Entries that a proxy is sent beside the message overhead as it is bound to these tables. */
-    double bindingCost(boolean provisional) {
-        if (!published || entryCount == 0) {
-            return Proxy.NOT_BINDABLE;
-        }
-        return provisional
-                ? provisionalTable.entryCount() + ENTRIES_PER_BINDING
-                : entryCount + ENTRIES_PER_BINDING * tables.size();
+    int bindingCost() {
+        return entryCount + ENTRIES_PER_BINDING * tables.size();
+    }
+
+    /** The same for the provisional table. */
+    int provisionalBindingCost() {
+        return provisionalTable.entryCount() + ENTRIES_PER_BINDING;
     }
 
     /**
-     * Ends a batch. A group without proxies keeps no entries, as no batch would take out of its
-     * tables who leaves; they are published anew for the next proxy.
+     * Ends a batch. A group without proxies keeps no entries, as no batch would remove replicas
+     * that leave from its tables; they are published anew for the next proxy.
      */
     void endBatch(ProxyCommands commands) {
         published = joinedProxies > 0;
--- a/src/main/java/rockshift/planner/PublishBudget.java
+++ b/src/main/java/rockshift/planner/PublishBudget.java
@@ -1,6 +1,9 @@
 package rockshift.planner;
 
-/** The entries that one batch of changes may still send. What is sent counts for all parts. */
+/**
+ * The entries that one batch of changes may still send. What is sent reduces the priority and the
+ * deferrable part alike, as both describe the same channel.
+ */
 final class PublishBudget {
     private double priorityEntries;
     private double deferrableEntries;
@@ -9,9 +12,9 @@
     /**
      * A budget for one batch.
      *
-     * @param priorityEntries while so many are left, urgent changes are sent
-     * @param deferrableEntries while so many are left, deferrable changes are sent
-     * @param weightEntries for deferrable changes of published weights
+     * @param priorityEntries that {@link ChangeUrgency#usesPriorityBudget} changes may take
+     * @param deferrableEntries that deferrable changes may take
+     * @param weightEntries that deferrable changes of published weights may take
      */
     PublishBudget(double priorityEntries, double deferrableEntries, double weightEntries) {
         this.priorityEntries = priorityEntries;
--- a/src/main/java/rockshift/planner/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -92,7 +92,7 @@
         drainedByOperator = drained;
     }
 
-    /** Whether a proxy was told to stop using it, whatever its tables say. */
+    /** Whether a proxy was sent a drain notice for it, which overrides its tables. */
     boolean hasDrainNotice() {
         return drainNotice;
     }
@@ -195,20 +195,20 @@
     }
 
     /** How many groups of its own zone, or of the others, have it in their subset. */
-    int groupCount(boolean ownZone) {
-        return ownZone ? ownZoneGroups : otherZoneGroups;
+    int groupCount(ZoneRelation relation) {
+        return relation == ZoneRelation.SAME_ZONE ? ownZoneGroups : otherZoneGroups;
     }
 
-    void joinedGroup(boolean ownZone) {
-        countGroup(ownZone, 1);
+    void joinedGroup(ZoneRelation relation) {
+        countGroup(relation, 1);
     }
 
-    void leftGroup(boolean ownZone) {
-        countGroup(ownZone, -1);
+    void leftGroup(ZoneRelation relation) {
+        countGroup(relation, -1);
     }
 
-    private void countGroup(boolean ownZone, int change) {
-        if (ownZone) {
+    private void countGroup(ZoneRelation relation, int change) {
+        if (relation == ZoneRelation.SAME_ZONE) {
             ownZoneGroups += change;
         } else {
             otherZoneGroups += change;
--- a/src/main/java/rockshift/planner/ReplicaObservations.java
+++ b/src/main/java/rockshift/planner/ReplicaObservations.java
@@ -57,7 +57,7 @@
         return ejection;
     }
 
-    /** Starts over, without an ejection. */
+    /** Starts over, without observations; cancels an ejection that is active. */
     void reset() {
         attempts = 0;
         failures = 0;
--- a/src/main/java/rockshift/planner/ReplicaRegistry.java
+++ b/src/main/java/rockshift/planner/ReplicaRegistry.java
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Takes in a list of endpoints: changes only, or all that there are.
+     * Applies a list of endpoints: only changed ones, or all.
      *
      * @return whether a replica changed that has an entry in a published table
      */
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -13,8 +13,8 @@
  * Splits the proxies of each zone into groups, and assigns each group the subset of replicas that
  * its tables have entries for.
  *
- * <p>Inputs: the channel's limit in entries, the number of proxies, and what proxies usually bring
- * in transactions a second. Where tables of the whole fleet fit, each zone has one group, with all
+ * <p>Inputs: the channel's limit in entries, the number of proxies, and the usual transactions a
+ * second of the proxies. Where tables of the whole fleet fit, each zone has one group, with all
  * replicas.
  *
  * <p>Guards against tables that the channel can't carry in time, and whose connections close idle
@@ -36,7 +36,10 @@
     /** Fraction of a group's subset from its own zone. */
     private static final double OWN_ZONE_FRACTION = 0.75;
 
-    /** Times its demand that a group should reach, as a few proxies may bring most of it. */
+    /**
+     * Ratio of a group's open capacity to its demand that is aimed at, as a few proxies may have
+     * most.
+     */
     private static final double CAPACITY_RESERVE_RATIO = 1.5;
 
     /** Times the entries wanted up to which a table has the whole fleet. */
@@ -45,14 +48,18 @@
     /** Fraction of the entries needed below which a group gets more replicas. */
     private static final double REFILL_FRACTION = 0.75;
 
+    private static final double UNBOUNDED = Double.MAX_VALUE;
+
     private final PlannerSettings settings;
     private final int classCount;
     private final List<String> zones;
     private final List<ProxyGroup> groups = new ArrayList<>();
 
-    /** Entries that a table should have; without bound for the whole fleet. */
+    /** Entries that a table should have; {@link #UNBOUNDED} for the whole fleet. */
     private double entriesPerTable;
 
+    private boolean wholeFleet;
+
     ReplicaSubsetter(PlannerSettings settings, int classCount) {
         this.settings = settings;
         this.classCount = classCount;
@@ -66,7 +73,7 @@
 
     /** Whether tables have entries for the whole fleet. */
     boolean coversWholeFleet() {
-        return entriesPerTable == Double.MAX_VALUE;
+        return wholeFleet;
     }
 
     // ---- groups --------------------------------------------------------------------------------
@@ -90,8 +97,9 @@
 
     private void createGroups(int acceptingReplicas, Collection<Proxy> proxies) {
         entriesPerTable = Math.max(MIN_ENTRIES, Math.floor(affordableEntries(proxies)));
-        if (acceptingReplicas <= WHOLE_FLEET_RATIO * entriesPerTable) {
-            entriesPerTable = Double.MAX_VALUE;
+        wholeFleet = acceptingReplicas <= WHOLE_FLEET_RATIO * entriesPerTable;
+        if (wholeFleet) {
+            entriesPerTable = UNBOUNDED;
         }
         double tables = TABLES_PER_REPLICA * acceptingReplicas / entriesPerTable;
         int perZone = (int) Math.max(1, Math.ceil(tables / zones.size()));
@@ -161,9 +169,15 @@
         double perReplica = groups.size() * entriesPerTable / accepting.size();
         for (Replica replica : accepting) {
             double ownZone = Math.max(1, Math.floor(perReplica * OWN_ZONE_FRACTION));
-            spreadReplica(replica, true, ownZone - replica.groupCount(true));
+            spreadReplica(
+                    replica,
+                    ZoneRelation.SAME_ZONE,
+                    ownZone - replica.groupCount(ZoneRelation.SAME_ZONE));
             double otherZones = Math.floor(perReplica * (1 - OWN_ZONE_FRACTION));
-            spreadReplica(replica, false, otherZones - replica.groupCount(false));
+            spreadReplica(
+                    replica,
+                    ZoneRelation.OTHER_ZONE,
+                    otherZones - replica.groupCount(ZoneRelation.OTHER_ZONE));
         }
         for (ProxyGroup group : groups) {
             for (RoutingTable table : group.tables()) {
@@ -175,7 +189,10 @@
 
     private void removeNotAccepting(ReplicaRegistry replicas) {
         for (Replica replica : replicas.all()) {
-            boolean inGroups = replica.groupCount(true) + replica.groupCount(false) > 0;
+            boolean inGroups =
+                    replica.groupCount(ZoneRelation.SAME_ZONE)
+                                    + replica.groupCount(ZoneRelation.OTHER_ZONE)
+                            > 0;
             if (!replica.acceptsNewWork() && inGroups) {
                 groups.forEach(group -> group.remove(replica));
             }
@@ -192,28 +209,36 @@
         double needed = Math.max(entriesPerTable, forDemand);
         if (size < REFILL_FRACTION * Math.min(needed, accepting.size())) {
             double missing = needed - size;
-            fillGroup(group, accepting, true, Math.ceil(missing * OWN_ZONE_FRACTION));
-            fillGroup(group, accepting, false, Math.floor(missing * (1 - OWN_ZONE_FRACTION)));
+            fillGroup(
+                    group,
+                    accepting,
+                    ZoneRelation.SAME_ZONE,
+                    Math.ceil(missing * OWN_ZONE_FRACTION));
+            fillGroup(
+                    group,
+                    accepting,
+                    ZoneRelation.OTHER_ZONE,
+                    Math.floor(missing * (1 - OWN_ZONE_FRACTION)));
         }
     }
 
     /** Adds replicas that the fewest groups have, of the group's zone or of the others. */
     private static void fillGroup(
-            ProxyGroup group, List<Replica> accepting, boolean ownZone, double count) {
+            ProxyGroup group, List<Replica> accepting, ZoneRelation relation, double count) {
         accepting.stream()
-                .filter(replica -> group.canAdd(replica, ownZone) && !replica.isEjected())
+                .filter(replica -> group.canAdd(replica, relation) && !replica.isEjected())
                 .sorted(
-                        Comparator.comparingInt((Replica replica) -> replica.groupCount(ownZone))
+                        Comparator.comparingInt((Replica replica) -> replica.groupCount(relation))
                                 .thenComparingLong(replica -> order(group, replica)))
                 .limit((long) Math.max(0, count))
                 .forEach(group::add);
     }
 
     /** Adds a replica that too few groups have to the smallest ones of its zone or the others. */
-    private void spreadReplica(Replica replica, boolean ownZone, double count) {
+    private void spreadReplica(Replica replica, ZoneRelation relation, double count) {
         if (count >= 1) {
             groups.stream()
-                    .filter(group -> group.canAdd(replica, ownZone))
+                    .filter(group -> group.canAdd(replica, relation))
                     .sorted(
                             Comparator.comparingInt(ProxyGroup::subsetSize)
                                     .thenComparingLong(group -> order(group, replica)))
--- a/src/main/java/rockshift/planner/RouteEligibility.java
+++ b/src/main/java/rockshift/planner/RouteEligibility.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import rockshift.settings.ClassSettings;
 
-/** Says which routes of a table may carry new work. */
+/**
+ * Says which routes of a table may carry new work. A replica accepts new work or not; a route to it
+ * is allowed if the table may have an entry for it, and open if that may exceed the floor weight.
+ */
 final class RouteEligibility {
     private final List<ClassSettings> classes;
 
--- a/src/main/java/rockshift/planner/RoutingTable.java
+++ b/src/main/java/rockshift/planner/RoutingTable.java
@@ -117,7 +117,9 @@
         openCapacity = capacity;
     }
 
-    /** The solver's rate of the whole class: y in the paper. */
+    /**
+     * The sum of the link copies z of the routes that are open; stands for y, the request's total.
+     */
     double linkCopyTotal() {
         return linkCopyTotal;
     }
--- a/src/main/java/rockshift/planner/SlowStart.java
+++ b/src/main/java/rockshift/planner/SlowStart.java
@@ -1,20 +1,19 @@
 package rockshift.planner;
 
 /**
- * Says whether a replica is cold, and how much of its capacity it has then.
+ * Says whether a replica is slow-starting, and how much of its capacity it has until it has
+ * started.
  *
  * <p>Inputs: when the replica started and the time now, in ticks. The factor grows evenly from the
  * initial fraction to 1.
  *
  * <p>Guards against overload of a replica that has just started: caches are empty, and it fails
- * above a multiple of the little that it can do. Shows as failures soon after {@code endpoint
- * replica=... started=true}. Holds because every weight and every capacity depends on the factor,
- * and the factor on the replica's own start and not on when it was first listed.
+ * above a multiple of its present capacity, the overload point. Shows as failures soon after {@code
+ * endpoint replica=... started=true}. Holds because every weight and every capacity depends on the
+ * factor, and the factor on the replica's own start and not on when it was first listed.
  */
 final class SlowStart {
-    /**
-     * Fraction of what pushes a cold replica over that it may be sent, by the attempts now made.
-     */
+    /** Fraction of the overload point that a slow-starting replica may be sent. */
     private static final double SAFE_OVERLOAD_FRACTION = 0.3;
 
     private final double initialFraction;
@@ -26,8 +25,8 @@
      *
      * @param initialFraction factor at the start
      * @param durationTicks time after which the factor is 1
-     * @param overloadMultiple load, as a multiple of its present capacity, that a cold replica
-     *     fails above
+     * @param overloadMultiple load, as a multiple of its present capacity, above which a
+     *     slow-starting replica fails
      */
     SlowStart(double initialFraction, double durationTicks, double overloadMultiple) {
         this.initialFraction = initialFraction;
@@ -35,7 +34,7 @@
         safeLoadRatio = SAFE_OVERLOAD_FRACTION * overloadMultiple;
     }
 
-    /** The fraction of its full capacity that a replica has at least. */
+    /** Fraction of its full capacity that is available now. */
     double factor(Replica replica, long now) {
         double ageTicks = Math.max(0, now - replica.startedAtTicks());
         return replica.startedAtTicks() == 0 || ageTicks >= durationTicks
@@ -43,16 +42,20 @@
                 : initialFraction + (1 - initialFraction) * ageTicks / durationTicks;
     }
 
+    /** Whether a replica started so recently that it does not have its full capacity yet. */
     boolean isSlowStarting(Replica replica, long now) {
         return factor(replica, now) < 1;
     }
 
-    /** Load, as a multiple of its present capacity, that a cold replica may be sent. */
+    /** Load, as a multiple of its present capacity, that a slow-starting replica may be sent. */
     double safeLoadRatio() {
         return safeLoadRatio;
     }
 
-    /** {@link #SAFE_OVERLOAD_FRACTION} of a rate: what one caller may bring beside others. */
+    /**
+     * Scales a rate so that, compared with a safe one, it counts as unsafe only from the overload
+     * point itself.
+     */
     static double withoutSafetyMargin(double rate) {
         return SAFE_OVERLOAD_FRACTION * rate;
     }
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -18,19 +18,20 @@
     private static final double REMOVAL_PRIORITY = TableChange.LEVEL_PRIORITY + 1;
 
     private final AdmissionController admission;
-    private final TargetWeights targetWeights;
 
-    TableDifferences(AdmissionController admission, TargetWeights targetWeights) {
+    TableDifferences(AdmissionController admission) {
         this.admission = admission;
-        this.targetWeights = targetWeights;
     }
 
-    /** Removals first, then levels and new entries, then changed weights by their size. */
-    List<TableChange> find(List<RoutingTable> tables, TargetWeights.RoundInputs round) {
+    /**
+     * Compares what is published with the present targets and levels. Removals come first, then
+     * levels and new entries, then changed weights by their size.
+     */
+    List<TableChange> find(List<RoutingTable> tables) {
         List<TableChange> changes = new ArrayList<>();
         for (RoutingTable table : tables) {
             addLevelChange(changes, table);
-            targetWeights.updateTargets(table, round);
+
             table.routes().forEach(route -> addEntryChange(changes, route));
         }
         changes.sort(Comparator.comparingDouble(TableChange::priority).reversed());
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -14,8 +14,9 @@
  *
  * <p>Inputs: target fractions, levels, entries that wait in the channel and its rate in entries a
  * tick. Differences are gathered for a regular round; what safety requires is sent at once: removal
- * of a replica that left, and an entry for a table without a usable one. Other urgent changes are a
- * cold replica's cut, and an entry that more than doubles in a message that is sent anyway.
+ * of a replica that left, and an entry for a table without an allowed one. Other changes of the
+ * priority budget are a slow-starting replica's cut, and an entry that more than doubles in a
+ * message that is sent anyway.
  *
  * <p>Guards against a channel filled by changes that are worth little while drains wait. Shows as
  * messages in flight and late drains. Holds because each kind of change has a budget, and nothing
@@ -36,6 +37,7 @@
 
     private final double levelUnit;
     private final SlowStart slowStart;
+    private final TargetWeights targetWeights;
     private final TableDifferences differences;
     private final ChannelPacer pacer;
     private final ProxyRegistry proxies;
@@ -43,11 +45,13 @@
     TablePublisher(
             AdmissionMode admissionMode,
             SlowStart slowStart,
+            TargetWeights targetWeights,
             TableDifferences differences,
             ChannelPacer pacer,
             ProxyRegistry proxies) {
         levelUnit = admissionMode == AdmissionMode.RATE_PER_SECOND ? UNLIMITED_PER_SECOND : 1;
         this.slowStart = slowStart;
+        this.targetWeights = targetWeights;
         this.differences = differences;
         this.pacer = pacer;
         this.proxies = proxies;
@@ -77,7 +81,8 @@
         Set<RoutingTable> withoutEntry =
                 tables.stream().filter(RoutingTable::hasNoAllowedEntry).collect(Collectors.toSet());
         boolean requiredIsDeferred = false;
-        for (TableChange change : differences.find(tables, round)) {
+        tables.forEach(table -> targetWeights.updateTargets(table, round));
+        for (TableChange change : differences.find(tables)) {
             GroupBatch batch = batches.get(change.table().group().number());
             ChangeUrgency urgency =
                     isRequired(change, withoutEntry)
@@ -111,10 +116,7 @@
      */
     private boolean hasBindableWaiting(long now) {
         return proxies.waiting().stream()
-                .anyMatch(
-                        proxy ->
-                                proxy.joinedAtTicks() < now
-                                        && proxy.bindingCost(true) < Proxy.NOT_BINDABLE);
+                .anyMatch(proxy -> proxy.joinedAtTicks() < now && proxy.isBindable());
     }
 
     private double weightEntriesPerRound(double commandPrice) {
@@ -123,7 +125,7 @@
         return rateFraction * pacer.entriesPerTick() * Ticks.TICKS_PER_SECOND;
     }
 
-    // ---- how pressing a change is --------------------------------------------------------------
+    // ---- urgency of a change --------------------------------------------------------------
 
     private static boolean isRequired(TableChange change, Set<RoutingTable> withoutEntry) {
         return change instanceof TableChange.Entry entry
@@ -136,7 +138,8 @@
         if (change instanceof TableChange.Entry entry) {
             boolean slowStartingIsCut =
                     entry.isDecrease() && slowStart.isSlowStarting(entry.route().replica(), now);
-            // After the largest entry left, a cold one would be most of the rest for a round.
+            // After the largest entry left, a slow-starting one would be most of the rest for a
+            // round.
             boolean doublesInMessage = batch.isStarted() && entry.isMoreThanDoubled();
             if (doublesInMessage || slowStartingIsCut && entry.isMoreThanHalved()) {
                 return ChangeUrgency.IMMEDIATE;
--- a/src/main/java/rockshift/planner/TableScheduler.java
+++ b/src/main/java/rockshift/planner/TableScheduler.java
@@ -6,8 +6,8 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Binds proxies to the tables of their group: those that wait in the order of joining, never to an
- * empty table.
+ * Binds proxies to the tables of their group, never to an empty table: those that wait in the order
+ * of joining, those with a provisional table in the order of their numbers.
  *
  * <p>Inputs: entries that wait in the channel, and how long a proxy has waited in ticks. While much
  * waits, a proxy gets one provisional table for all classes, and its own tables once nobody waits.
@@ -42,23 +42,28 @@
         return BINDING_DEADLINE_FRACTION * settings.drainGraceTicks();
     }
 
-    /** Binds the next proxy, if there is one and the channel has room; whether it did. */
+    /**
+     * Binds the first waiting proxy that can be bound, in the order of joining, if the channel has
+     * room for it; whether it did.
+     */
     boolean bindNextWaiting(ProxyCommands commands, ControlScope scope, long now) {
         for (Proxy proxy : proxies.waiting()) {
             boolean provisional = needsProvisionalTable(proxy, now);
-            double cost = proxy.bindingCost(provisional);
-            if (scope == ControlScope.NONE
-                    || cost == Proxy.NOT_BINDABLE
-                    || pacer.isQuotaSpent(proxy, 1)) {
+            double cost = provisional ? proxy.provisionalBindingCost() : proxy.bindingCost();
+            if (scope == ControlScope.NONE || !proxy.isBindable() || pacer.isQuotaSpent(proxy, 1)) {
                 continue;
             } else if (!hasRoom(proxy, cost, now)) {
                 return false;
             }
             proxies.stopWaiting(proxy);
-            bind(commands, proxy, provisional, cost, now);
+            if (provisional) {
+                bindToProvisionalTable(commands, proxy, now);
+            } else {
+                bindToTables(commands, proxy, now);
+            }
             return true;
         }
-        return upgradeNextProvisional(commands, scope, now);
+        return false;
     }
 
     private boolean needsProvisionalTable(Proxy proxy, long now) {
@@ -79,43 +84,45 @@
         return !(queue > startLimit || queueAfter > endLimit);
     }
 
-    /** Replaces a provisional table while nobody waits and little is queued. */
-    private boolean upgradeNextProvisional(ProxyCommands commands, ControlScope scope, long now) {
-        boolean calm =
+    /**
+     * Replaces the provisional table of one proxy by the tables of its group, while nobody waits
+     * and little is queued; whether it did. The proxy with the lowest number is first.
+     */
+    boolean upgradeNextProvisional(ProxyCommands commands, ControlScope scope, long now) {
+        boolean mayUpgrade =
                 proxies.waiting().isEmpty()
                         && scope == ControlScope.FULL
                         && pacer.advanceQueue(now)
                                 <= SMALL_BACKLOG_FRACTION * pacer.deferrableBacklog();
-        if (!calm) {
+        if (!mayUpgrade) {
             return false;
         }
-        Optional<Proxy> next =
-                proxies.all().stream()
-                        .filter(
-                                proxy ->
-                                        proxy.isProvisional()
-                                                && proxy.bindingCost(false) < Proxy.NOT_BINDABLE
-                                                && !pacer.isQuotaSpent(
-                                                        proxy,
-                                                        ChannelPacer.DEFERRABLE_QUOTA_FRACTION))
-                        .findFirst();
-        next.ifPresent(proxy -> bind(commands, proxy, false, proxy.bindingCost(false), now));
+        Optional<Proxy> next = proxies.all().stream().filter(this::canUpgrade).findFirst();
+        next.ifPresent(proxy -> bindToTables(commands, proxy, now));
         return next.isPresent();
     }
 
-    private void bind(
-            ProxyCommands commands, Proxy proxy, boolean provisional, double cost, long now) {
+    private boolean canUpgrade(Proxy proxy) {
+        return proxy.isProvisional()
+                && proxy.isBindable()
+                && !pacer.isQuotaSpent(proxy, ChannelPacer.DEFERRABLE_QUOTA_FRACTION);
+    }
+
+    private void bindToProvisionalTable(ProxyCommands commands, Proxy proxy, long now) {
+        double cost = proxy.provisionalBindingCost();
+        int table = proxy.group().provisionalTable().number();
+        double extra = commands.bindProxy(table, proxy.number(), ClassSet.all());
+        proxy.boundToProvisionalTable();
+        pacer.post(proxy, cost + extra, now);
+    }
+
+    private void bindToTables(ProxyCommands commands, Proxy proxy, long now) {
+        double cost = proxy.bindingCost();
         double extra = 0;
-        ProxyGroup group = proxy.group();
-        if (provisional) {
-            int table = group.provisionalTable().number();
-            extra = commands.bindProxy(table, proxy.number(), ClassSet.all());
-        } else {
-            for (RoutingTable table : group.tables()) {
-                extra += commands.bindProxy(table.number(), proxy.number(), table.classes());
-            }
+        for (RoutingTable table : proxy.group().tables()) {
+            extra += commands.bindProxy(table.number(), proxy.number(), table.classes());
         }
-        proxy.bind(provisional);
+        proxy.boundToTables();
         pacer.post(proxy, cost + extra, now);
     }
 }
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -7,35 +7,41 @@
 /**
  * Turns the solver's rates into the target of each table entry, as a fraction of its table.
  *
- * <p>Inputs: the link copies of a table's routes, capacities as shares of the fleet, and what the
- * hottest proxies bring in transactions a second. Warm replicas get their part of the rates, and a
- * floor; cold replicas are limited.
+ * <p>Inputs: the link copies of a table's routes, capacities as shares of the fleet, and the rates
+ * of the busiest proxies in transactions a second. Started replicas get their part of the rates,
+ * and a floor; slow-starting ones are limited.
  *
- * <p>Guards against a cold replica that gets the work of others: proxies leave out entries where
- * attempts failed, and the rest of the table gets its part. In a short table all warm entries may
- * be left out. Shows as failures at replicas that have just started, while one proxy is busy. Holds
- * because no table leans on cold replicas beyond their part of the fleet, and none is left in a
- * table that one proxy alone could overload it through.
+ * <p>Guards against a slow-starting replica that gets the work of others: proxies leave out entries
+ * where attempts failed, and the rest of the table gets their part. In a short table all started
+ * entries may be left out. Shows as failures at replicas that have just started, while one proxy is
+ * busy. Holds because no table gives slow-starting replicas more than a bounded multiple of their
+ * part of the fleet, and each is left out of tables through which one proxy alone could overload
+ * it.
  */
 final class TargetWeights {
-    /** Fraction of an even entry that every entry keeps: enough to go on hearing of the replica. */
+    /** Fraction of an even entry that every entry keeps, so that reports of the replica go on. */
     private static final double FLOOR_FRACTION = 0.02;
 
-    /** Times its part of the fleet that a cold replica may be of a table of the whole fleet. */
+    /**
+     * Ratio of its part in a table of the whole fleet to its part of the fleet, if slow-starting.
+     */
     private static final double MAX_SLOW_STARTING_SHARE_RATIO = 1.5;
 
-    /** Times a cold replica's part that a proxy with a table of the whole fleet may bring. */
+    /**
+     * Ratio of one proxy's rate to a slow-starting replica's part, for tables of the whole fleet.
+     */
     private static final double MAX_PROXY_RATE_RATIO = 40;
 
-    /** Rounds in which cold entries get what others leave; few remain to be moved after these. */
+    /** Passes that redistribute the weight that slow-starting entries give up. */
     private static final int REBALANCE_PASSES = 5;
 
     /**
      * What is the same for all tables of a planning round.
      *
-     * @param expectedPerTick transactions that this controller's proxies bring
+     * @param expectedPerTick transactions a tick that this controller's proxies are expected to
+     *     receive
      * @param fleetRatePerSecond an estimate for the proxies of all controllers
-     * @param busiestProxyRatePerSecond the most of one class that one proxy brought of late
+     * @param busiestProxyRatePerSecond the highest recent rate of one class at one proxy
      * @param wholeFleet whether tables have entries for the whole fleet
      */
     record RoundInputs(
@@ -46,14 +52,15 @@
             long now) {}
 
     /**
-     * What limits the cold entries of one table.
+     * What limits the slow-starting entries of one table.
      *
      * @param floor least fraction of an entry
-     * @param shareWithoutLargest fraction of the table that is left without its largest warm entry
-     * @param hasStarted whether warm entries can take the work instead
-     * @param busiestProxyRate transactions a second that one proxy may bring
-     * @param safeSlowStartingRate transactions a second that are safe for the cold replicas
-     *     together
+     * @param shareWithoutLargest fraction of the table that is left without its largest started
+     *     entry
+     * @param hasStarted whether started entries can take the work instead
+     * @param busiestProxyRate transactions a second of one class that one proxy may receive
+     * @param safeSlowStartingRate transactions a second that are safe for the slow-starting
+     *     replicas together
      */
     private record SlowStartLimits(
             double floor,
@@ -72,7 +79,7 @@
         classCount = settings.classes().size();
     }
 
-    /** The round's inputs, with so many proxies joined here. */
+    /** The round's inputs, with a number of proxies joined to this controller. */
     RoundInputs roundInputs(
             DemandEstimator demand, int joinedProxies, boolean wholeFleet, long now) {
         double expectedPerTick = demand.expectedPerTick();
@@ -180,7 +187,7 @@
         return Math.max(table.group().busiestProxyRatePerSecond(), elsewhere);
     }
 
-    /** The rate of one class that is safe for all cold replicas of a table together. */
+    /** The rate of one class that is safe for all slow-starting replicas of a table together. */
     private double safeSlowStartingRatePerSecond(RoutingTable table, RoundInputs round) {
         double slowStartingCapacity =
                 table.capacityOf(route -> route.isAllowed() && isSlowStarting(route, round));
@@ -190,7 +197,7 @@
                 / classCount;
     }
 
-    /** What one proxy may bring of a class with a cold route in its table. */
+    /** The rate of one class up to which a proxy may have a slow-starting route in its table. */
     private static double safeProxyRate(
             Route route, double safeSlowStartingRate, RoundInputs round) {
         return round.wholeFleet
@@ -202,8 +209,8 @@
     }
 
     /**
-     * What remains of a table after removals keeps its scale, so that no entry need be sent anew
-     * for another's going.
+     * What remains of a table after removals keeps its scale, so that a removal alone makes no
+     * other entry be sent anew.
      */
     private static double weightScale(RoutingTable table, List<Route> routes) {
         double standing = routes.stream().mapToDouble(Route::publishedWeight).sum();
--- a/src/main/java/rockshift/planner/TrafficWindows.java
+++ b/src/main/java/rockshift/planner/TrafficWindows.java
@@ -9,8 +9,9 @@
  * alike, counts and time, so that their quotient is a rate.
  *
  * <p>Each time is kept twice, as the first reports arrive late. One starts with the span of the
- * first report; the careful one rates arrivals higher and capacities lower at a start. They
- * approach each other.
+ * first report. The conservative one errs towards overload at a start: for arrivals it is too
+ * short, so that their rate comes out too high, and for capacities too long, so that they come out
+ * too low. The two approach each other.
  */
 final class TrafficWindows {
     /** Memory of arrivals and attempts: two to four report periods. */
@@ -38,7 +39,7 @@
         }
     }
 
-    /** Takes in the attempts of a report, their failures, and the mean time of its answers. */
+    /** Adds the attempts of a report, their failures, and the mean time of its answers. */
     void addAttempts(int count, int failed, long meanAnswerTicks, long spanTicks) {
         int answered = Math.max(0, count - failed);
         attempts += count;
@@ -85,7 +86,7 @@
         }
     }
 
-    /** Whether anything is covered yet. */
+    /** Whether no report of attempts has arrived yet, as of the last {@link #decay}. */
     boolean isEmpty() {
         return conservativeCoveredTicks == 0;
     }
@@ -133,7 +134,7 @@
 
     // ---- time covered --------------------------------------------------------------------------
 
-    /** Time that attempts and arrivals cover, the careful one. */
+    /** Time that attempts and arrivals cover; too short at a start, so that rates are too high. */
     double conservativeCoveredTicks() {
         return conservativeCoveredTicks;
     }
@@ -142,7 +143,10 @@
         return coveredTicksFromFirstReport;
     }
 
-    /** Time that the evidence of capacities covers, the careful one; 0 before the first report. */
+    /**
+     * Time that the evidence of capacities covers; too long at a start, so that capacities are too
+     * low. 0 before the first report.
+     */
     double conservativeCapacityTicks() {
         return conservativeCapacityTicks;
     }
--- a/src/main/java/rockshift/settings/PlannerSettings.java
+++ b/src/main/java/rockshift/settings/PlannerSettings.java
@@ -37,7 +37,7 @@
  * @param commandPrice price of a fully used command channel, as a fraction of the goal
  * @param loadMetricNames names of the load values that replicas report
  * @param subscribesToDiscovery whether discovery only tells of changes after a subscription
- * @param turnSpacingTicks least time between two planning rounds of a controller
+ * @param turnSpacingTicks least time between the starts of two turns of a controller's event loop
  */
 public record PlannerSettings(
         List<String> zones,
