--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -35,7 +35,7 @@
     /** Mean load of the fleet from which it counts as overloaded. */
     private static final double OVERLOAD = 0.8;
 
-    /** Level gained a round at most: admitted all at once, those who waited would be too many. */
+    /** Level gained a round at most: all waiting requests at once would be too many. */
     private static final double MAX_INCREASE_PER_ROUND = 0.2;
 
     /** Least level of any class. */
--- a/src/main/java/rockshift/planner/AlphaFairSolver.java
+++ b/src/main/java/rockshift/planner/AlphaFairSolver.java
@@ -38,8 +38,7 @@
         this.eligibility = eligibility;
     }
 
-    // ---- carrying over
-    // ----------------------------------------------------------------------------
+    // ---- carrying over --------------------------------------------------------------------------
 
     /** Carries the iterates over to new capacities, demand shares and eligibility. */
     void carryOver(List<RoutingTable> tables) {
@@ -142,8 +141,9 @@
     }
 
     /**
-     * The request's copies x, by the root search, which takes the sum of the link copies of the
-     * iteration before as the request's total; then that sum anew.
+     * The request's copies x, by the root search, which begins at the sum of the link copies as of
+     * the iteration before; then that sum anew. It is that sum, and not the root, that the table
+     * keeps: published weights are taken as fractions of it.
      */
     private static void updateRequest(
             RoutingTable request, double penalty, double crossingCost, double meanEntry) {
--- a/src/main/java/rockshift/planner/ChangeUrgency.java
+++ b/src/main/java/rockshift/planner/ChangeUrgency.java
@@ -25,17 +25,17 @@
     /** Any other change: deferrable budget, regular rounds only. */
     BATCHED(false, false);
 
-    private final boolean priority;
+    private final boolean priorityBudget;
     private final boolean inEveryRound;
 
-    ChangeUrgency(boolean urgent, boolean inEveryRound) {
-        this.priority = urgent;
+    ChangeUrgency(boolean priorityBudget, boolean inEveryRound) {
+        this.priorityBudget = priorityBudget;
         this.inEveryRound = inEveryRound;
     }
 
     /** Whether it is paid from the priority budget, and not from the deferrable one. */
     boolean usesPriorityBudget() {
-        return priority;
+        return priorityBudget;
     }
 
     /** Whether it is sent in interim rounds as well as in regular ones. */
--- a/src/main/java/rockshift/planner/RootSearch.java
+++ b/src/main/java/rockshift/planner/RootSearch.java
@@ -47,7 +47,8 @@
      * The marginal utility {@code penalty * w / y^alpha} at the root. Steps by the slope where that
      * stays between the bounds, else by halves, which takes a third of the steps of halving alone.
      *
-     * @param lastTotal the total of the iteration before, where the search begins
+     * @param lastTotal the sum of the link copies as of the iteration before, where the search
+     *     begins
      */
     double marginalUtility(double lastTotal) {
         double high = MAX_TOTAL;
--- a/src/main/java/rockshift/planner/RoutingTable.java
+++ b/src/main/java/rockshift/planner/RoutingTable.java
@@ -118,7 +118,8 @@
     }
 
     /**
-     * The sum of the link copies z of the routes that are open; stands for y, the request's total.
+     * The sum of the link copies z of the routes that are open; stands for the paper's y, the
+     * request's total.
      */
     double linkCopyTotal() {
         return linkCopyTotal;
