--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -5,10 +5,14 @@
 import rockshift.server.ProcessSignals;
 import rockshift.simulation.SimulatorAdapter;
 
-/** Looks at its first word: a governor and the drill start without anything that commands need. */
+/**
+ * Starts the program that the first word names. The controller and the simulator adapter start
+ * without loading anything that only commands need.
+ */
 public final class Main {
     private Main() {}
 
+    /** Starts the program that the first word names, and ends with its status. */
     public static void main(String[] arguments) throws IOException, InterruptedException {
         String command = arguments.length == 1 ? arguments[0] : "";
         if (command.equals("serve")) {
