--- a/src/main/java/rockshift/settings/SettingsParser.java
+++ b/src/main/java/rockshift/settings/SettingsParser.java
@@ -9,6 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
+import java.util.function.ObjDoubleConsumer;
+import java.util.function.ObjIntConsumer;
+import java.util.function.ObjLongConsumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
@@ -35,90 +38,52 @@
 
     private static final Map<String, BiConsumer<PlannerSettings.Builder, Value>> SETTERS =
             Map.ofEntries(
-                    entry(ZONES, (builder, value) -> builder.zones(value.list())),
-                    entry(
-                            "n_instances",
-                            (builder, value) -> builder.controllerCount(value.integer())),
-                    entry(
-                            EXPECTED_PROXIES,
-                            (builder, value) -> builder.expectedProxies(value.integer())),
+                    list(ZONES, PlannerSettings.Builder::zones),
+                    integer("n_instances", PlannerSettings.Builder::controllerCount),
+                    integer(EXPECTED_PROXIES, PlannerSettings.Builder::expectedProxies),
                     entry("domain.slices", (builder, value) -> builder.sharded(value.number() > 0)),
-                    entry(
-                            CHANNEL_RATE,
-                            (builder, value) -> builder.channelEntriesPerSecond(value.number())),
-                    entry(
-                            CHANNEL_QUEUE_LIMIT,
-                            (builder, value) -> builder.channelQueueLimitEntries(value.number())),
-                    entry(
-                            "domain.fixed_cost",
-                            (builder, value) -> builder.messageOverheadEntries(value.number())),
-                    entry(
-                            "domain.update_cap",
-                            (builder, value) -> builder.messageQuota(value.number())),
-                    entry(
+                    number(CHANNEL_RATE, PlannerSettings.Builder::channelEntriesPerSecond),
+                    number(CHANNEL_QUEUE_LIMIT, PlannerSettings.Builder::channelQueueLimitEntries),
+                    number("domain.fixed_cost", PlannerSettings.Builder::messageOverheadEntries),
+                    number("domain.update_cap", PlannerSettings.Builder::messageQuota),
+                    ticks(
                             "domain.update_window_us",
-                            (builder, value) -> builder.messageQuotaWindowTicks(value.ticks())),
-                    entry(
-                            "domain.late_us",
-                            (builder, value) -> builder.transitTicks(value.ticks())),
-                    entry(
-                            "domain.worst_transit_us",
-                            (builder, value) -> builder.longestTransitTicks(value.ticks())),
-                    entry(
-                            "domain.cycle_us",
-                            (builder, value) -> builder.reportPeriodTicks(value.ticks())),
-                    entry(
-                            "domain.base_mode",
-                            (builder, value) -> builder.defaultRetryMode(value.integer())),
+                            PlannerSettings.Builder::messageQuotaWindowTicks),
+                    ticks("domain.late_us", PlannerSettings.Builder::transitTicks),
+                    ticks("domain.worst_transit_us", PlannerSettings.Builder::longestTransitTicks),
+                    ticks("domain.cycle_us", PlannerSettings.Builder::reportPeriodTicks),
+                    integer("domain.base_mode", PlannerSettings.Builder::defaultRetryMode),
                     entry(
                             "domain.admission",
                             (builder, value) -> builder.admissionMode(admissionMode(value.text()))),
-                    entry(
-                            "ceilings.idle_close_us",
-                            (builder, value) -> builder.idleCloseTicks(value.ticks())),
-                    entry(
-                            "invariants.drain_grace_us",
-                            (builder, value) -> builder.drainGraceTicks(value.ticks())),
-                    entry(
+                    ticks("ceilings.idle_close_us", PlannerSettings.Builder::idleCloseTicks),
+                    ticks("invariants.drain_grace_us", PlannerSettings.Builder::drainGraceTicks),
+                    number(
                             "invariants.start_capacity",
-                            (builder, value) -> builder.initialSlowStartFraction(value.number())),
-                    entry(
-                            "invariants.warm_after_us",
-                            (builder, value) -> builder.slowStartTicks(value.ticks())),
-                    entry(
+                            PlannerSettings.Builder::initialSlowStartFraction),
+                    ticks("invariants.warm_after_us", PlannerSettings.Builder::slowStartTicks),
+                    number(
                             "invariants.fall_multiple",
-                            (builder, value) -> builder.coldOverloadMultiple(value.number())),
-                    entry(
-                            "goal.worst_class",
-                            (builder, value) -> builder.worstClassWeight(value.number())),
-                    entry(
-                            "prices.cross_zone",
-                            (builder, value) -> builder.zoneCrossingPrice(value.number())),
-                    entry(
-                            "domain.push_price",
-                            (builder, value) -> builder.commandPrice(value.number())),
-                    entry(
+                            PlannerSettings.Builder::coldOverloadMultiple),
+                    number("goal.worst_class", PlannerSettings.Builder::worstClassWeight),
+                    number("prices.cross_zone", PlannerSettings.Builder::zoneCrossingPrice),
+                    number("domain.push_price", PlannerSettings.Builder::commandPrice),
+                    list(
                             "report.names",
-                            (builder, value) -> builder.loadMetricNames(Set.copyOf(value.list()))),
+                            (builder, names) -> builder.loadMetricNames(Set.copyOf(names))),
                     entry(
                             "discovery",
                             (builder, value) ->
                                     builder.subscribesToDiscovery(
                                             value.text().equals("subscribe"))),
-                    entry(
-                            "granularity_us",
-                            (builder, value) -> builder.turnSpacingTicks(value.ticks())));
+                    ticks("granularity_us", PlannerSettings.Builder::turnSpacingTicks));
 
     private static final Map<String, BiConsumer<ClassSettings.Builder, Value>> CLASS_SETTERS =
-            Map.of(
-                    "name",
-                    (builder, value) -> builder.name(value.text()),
-                    "aim_us",
-                    (builder, value) -> builder.latencyObjectiveTicks(value.ticks()),
-                    "hard_limit_us",
-                    (builder, value) -> builder.timeoutTicks(value.ticks()),
-                    "worth",
-                    (builder, value) -> builder.priorityWeight(value.number()));
+            Map.ofEntries(
+                    entry("name", (builder, value) -> builder.name(value.text())),
+                    ticks("aim_us", ClassSettings.Builder::latencyObjectiveTicks),
+                    ticks("hard_limit_us", ClassSettings.Builder::timeoutTicks),
+                    number("worth", ClassSettings.Builder::priorityWeight));
 
     private final PlannerSettings.Builder settings = PlannerSettings.newBuilder();
     private final TreeMap<Integer, ClassSettings.Builder> classes = new TreeMap<>();
@@ -225,6 +190,26 @@
         return value == null ? OptionalDouble.empty() : OptionalDouble.of(value);
     }
 
+    private static <T> Map.Entry<String, BiConsumer<T, Value>> number(
+            String path, ObjDoubleConsumer<T> setter) {
+        return entry(path, (builder, value) -> setter.accept(builder, value.number()));
+    }
+
+    private static <T> Map.Entry<String, BiConsumer<T, Value>> integer(
+            String path, ObjIntConsumer<T> setter) {
+        return entry(path, (builder, value) -> setter.accept(builder, value.integer()));
+    }
+
+    private static <T> Map.Entry<String, BiConsumer<T, Value>> ticks(
+            String path, ObjLongConsumer<T> setter) {
+        return entry(path, (builder, value) -> setter.accept(builder, value.ticks()));
+    }
+
+    private static <T> Map.Entry<String, BiConsumer<T, Value>> list(
+            String path, BiConsumer<T, List<String>> setter) {
+        return entry(path, (builder, value) -> setter.accept(builder, value.list()));
+    }
+
     /** One value as text, with the path that errors name. */
     private record Value(String path, String text) {
         boolean isTime() {
