--- a/src/main/java/rockshift/planner/CapacityEstimator.java
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -77,14 +77,16 @@
         updateLoadWithoutReport(replicas, traffic);
         MachineTypeMeans means = new MachineTypeMeans(replicas);
         double sum = 0;
-        double openCapacity = 0;
-        double busyCapacity = 0;
         for (Replica replica : replicas) {
             replica.beginCapacityRound();
-            replica.setCapacity(updateCapacities(replica, means, now));
+            replica.setCapacity(estimatedCapacity(replica, means, now));
             sum += replica.capacity();
+        }
+        double openCapacity = 0;
+        double busyCapacity = 0;
+        for (Replica replica : replicas) {
             // What no proxy can reach, as behind a cut network, is no capacity to admit by.
-            if (replica.routesInUse().stream().anyMatch(eligibility::isOpen)) {
+            if (hasOpenRoute(replica)) {
                 openCapacity += replica.capacity();
                 busyCapacity += replica.capacity() * loadOf(replica);
             }
@@ -114,7 +116,11 @@
                                 Math.max(MIN_WAITING_FRACTION, traffic.updateWaitingFraction()));
     }
 
-    private double updateCapacities(Replica replica, MachineTypeMeans means, long now) {
+    private boolean hasOpenRoute(Replica replica) {
+        return replica.routesInUse().stream().anyMatch(eligibility::isOpen);
+    }
+
+    private double estimatedCapacity(Replica replica, MachineTypeMeans means, long now) {
         double available =
                 replica.isEjected() || !replica.acceptsNewWork()
                         ? 0
--- a/src/main/java/rockshift/planner/ChangeUrgency.java
+++ b/src/main/java/rockshift/planner/ChangeUrgency.java
@@ -14,13 +14,17 @@
      * controller may make removals only.
      */
     REQUIRED(true, true),
-    /** It protects a replica from overload now: priority budget, all rounds. */
+    /**
+     * It prevents an overload: a slow-starting replica's weight more than halves, or an entry more
+     * than doubles in a message that is sent anyway. Priority budget, all rounds.
+     */
     IMMEDIATE(true, true),
     /**
-     * It takes a smaller load off a slow-starting replica: priority budget, regular rounds only.
+     * It lowers the weight of a slow-starting replica, by half at most: priority budget, regular
+     * rounds only.
      */
     PRIORITIZED(true, false),
-    /** It needs no message of its own: deferrable budget, all rounds. */
+    /** A message is sent anyway, or no proxy is bound yet: deferrable budget, all rounds. */
     PIGGYBACKED(false, true),
     /** Any other change: deferrable budget, regular rounds only. */
     BATCHED(false, false);
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -20,7 +20,7 @@
  * <p>An instance belongs to one thread of its host.
  */
 public final class Planner {
-    /** A tenth of the time between rounds, so that nothing that falls due waits long. */
+    /** A tenth of the time between regular rounds, so that nothing that falls due waits long. */
     private static final long TIMER_TICKS = 100 * Ticks.TICKS_PER_MILLI;
 
     /** Time between two regular rounds, in which differences are gathered. */
@@ -244,7 +244,7 @@
         proxiesUnassigned = false;
     }
 
-    /** Arms the timer; a round is due with it while something required could not be sent. */
+    /** Arms the timer; requests a round while something required could not be sent. */
     private void armTimer(ProxyCommands commands) {
         timerSet = true;
         roundRequested |= requiredIsDeferred;
--- a/src/main/java/rockshift/planner/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -199,6 +199,11 @@
         return relation == ZoneRelation.SAME_ZONE ? ownZoneGroups : otherZoneGroups;
     }
 
+    /** Whether any group has it in its subset. */
+    boolean isInGroups() {
+        return ownZoneGroups + otherZoneGroups > 0;
+    }
+
     void joinedGroup(ZoneRelation relation) {
         countGroup(relation, 1);
     }
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -20,15 +20,15 @@
  * <p>Guards against tables that the channel can't carry in time, and whose connections close idle
  * between two transactions. Shows as late drains, and at proxies as a new connection for nearly
  * each transaction. Holds because a table is no longer than both allow, each replica is in several
- * tables so that load can shift, and a group grows while its demand is near what it reaches. What
+ * tables so that load can shift, and a group grows while its demand is near its open capacity. What
  * was assigned stays, and the choice is the same at every controller and after a restart, so that a
  * proxy that moves finds its replicas again.
  */
 final class ReplicaSubsetter {
-    /** Transactions an entry should get before its idle connection closes. */
+    /** Transactions that an entry should get in the time after which an idle connection closes. */
     private static final double TRANSACTIONS_PER_IDLE_TIME = 3.3;
 
-    /** Tables that should have each replica, so that load can shift. */
+    /** Number of tables that should have each replica, so that load can shift. */
     private static final double TABLES_PER_REPLICA = 12;
 
     private static final double MIN_ENTRIES = 8;
@@ -37,12 +37,12 @@
     private static final double OWN_ZONE_FRACTION = 0.75;
 
     /**
-     * Ratio of a group's open capacity to its demand that is aimed at, as a few proxies may have
-     * most.
+     * Least ratio of a group's open capacity to its demand: a few proxies may have most of the
+     * demand.
      */
     private static final double CAPACITY_RESERVE_RATIO = 1.5;
 
-    /** Times the entries wanted up to which a table has the whole fleet. */
+    /** Ratio of the fleet to the entries wanted up to which a table has the whole fleet. */
     private static final double WHOLE_FLEET_RATIO = 1.5;
 
     /** Fraction of the entries needed below which a group gets more replicas. */
@@ -166,6 +166,20 @@
         for (ProxyGroup group : groups) {
             refill(group, accepting, proxies.waiting().isEmpty());
         }
+        spreadReplicas(accepting);
+        groups.forEach(ReplicaSubsetter::addRoutes);
+        return creates;
+    }
+
+    /** Adds routes to the replicas of a group's subset to its tables, where there are none yet. */
+    private static void addRoutes(ProxyGroup group) {
+        for (RoutingTable table : group.tables()) {
+            group.subset().forEach(table::addRouteIfAbsent);
+        }
+    }
+
+    /** Adds each replica that too few groups have to some more. */
+    private void spreadReplicas(List<Replica> accepting) {
         double perReplica = groups.size() * entriesPerTable / accepting.size();
         for (Replica replica : accepting) {
             double ownZone = Math.max(1, Math.floor(perReplica * OWN_ZONE_FRACTION));
@@ -179,27 +193,17 @@
                     ZoneRelation.OTHER_ZONE,
                     otherZones - replica.groupCount(ZoneRelation.OTHER_ZONE));
         }
-        for (ProxyGroup group : groups) {
-            for (RoutingTable table : group.tables()) {
-                group.subset().forEach(table::addRouteIfAbsent);
-            }
-        }
-        return creates;
     }
 
     private void removeNotAccepting(ReplicaRegistry replicas) {
         for (Replica replica : replicas.all()) {
-            boolean inGroups =
-                    replica.groupCount(ZoneRelation.SAME_ZONE)
-                                    + replica.groupCount(ZoneRelation.OTHER_ZONE)
-                            > 0;
-            if (!replica.acceptsNewWork() && inGroups) {
+            if (!replica.acceptsNewWork() && replica.isInGroups()) {
                 groups.forEach(group -> group.remove(replica));
             }
         }
     }
 
-    /** Fills a group that has lost many replicas, or whose demand is near what it reaches. */
+    /** Fills a group that has lost many replicas, or whose demand is near its open capacity. */
     private void refill(ProxyGroup group, List<Replica> accepting, boolean nobodyWaits) {
         double size = group.subsetSize();
         double demand = group.tables().stream().mapToDouble(RoutingTable::demandShare).sum();
--- a/src/main/java/rockshift/planner/ScheduledTask.java
+++ b/src/main/java/rockshift/planner/ScheduledTask.java
@@ -7,7 +7,7 @@
  * of replicas.
  *
  * @param replicaId the replica whose ejection ends; 0 for a planning round
- * @param scope the ejection that ends; unused for a planning round
+ * @param scope the scope of the ejection that ends; unused for a planning round
  */
 record ScheduledTask(long dueAtTicks, Kind kind, long replicaId, EjectionScope scope)
         implements Comparable<ScheduledTask> {
--- a/src/main/java/rockshift/planner/SimplexProjection.java
+++ b/src/main/java/rockshift/planner/SimplexProjection.java
@@ -9,7 +9,7 @@
 final class SimplexProjection {
     private SimplexProjection() {}
 
-    /** That amount; 0 where the sum fits already. Sorts the values that it is given. */
+    /** The amount to take off each value; 0 where the sum is within the limit. Sorts the values. */
     static double excess(double[] values, double limit) {
         Arrays.sort(values);
         double prefixSum = 0;
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -24,14 +24,13 @@
     }
 
     /**
-     * Compares what is published with the present targets and levels. Removals come first, then
-     * levels and new entries, then changed weights by their size.
+     * Compares what is published with the present targets, which must be up to date, and levels.
+     * Removals come first, then levels and new entries, then changed weights by their size.
      */
     List<TableChange> find(List<RoutingTable> tables) {
         List<TableChange> changes = new ArrayList<>();
         for (RoutingTable table : tables) {
             addLevelChange(changes, table);
-
             table.routes().forEach(route -> addEntryChange(changes, route));
         }
         changes.sort(Comparator.comparingDouble(TableChange::priority).reversed());
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -60,7 +60,7 @@
     /**
      * Sends a batch.
      *
-     * @param round inputs of the target weights
+     * @param round inputs of the target weights, which are updated here
      * @param regular whether it is a regular round, in which gathered changes are sent
      * @param commandPrice price of a fully used channel, as a fraction of the goal
      * @return whether something required could not be sent
@@ -78,14 +78,14 @@
         PublishBudget budget =
                 openBudget(joinsFirst, regular ? weightEntriesPerRound(commandPrice) : 0, now);
         List<GroupBatch> batches = openBatches(groups, now);
-        Set<RoutingTable> withoutEntry =
+        Set<RoutingTable> withoutAllowedEntry =
                 tables.stream().filter(RoutingTable::hasNoAllowedEntry).collect(Collectors.toSet());
         boolean requiredIsDeferred = false;
         tables.forEach(table -> targetWeights.updateTargets(table, round));
         for (TableChange change : differences.find(tables)) {
             GroupBatch batch = batches.get(change.table().group().number());
             ChangeUrgency urgency =
-                    isRequired(change, withoutEntry)
+                    isRequired(change, withoutAllowedEntry)
                             ? ChangeUrgency.REQUIRED
                             : urgency(change, batch, joinsFirst, now);
             boolean due = regular || urgency.isInEveryRound();
@@ -127,9 +127,9 @@
 
     // ---- urgency of a change --------------------------------------------------------------
 
-    private static boolean isRequired(TableChange change, Set<RoutingTable> withoutEntry) {
+    private static boolean isRequired(TableChange change, Set<RoutingTable> withoutAllowedEntry) {
         return change instanceof TableChange.Entry entry
-                && (entry.isRemoval() || withoutEntry.contains(entry.table()));
+                && (entry.isRemoval() || withoutAllowedEntry.contains(entry.table()));
     }
 
     private ChangeUrgency urgency(
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -23,12 +23,13 @@
     private static final double FLOOR_FRACTION = 0.02;
 
     /**
-     * Ratio of its part in a table of the whole fleet to its part of the fleet, if slow-starting.
+     * Most that a slow-starting entry may have of a whole-fleet table, in its replica's fair
+     * shares.
      */
     private static final double MAX_SLOW_STARTING_SHARE_RATIO = 1.5;
 
     /**
-     * Ratio of one proxy's rate to a slow-starting replica's part, for tables of the whole fleet.
+     * Most that a proxy with a whole-fleet table may receive, in a slow-starting replica's parts.
      */
     private static final double MAX_PROXY_RATE_RATIO = 40;
 
@@ -132,6 +133,7 @@
                 : 1.0 / count;
     }
 
+    /** Limits slow-starting entries by what the sum of the table was in the pass before. */
     private void setTargets(
             List<Route> routes,
             double[] solvedFractions,
@@ -154,6 +156,10 @@
         }
     }
 
+    /**
+     * The share of a slow-starting entry: 0 where one proxy could overload the replica through it,
+     * else limited by its replica's share of the open capacity.
+     */
     private static double slowStartingTarget(
             Route route,
             double solvedFraction,
--- a/src/main/java/rockshift/planner/TaskSchedule.java
+++ b/src/main/java/rockshift/planner/TaskSchedule.java
@@ -16,12 +16,14 @@
         return first.kind() == kind && first.dueAtTicks() <= now;
     }
 
-    /** Takes the task that falls due first. */
+    /** Removes the task that falls due first. */
     ScheduledTask takeNext() {
         return tasks.pollFirst();
     }
 
-    /** Takes a regular round that is due, also from behind other tasks; whether there was one. */
+    /**
+     * Removes a regular round that is due, whichever tasks are before it; whether there was one.
+     */
     boolean takeDueRegularRound(long now) {
         return tasks.removeIf(
                 task ->
