--- a/src/test/java/rockshift/planner/AdmissionControllerScenarioTest.java
+++ b/src/test/java/rockshift/planner/AdmissionControllerScenarioTest.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * All requests were admitted at once when capacity came back, and the wave overloaded a cold
-     * replica.
+     * All requests were admitted at once when capacity came back, and the wave overloaded a
+     * slow-starting replica.
      */
     @Test
     void levelsFallWithTheCapacityAndRiseByATenth() {
