--- a/src/main/java/rockshift/planner/DrainNotifier.java
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -98,6 +98,7 @@
         return boundAfterTicks > bindingDeadlineTicks;
     }
 
+    /** Sends a proxy notices of some replicas, or withdraws these, as one message. */
     private void send(
             ProxyCommands commands, Proxy proxy, List<Replica> about, boolean draining, long now) {
         int cost = 0;
--- a/src/main/java/rockshift/planner/SlowStart.java
+++ b/src/main/java/rockshift/planner/SlowStart.java
@@ -34,7 +34,7 @@
         safeLoadRatio = SAFE_OVERLOAD_FRACTION * overloadMultiple;
     }
 
-    /** Fraction of its full capacity that is available now. */
+    /** Fraction of its full capacity that is available now: 1 for a replica that has started. */
     double factor(Replica replica, long now) {
         double ageTicks = Math.max(0, now - replica.startedAtTicks());
         return replica.startedAtTicks() == 0 || ageTicks >= durationTicks
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Scales a rate so that, compared with a safe one, it counts as unsafe only from the overload
-     * point itself.
+     * Scales a rate that is to be compared with a safe one, so that it exceeds that only beyond the
+     * overload point itself.
      */
     static double withoutSafetyMargin(double rate) {
         return SAFE_OVERLOAD_FRACTION * rate;
--- a/src/main/java/rockshift/planner/TableScheduler.java
+++ b/src/main/java/rockshift/planner/TableScheduler.java
@@ -73,12 +73,13 @@
                 && provisionalIsSafe;
     }
 
-    /** The longer a proxy waits, the longer the queue may be; at the deadline it is urgent. */
+    /** The longer a proxy waits, the longer the queue may be; at the deadline it has priority. */
     private boolean hasRoom(Proxy proxy, double cost, long now) {
         double deferrable = pacer.deferrableBacklog();
-        double urgency = Math.min(1, (now - proxy.joinedAtTicks()) / bindingDeadlineTicks);
-        double startLimit = deferrable + urgency * (pacer.priorityQueueLimit() - deferrable);
-        double endLimit = urgency < 1 ? pacer.deferrableQueueLimit() : pacer.priorityQueueLimit();
+        double waitedFraction = Math.min(1, (now - proxy.joinedAtTicks()) / bindingDeadlineTicks);
+        double startLimit = deferrable + waitedFraction * (pacer.priorityQueueLimit() - deferrable);
+        double endLimit =
+                waitedFraction < 1 ? pacer.deferrableQueueLimit() : pacer.priorityQueueLimit();
         double queue = pacer.advanceQueue(now);
         double queueAfter = queue + cost + pacer.messageOverheadEntries() + 1;
         return !(queue > startLimit || queueAfter > endLimit);
--- a/src/main/java/rockshift/planner/TaskSchedule.java
+++ b/src/main/java/rockshift/planner/TaskSchedule.java
@@ -10,7 +10,7 @@
         tasks.add(task);
     }
 
-    /** Whether the task that falls due first is of a kind, and due. */
+    /** Whether the task that falls due first is of a kind, and due; throws if none is scheduled. */
     boolean isNextDue(ScheduledTask.Kind kind, long now) {
         ScheduledTask first = tasks.first();
         return first.kind() == kind && first.dueAtTicks() <= now;
