--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -29,8 +29,8 @@
     /** Fraction of the fleet's capacity that may be admitted. */
     private static final double TARGET_UTILIZATION = 0.8;
 
-    /** Mean load of the fleet below which nothing is refused. */
-    private static final double MIN_LOAD_TO_REFUSE = 0.6;
+    /** Mean load of the fleet below which nothing is shed. */
+    private static final double MIN_LOAD_TO_SHED = 0.6;
 
     /** Mean load of the fleet from which it counts as overloaded. */
     private static final double OVERLOAD = 0.8;
@@ -120,7 +120,7 @@
         updateHealthyRate(baseline, capacity, medianFailureRatio);
         double admissible = admissiblePerTick(traffic, baseline, capacity, overloaded);
         pauseOnCongestionCollapse(capacity, medianFailureRatio, now);
-        setLevels(demand, admissible, capacity.load() < MIN_LOAD_TO_REFUSE, worstClassWeight, now);
+        setLevels(demand, admissible, capacity.load() < MIN_LOAD_TO_SHED, worstClassWeight, now);
     }
 
     /**
@@ -131,10 +131,11 @@
     private void updateClientRetries(TrafficWindows traffic) {
         double admitted = traffic.admittedArrivals();
         double refusedFraction = 1 - admitted / traffic.arrivals();
-        double excess = admitted / Math.max(1, traffic.attempts()) - 1;
-        double found = Math.max(0, Math.min(MAX_CLIENT_RETRIES, excess / refusedFraction));
+        double excessRatio = admitted / Math.max(1, traffic.attempts()) - 1;
+        double observedRetries =
+                Math.max(0, Math.min(MAX_CLIENT_RETRIES, excessRatio / refusedFraction));
         if (refusedFraction > MIN_REFUSED_FRACTION) {
-            clientRetries += CLIENT_RETRIES_STEP_FRACTION * (found - clientRetries);
+            clientRetries += CLIENT_RETRIES_STEP_FRACTION * (observedRetries - clientRetries);
         }
     }
 
@@ -144,18 +145,19 @@
      */
     private double[] demandPerTick(
             TrafficWindows traffic, BaselineRates baseline, boolean overloaded) {
-        double fromFirst = traffic.coveredTicksFromFirstReport();
-        double covered =
+        double coveredTicksFromFirstReport = traffic.coveredTicksFromFirstReport();
+        double coveredTicks =
                 overloaded
-                        ? Math.max(traffic.conservativeCoveredTicks(), fromFirst / 2)
-                        : fromFirst;
+                        ? Math.max(
+                                traffic.conservativeCoveredTicks(), coveredTicksFromFirstReport / 2)
+                        : coveredTicksFromFirstReport;
         double growth = baseline.growthSinceTrafficWindow();
         double[] demand = new double[classes.size()];
         for (int k = 0; k < demand.length; k++) {
             demand[k] =
                     growth
                             * traffic.arrivals(k)
-                            / covered
+                            / coveredTicks
                             / (1 + clientRetries * (1 - traffic.admittedFraction(k)));
         }
         return demand;
@@ -177,9 +179,9 @@
                         : capacity.answersPerTick()
                                 * traffic.conservativeCapacityTicks()
                                 / traffic.capacityTicksFromFirstReport();
-        double inCollapse =
+        double leastAnswersPerTick =
                 COLLAPSE_RATE_FRACTION * healthyRatePerBaselineRate * baseline.currentPerSecond();
-        return TARGET_UTILIZATION * Math.max(answersPerTick, inCollapse);
+        return TARGET_UTILIZATION * Math.max(answersPerTick, leastAnswersPerTick);
     }
 
     /** Follows the answers while the fleet is healthy; the first value is taken as it is. */
@@ -231,10 +233,10 @@
         OptionalInt firstToShed = firstToShed(demandPerTick, total, worstClassWeight);
         double shedDemand = firstToShed.isPresent() ? demandPerTick[firstToShed.getAsInt()] : total;
         double remainingDemand = total - shedDemand;
-        double shedLevel = limit((admissiblePerTick - remainingDemand) / shedDemand);
+        double shedLevel = clampLevel((admissiblePerTick - remainingDemand) / shedDemand);
         double remainingLevel =
                 remainingDemand > 0
-                        ? limit((admissiblePerTick - shedLevel * shedDemand) / remainingDemand)
+                        ? clampLevel((admissiblePerTick - shedLevel * shedDemand) / remainingDemand)
                         : 1;
         for (int k = 0; k < levels.length; k++) {
             if (now < pausedUntilTicks) {
@@ -248,7 +250,7 @@
         }
     }
 
-    private static double limit(double level) {
+    private static double clampLevel(double level) {
         return Math.max(MIN_LEVEL, Math.min(1, level));
     }
 
--- a/src/main/java/rockshift/planner/AlphaFairSolver.java
+++ b/src/main/java/rockshift/planner/AlphaFairSolver.java
@@ -104,28 +104,35 @@
     }
 
     /**
-     * The paper's start of the penalty, from utopic totals and lower bounds d of the totals; the
-     * weights sum to 1.
+     * The paper's start of the penalty, from the curvature of the utilities at the utopic totals,
+     * where it is least, and at the lower bounds d of the totals, where it is greatest. The weights
+     * sum to 1.
      */
     static double penalty(List<RoutingTable> requests) {
-        double lowest =
+        double lowestUtopicTotal =
                 requests.stream()
                         .filter(request -> request.openCapacity() > 0)
                         .mapToDouble(request -> request.demandShare() * request.openCapacity())
                         .min()
                         .orElse(1);
-        double least = Double.MAX_VALUE;
-        double most = 0;
+        double leastCurvature = Double.MAX_VALUE;
+        double greatestCurvature = 0;
         for (RoutingTable request : requests) {
             double weight = request.demandShare();
-            double midpoint = weight * request.openCapacity();
-            double bound = Math.pow(lowest, 1 - 1 / ALPHA) * Math.pow(midpoint, 1 / ALPHA);
-            if (midpoint > 0) {
-                least = Math.min(least, weight / Math.pow(request.openCapacity(), ALPHA + 1));
-                most = Math.max(most, weight / Math.pow(bound, ALPHA + 1));
+            double weightedUtopicTotal = weight * request.openCapacity();
+            double lowerBound =
+                    Math.pow(lowestUtopicTotal, 1 - 1 / ALPHA)
+                            * Math.pow(weightedUtopicTotal, 1 / ALPHA);
+            if (weightedUtopicTotal > 0) {
+                leastCurvature =
+                        Math.min(
+                                leastCurvature,
+                                weight / Math.pow(request.openCapacity(), ALPHA + 1));
+                greatestCurvature =
+                        Math.max(greatestCurvature, weight / Math.pow(lowerBound, ALPHA + 1));
             }
         }
-        return most > 0 ? ALPHA / Math.sqrt(least * most) : 1;
+        return greatestCurvature > 0 ? ALPHA / Math.sqrt(leastCurvature * greatestCurvature) : 1;
     }
 
     /** The link's copies z: the nearest point whose sum stays within the capacity. */
--- a/src/main/java/rockshift/planner/BaselineRates.java
+++ b/src/main/java/rockshift/planner/BaselineRates.java
@@ -12,9 +12,9 @@
     /** Reports lag: two periods pass until those of a new proxy are in. */
     private final double reportLagTicks;
 
-    private double current;
-    private double duringCapacityWindow;
-    private double duringTrafficWindow;
+    private double currentPerSecond;
+    private double perSecondDuringCapacityWindow;
+    private double perSecondDuringTrafficWindow;
 
     BaselineRates(long reportPeriodTicks) {
         reportLagTicks = 2.0 * reportPeriodTicks;
@@ -26,27 +26,32 @@
         double trafficMemory = TrafficWindows.MEMORY_TICKS + reportLagTicks;
         double capacityKept = reported ? Math.exp(-elapsedTicks / capacityMemory) : 0;
         double trafficKept = reported ? Math.exp(-elapsedTicks / trafficMemory) : 0;
-        current = baselineRatePerSecond;
-        duringCapacityWindow = duringCapacityWindow * capacityKept + current * (1 - capacityKept);
-        duringTrafficWindow = duringTrafficWindow * trafficKept + current * (1 - trafficKept);
+        currentPerSecond = baselineRatePerSecond;
+        perSecondDuringCapacityWindow =
+                perSecondDuringCapacityWindow * capacityKept
+                        + currentPerSecond * (1 - capacityKept);
+        perSecondDuringTrafficWindow =
+                perSecondDuringTrafficWindow * trafficKept + currentPerSecond * (1 - trafficKept);
     }
 
     /** Transactions a second that the joined proxies usually receive. */
     double currentPerSecond() {
-        return current;
+        return currentPerSecond;
     }
 
     /** Ratio of the present baseline rate to that in the capacity estimate's window. */
     double growthSinceCapacityWindow() {
-        return growthSince(duringCapacityWindow);
+        return growthSince(perSecondDuringCapacityWindow);
     }
 
     /** Ratio of the present baseline rate to that in the window of arrivals. */
     double growthSinceTrafficWindow() {
-        return growthSince(duringTrafficWindow);
+        return growthSince(perSecondDuringTrafficWindow);
     }
 
-    private double growthSince(double then) {
-        return current > 0 && then > 0 ? current / then : 1;
+    private double growthSince(double earlierPerSecond) {
+        return currentPerSecond > 0 && earlierPerSecond > 0
+                ? currentPerSecond / earlierPerSecond
+                : 1;
     }
 }
--- a/src/main/java/rockshift/planner/CapacityEstimator.java
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -91,14 +91,14 @@
                 busyCapacity += replica.capacity() * loadOf(replica);
             }
         }
-        double rate =
+        double answersPerTick =
                 traffic.conservativeCapacityTicks() > 0
                         ? openCapacity / traffic.conservativeCapacityTicks()
                         : 0;
         double requestedPerTick = Math.max(expectedPerTick, traffic.attemptsPerTick());
-        normalize(replicas, rate > 0 ? requestedPerTick / rate : 0, sum, now);
+        normalize(replicas, answersPerTick > 0 ? requestedPerTick / answersPerTick : 0, sum, now);
         return new FleetCapacity(
-                baseline.growthSinceCapacityWindow() * rate,
+                baseline.growthSinceCapacityWindow() * answersPerTick,
                 openCapacity > 0 ? busyCapacity / openCapacity : 0);
     }
 
@@ -121,15 +121,17 @@
     }
 
     private double estimatedCapacity(Replica replica, MachineTypeMeans means, long now) {
-        double available =
+        double availableFraction =
                 replica.isEjected() || !replica.acceptsNewWork()
                         ? 0
                         : outlierDetector.recoveryFactor(replica, now)
                                 * slowStart.factor(replica, now);
         double answers = replica.loadEvidence().answers();
-        double whenBusy = answers / loadOf(replica);
+        double answersWhenBusy = answers / loadOf(replica);
         double mean = means.of(replica.machineType());
-        return available * (answers * whenBusy + PRIOR_ANSWERS * mean) / (answers + PRIOR_ANSWERS);
+        return availableFraction
+                * (answers * answersWhenBusy + PRIOR_ANSWERS * mean)
+                / (answers + PRIOR_ANSWERS);
     }
 
     /**
@@ -137,14 +139,14 @@
      * do, or much of it is slow-starting, slow-starting replicas get no more than their safe load.
      */
     private void normalize(List<Replica> replicas, double loadRatio, double sum, long now) {
-        double safe = slowStart.safeLoadRatio();
+        double safeLoadRatio = slowStart.safeLoadRatio();
         for (Replica replica : replicas) {
-            double guard =
-                    slowStart.isSlowStarting(replica, now) && loadRatio > safe
-                            ? safe / loadRatio
+            double reduction =
+                    slowStart.isSlowStarting(replica, now) && loadRatio > safeLoadRatio
+                            ? safeLoadRatio / loadRatio
                             : 1;
-            double guarded = replica.capacity() * guard;
-            replica.setCapacity(sum > 0 ? guarded / sum : 0);
+            double reducedCapacity = replica.capacity() * reduction;
+            replica.setCapacity(sum > 0 ? reducedCapacity / sum : 0);
         }
     }
 
--- a/src/main/java/rockshift/planner/ClassDemand.java
+++ b/src/main/java/rockshift/planner/ClassDemand.java
@@ -33,11 +33,11 @@
      * arrivals, so the next report covers the quiet spans before it as well.
      */
     void addReport(int count, long spanTicks, long now) {
-        double spans = (now - reportedUntilTicks) / (double) spanTicks;
-        long covered = spanTicks * Math.max(1, Math.round(spans));
+        double elapsedSpans = (now - reportedUntilTicks) / (double) spanTicks;
+        long newlyCoveredTicks = spanTicks * Math.max(1, Math.round(elapsedSpans));
         arrivals += count;
-        coveredTicks += covered;
-        reportedUntilTicks += covered;
+        coveredTicks += newlyCoveredTicks;
+        reportedUntilTicks += newlyCoveredTicks;
     }
 
     /** Where nothing was reported for two periods, the first of them had no arrivals. */
@@ -52,8 +52,8 @@
      * Moves the rate towards the reported one by a fraction of the difference; starts a new span.
      */
     void updateRate(double stepFraction) {
-        double reported = arrivals * Ticks.TICKS_PER_SECOND / Math.max(1, coveredTicks);
-        ratePerSecond += stepFraction * (reported - ratePerSecond);
+        double reportedPerSecond = arrivals * Ticks.TICKS_PER_SECOND / Math.max(1, coveredTicks);
+        ratePerSecond += stepFraction * (reportedPerSecond - ratePerSecond);
         arrivals = 0;
         coveredTicks = 0;
     }
--- a/src/main/java/rockshift/planner/OutlierDetector.java
+++ b/src/main/java/rockshift/planner/OutlierDetector.java
@@ -30,7 +30,7 @@
     private static final double EXCESS_FAILURE_RATIO = 0.35;
 
     /** Fewer attempts say nothing about a replica. */
-    private static final double MIN_ATTEMPTS = 3;
+    private static final double MIN_ATTEMPTS_TO_JUDGE = 3;
 
     /**
      * Load above which failures are put down to too much work; a replica that hangs reports none.
@@ -89,7 +89,7 @@
             ToDoubleFunction<Replica> loadOf,
             long now) {
         medianFailureRatio = medianFailureRatio(replicas);
-        double remaining =
+        double remainingEjections =
                 MAX_EJECTED_FRACTION * inUse.size()
                         - inUse.stream().filter(Replica::isEjected).count();
         Comparator<Replica> mostFailuresFirst =
@@ -100,13 +100,13 @@
             }
             // A cut between zones looks like death from one side only: while its own zone does well
             // with a replica, it is ejected for the others alone.
-            ReplicaObservations own = replica.ownZoneObservations();
-            if (own.attempts() >= MIN_ATTEMPTS && !isOutlier(own)) {
+            ReplicaObservations ownZone = replica.ownZoneObservations();
+            if (ownZone.attempts() >= MIN_ATTEMPTS_TO_JUDGE && !isOutlier(ownZone)) {
                 if (isOutlier(replica.otherZoneObservations())) {
                     eject(replica, EjectionScope.OTHER_ZONES, loadOf, now);
                 }
-            } else if (remaining > 0 && isOutlier(replica.allObservations())) {
-                remaining -= replica.isEjected() ? 0 : 1;
+            } else if (remainingEjections > 0 && isOutlier(replica.allObservations())) {
+                remainingEjections -= replica.isEjected() ? 0 : 1;
                 eject(replica, EjectionScope.ALL_PROXIES, loadOf, now);
             }
         }
@@ -117,7 +117,7 @@
                 replicas.stream()
                         .filter(Replica::acceptsNewWork)
                         .map(Replica::allObservations)
-                        .filter(observations -> observations.attempts() >= MIN_ATTEMPTS)
+                        .filter(observations -> observations.attempts() >= MIN_ATTEMPTS_TO_JUDGE)
                         .mapToDouble(ReplicaObservations::failureRatio)
                         .sorted()
                         .toArray();
@@ -125,7 +125,7 @@
     }
 
     private boolean isOutlier(ReplicaObservations observations) {
-        return observations.attempts() >= MIN_ATTEMPTS
+        return observations.attempts() >= MIN_ATTEMPTS_TO_JUDGE
                 && observations.isLoadAtMost(OVERLOAD)
                 && observations.failureRatio()
                         > MEDIAN_MULTIPLE * medianFailureRatio + EXCESS_FAILURE_RATIO;
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -84,12 +84,12 @@
      * @return whether a planning round must come first, as the group has no tables up to date
      */
     boolean assignToGroup(Proxy proxy) {
-        int perZone = groups.size() / zones.size();
-        if (perZone == 0) {
+        int groupsPerZone = groups.size() / zones.size();
+        if (groupsPerZone == 0) {
             return true;
         }
         if (proxy.group() == null) {
-            int index = proxy.zoneIndex() * perZone + proxy.number() % perZone;
+            int index = proxy.zoneIndex() * groupsPerZone + proxy.number() % groupsPerZone;
             proxy.joinGroup(groups.get(index));
         }
         return !proxy.group().isPublished();
@@ -102,9 +102,9 @@
             entriesPerTable = UNBOUNDED;
         }
         double tables = TABLES_PER_REPLICA * acceptingReplicas / entriesPerTable;
-        int perZone = (int) Math.max(1, Math.ceil(tables / zones.size()));
+        int groupsPerZone = (int) Math.max(1, Math.ceil(tables / zones.size()));
         for (String zone : zones) {
-            for (int i = 0; i < perZone; i++) {
+            for (int i = 0; i < groupsPerZone; i++) {
                 groups.add(new ProxyGroup(groups.size(), zone, classCount, strictestClass()));
             }
         }
@@ -118,7 +118,7 @@
                                 .mapToDouble(ClassDemand::ratePerSecond)
                                 .sum()
                         / proxies.size();
-        double keptOpen =
+        double entriesKeptOpen =
                 baselineRatePerSecond
                         * settings.idleCloseTicks()
                         / Ticks.TICKS_PER_SECOND
@@ -126,10 +126,10 @@
         double allProxies = Math.max(proxies.size(), settings.expectedProxies());
         double perProxy =
                 settings.channelQueueLimitEntries() * settings.controllerCount() / allProxies;
-        double carried =
+        double entriesCarried =
                 (perProxy - settings.messageOverheadEntries()) / classCount
                         - ProxyGroup.ENTRIES_PER_BINDING;
-        return Math.min(keptOpen, carried);
+        return Math.min(entriesKeptOpen, entriesCarried);
     }
 
     /** The first class that must stay in its zone, else class 0. */
@@ -180,18 +180,18 @@
 
     /** Adds each replica that too few groups have to some more. */
     private void spreadReplicas(List<Replica> accepting) {
-        double perReplica = groups.size() * entriesPerTable / accepting.size();
+        double groupsPerReplica = groups.size() * entriesPerTable / accepting.size();
         for (Replica replica : accepting) {
-            double ownZone = Math.max(1, Math.floor(perReplica * OWN_ZONE_FRACTION));
+            double wantedInOwnZone = Math.max(1, Math.floor(groupsPerReplica * OWN_ZONE_FRACTION));
             spreadReplica(
                     replica,
                     ZoneRelation.SAME_ZONE,
-                    ownZone - replica.groupCount(ZoneRelation.SAME_ZONE));
-            double otherZones = Math.floor(perReplica * (1 - OWN_ZONE_FRACTION));
+                    wantedInOwnZone - replica.groupCount(ZoneRelation.SAME_ZONE));
+            double wantedInOtherZones = Math.floor(groupsPerReplica * (1 - OWN_ZONE_FRACTION));
             spreadReplica(
                     replica,
                     ZoneRelation.OTHER_ZONE,
-                    otherZones - replica.groupCount(ZoneRelation.OTHER_ZONE));
+                    wantedInOtherZones - replica.groupCount(ZoneRelation.OTHER_ZONE));
         }
     }
 
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -49,13 +49,14 @@
         double scale = route.table().weightScale();
         double published = route.publishedWeight();
         double weight = route.isAllowed() ? (float) (route.targetFraction() * scale) : 0;
-        double size = Math.abs(weight - published) / scale;
+        double changedFraction = Math.abs(weight - published) / scale;
         if (weight == 0) {
             if (published > 0) {
                 changes.add(new TableChange.Entry(route, weight, REMOVAL_PRIORITY));
             }
-        } else if (size * scale > MIN_WEIGHT_CHANGE_RATIO * published) {
-            double priority = published == 0 ? TableChange.LEVEL_PRIORITY + size : size;
+        } else if (changedFraction * scale > MIN_WEIGHT_CHANGE_RATIO * published) {
+            double priority =
+                    published == 0 ? TableChange.LEVEL_PRIORITY + changedFraction : changedFraction;
             changes.add(new TableChange.Entry(route, weight, priority));
         }
     }
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -219,13 +219,15 @@
      * other entry be sent anew.
      */
     private static double weightScale(RoutingTable table, List<Route> routes) {
-        double standing = routes.stream().mapToDouble(Route::publishedWeight).sum();
-        double targets =
+        double publishedSum = routes.stream().mapToDouble(Route::publishedWeight).sum();
+        double publishedTargetSum =
                 routes.stream()
                         .mapToDouble(
                                 route -> route.publishedWeight() > 0 ? route.targetFraction() : 0)
                         .sum();
-        return table.group().boundProxies() > 0 && targets > 0 ? standing / targets : 1;
+        return table.group().boundProxies() > 0 && publishedTargetSum > 0
+                ? publishedSum / publishedTargetSum
+                : 1;
     }
 
     private boolean isSlowStarting(Route route, RoundInputs round) {
--- a/src/main/java/rockshift/planner/TrafficWindows.java
+++ b/src/main/java/rockshift/planner/TrafficWindows.java
@@ -64,15 +64,16 @@
         }
         double kept = Math.exp(-elapsedTicks / MEMORY_TICKS);
         double capacityKept = CapacityEstimator.keptFraction(elapsedTicks);
-        boolean first = conservativeCoveredTicks == 0;
+        boolean isFirstReport = conservativeCoveredTicks == 0;
         coveredTicksFromFirstReport =
-                first
+                isFirstReport
                         ? conservativeCapacityTicks * kept
                         : coveredTicksFromFirstReport * kept + MEMORY_TICKS * (1 - kept);
         double capacityGained = CapacityEstimator.MEMORY_TICKS * (1 - capacityKept);
         capacityTicksFromFirstReport =
-                (first ? conservativeCapacityTicks : capacityTicksFromFirstReport) * capacityKept
-                        + (first ? 0 : capacityGained);
+                (isFirstReport ? conservativeCapacityTicks : capacityTicksFromFirstReport)
+                                * capacityKept
+                        + (isFirstReport ? 0 : capacityGained);
         conservativeCapacityTicks = conservativeCapacityTicks * capacityKept + capacityGained;
         conservativeCoveredTicks = conservativeCoveredTicks * kept + MEMORY_TICKS * (1 - kept);
         attempts *= kept;
