--- a/src/main/java/rockshift/raft/Entry.java
+++ b/src/main/java/rockshift/raft/Entry.java
@@ -42,7 +42,7 @@
     }
 
     /** An entry from which on a membership holds. */
-    static Entry members(long index, long term, Membership members) {
+    static Entry membershipChange(long index, long term, Membership members) {
         return new Entry(index, term, Kind.MEMBERSHIP, 0, 0, EMPTY, members);
     }
 
--- a/src/main/java/rockshift/raft/Leadership.java
+++ b/src/main/java/rockshift/raft/Leadership.java
@@ -68,7 +68,8 @@
         if (log.membershipIndex() == 0) {
             // Members that join with an empty log learn of the founders from the log.
             append(
-                    Entry.members(log.lastIndex() + 1, durability.term(), log.membership()),
+                    Entry.membershipChange(
+                            log.lastIndex() + 1, durability.term(), log.membership()),
                     nowTicks);
         }
         startRound(nowTicks);
@@ -291,7 +292,9 @@
         ProposalRejection rejection =
                 change.rejection(replication.follower(member.id()), commitIndex);
         if (rejection == null) {
-            append(Entry.members(log.lastIndex() + 1, durability.term(), change.after()), nowTicks);
+            append(
+                    Entry.membershipChange(log.lastIndex() + 1, durability.term(), change.after()),
+                    nowTicks);
         }
         return rejection;
     }
