--- a/src/main/java/rockshift/server/ControllerProcess.java
+++ b/src/main/java/rockshift/server/ControllerProcess.java
@@ -48,9 +48,9 @@
         String version = fileVersion(file);
         ControllerServer server;
         try {
-            server = new ControllerServer(ControllerConfiguration.read(file), source);
+            server = new ControllerServer(ControllerConfigurationReader.read(file), source);
             server.start();
-        } catch (ControllerConfiguration.InvalidFileException invalid) {
+        } catch (InvalidConfigurationException invalid) {
             System.err.println(invalid.getMessage());
             return INVALID_USAGE;
         } catch (IOException failure) {
--- a/src/main/java/rockshift/server/ControllerServer.java
+++ b/src/main/java/rockshift/server/ControllerServer.java
@@ -89,7 +89,7 @@
                     configuration.descriptors(),
                     connections.peersBeyondLimit());
         }
-        configuration.beyondChannel().forEach(LOG::warn);
+        configuration.channelWarnings().forEach(LOG::warn);
     }
 
     int port() {
@@ -119,8 +119,8 @@
         // Not under this object's lock: a file that is slow to read must not hold up close().
         synchronized (reloadLock) {
             try {
-                apply(file, ControllerConfiguration.read(file));
-            } catch (ControllerConfiguration.InvalidFileException invalid) {
+                apply(file, ControllerConfigurationReader.read(file));
+            } catch (InvalidConfigurationException invalid) {
                 LOG.warn(
                         "configuration reload failed, the previous one is kept: {}",
                         invalid.getMessage());
@@ -132,7 +132,7 @@
         if (closed) {
             return;
         }
-        String restartNeeded = configuration.fixed(reloaded);
+        String restartNeeded = configuration.restartFields(reloaded);
         LOG.info(
                 "configuration reloaded file={} discovery={}:{}{}",
                 file,
--- a/src/main/java/rockshift/server/EndpointListReader.java
+++ b/src/main/java/rockshift/server/EndpointListReader.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import rockshift.model.Endpoint;
+import rockshift.model.Ticks;
 
 /** Reads discovery's JSON form of a list of replicas; fields that it does not know are skipped. */
 final class EndpointListReader {
@@ -83,8 +84,7 @@
                 case "machineType" -> machineType = readText();
                 case "lifecycle" -> health = Endpoint.Health.fromWireName(readText());
                 case "startedAtMs" ->
-                        startedAtTicks =
-                                Math.round(json.getDoubleValue() * EventLoop.TICKS_PER_MILLI);
+                        startedAtTicks = Math.round(json.getDoubleValue() * Ticks.TICKS_PER_MILLI);
                 default -> json.skipChildren();
             }
         }
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rockshift.model.Ticks;
 import rockshift.planner.Planner;
 import rockshift.settings.PlannerSettings;
 
@@ -23,9 +24,6 @@
 final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
-    /** Ticks of 100 us, the planner's unit of time, in a millisecond. */
-    static final int TICKS_PER_MILLI = 10;
-
     /**
      * Queued events, of some 100 bytes each, from which on a peer that has many of them is refused.
      * A long pause of the process brings fewer.
@@ -39,9 +37,9 @@
     private static final int PER_PEER_QUEUE_QUOTA = 200;
 
     /** How long the thread waits at most for an event. */
-    private static final long MAX_WAIT_TICKS = 10_000;
+    private static final long MAX_WAIT_TICKS = Ticks.TICKS_PER_SECOND;
 
-    private static final long NANOS_PER_TICK = 100_000;
+    private static final long NANOS_PER_TICK = TimeUnit.MICROSECONDS.toNanos(Ticks.MICROS_PER_TICK);
 
     /**
      * An event in the queue.
@@ -54,7 +52,7 @@
     /** Bounded by {@link #offer}; what {@link #submit} adds is bounded by its callers. */
     private final LinkedBlockingQueue<QueuedEvent> queue = new LinkedBlockingQueue<>();
 
-    private final long startedTicks = System.currentTimeMillis() * TICKS_PER_MILLI;
+    private final long startedTicks = System.currentTimeMillis() * Ticks.TICKS_PER_MILLI;
     private final long startedNanos = System.nanoTime();
     private final Planner planner;
     private final PublishedTables tables;
--- a/src/main/java/rockshift/server/MessageValidator.java
+++ b/src/main/java/rockshift/server/MessageValidator.java
@@ -1,6 +1,7 @@
 package rockshift.server;
 
 import java.util.Set;
+import rockshift.model.Ticks;
 import rockshift.settings.ClassNames;
 import rockshift.settings.PlannerSettings;
 
@@ -86,7 +87,7 @@
     long durationTicks(RespCodec message, String field) throws InvalidMessageException {
         double millis = message.number(field);
         requireField(message, millis <= MAX_REPORTED_MILLIS, field);
-        return (long) (millis * EventLoop.TICKS_PER_MILLI);
+        return (long) (millis * Ticks.TICKS_PER_MILLI);
     }
 
     /**
