--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -1,158 +1,153 @@
 package rockshift.cluster;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.nio.charset.StandardCharsets;
 import java.security.SecureRandom;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.TimeUnit;
+import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.raft.ClientSessions;
 import rockshift.raft.Entry;
-import rockshift.raft.Member;
-import rockshift.raft.Membership;
 import rockshift.raft.Message;
-import rockshift.raft.RaftNode;
 import rockshift.raft.SafetyRules;
 import rockshift.raft.Snapshot;
 import rockshift.raft.TermAndVote;
 import rockshift.storage.DurableLog;
 import rockshift.storage.FileDisk;
-import rockshift.wire.Frames;
 import rockshift.wire.RaftCodec;
 
 /**
- * One member of the agreement, running: the engine on a thread of its own, the disk on another, its
- * connections, and how the cluster is founded. It owns the order in which they meet: time first,
- * then what came, then what follows.
+ * One running member of the cluster: puts its parts together, and starts and stops their threads.
+ *
+ * <p>The member's own thread owns the engine and all that follows from it: it takes in the time,
+ * then a batch of inputs, then lets the engine decide. The disk's thread, the reactor's and the
+ * distribution's reach it through {@link MemberInputs}. {@link #start}, {@link #close} and the
+ * getters may be called by any thread.
  */
-public final class ClusterMember implements AutoCloseable, Links.Handler, Engine.Environment {
+public final class ClusterMember implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
-    private static final JsonFactory JSON = new JsonFactory();
 
-    /**
-     * Inputs that may wait; more are dropped like lost messages, and commands told to come again.
-     */
-    private static final int MOST_WAITING = 20_000;
-
-    /** Inputs taken in before the engine decides: a batch. */
-    private static final int MOST_AT_ONCE = 1_000;
-
-    /** Ms between two looks at the clock, at most; and between two tries of a save that failed. */
-    private static final long LONGEST_PAUSE = 10;
-
-    private static final long RETRY = 500;
+    /** How long the member's thread waits for an input before it looks at the clock again. */
+    private static final long MAX_WAIT_MS = 10;
 
-    /** Changes that can be listed afterwards. */
-    private static final int MOST_RECENT = 4_096;
+    /** How long the threads may take to end. */
+    private static final long STOP_TIMEOUT_MS = 500;
 
-    private static final long NANOS_PER_TENTH = 100_000;
-
-    private record Asked(Links.Link link, long number) {}
+    private static final long NANOS_PER_TICK = 100_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final ClusterSettings settings;
-    private final LocalController governor;
     private final AgreedState agreed = new AgreedState();
     private final FileDisk disk;
     private final DurableLog log;
     private final DistributionService distribution;
-    private final Links links;
+    private final MemberConnections connections;
     private final Engine engine;
-    private final long id;
-    private final LinkedBlockingQueue<Runnable> inputs = new LinkedBlockingQueue<>(MOST_WAITING);
-    private final LinkedBlockingQueue<Runnable> diskWork = new LinkedBlockingQueue<>();
-    private final Thread thread = new Thread(this::work, "agreement");
-    private final Thread diskThread = new Thread(this::store, "agreement-disk");
-    private final Map<Long, Asked> asked = new HashMap<>();
-    private final ArrayDeque<String> recent = new ArrayDeque<>();
-    private long recentFrom = 1;
-    private final TreeMap<String, RaftCodec.Hello> met = new TreeMap<>();
-    private volatile long cluster;
-
-    /** The greeting, for other threads, and the members that it names. */
-    private volatile byte[] shown;
-
-    private Membership shownMembers;
-    private Membership heardOf;
-
-    /** Addresses of the others; null when they are to be reckoned anew. */
-    private Set<String> others;
-
+    private final MemberInputs inputs = new MemberInputs();
+    private final DiskWriter diskWriter;
+    private final ClusterBootstrap bootstrap;
+    private final MemberDirectory directory;
+    private final MemberHello hello;
+    private final QuorumContactReporter quorum;
+    private final AppliedChanges appliedChanges;
+    private final CommandService commands;
+    private final Thread thread = new Thread(this::run, "agreement");
+
+    /** Publishes to the member's thread that it is to end. */
     private volatile boolean closed;
+
+    /** Publishes whether it leads, as the member's thread last saw it. */
     private volatile boolean leading;
-    private long requests;
-    private LocalController.Reach reach;
-    private String diskTrouble = "";
+
     private int port;
 
-    public ClusterMember(ClusterSettings settings, LocalController governor) throws IOException {
+    /**
+     * Opens the member's folder; takes no part before {@link #start}.
+     *
+     * @throws IOException if the folder is in use or cannot be recovered
+     */
+    public ClusterMember(ClusterSettings settings, LocalController controller) throws IOException {
         this.settings = settings;
-        this.governor = governor;
         disk = new FileDisk(settings.folder());
         try {
-            SecureRandom source = new SecureRandom();
+            SecureRandom random = new SecureRandom();
             log = new DurableLog(disk, line -> LOG.warn("{}", line));
-            DurableLog.Recovered found = log.open(source.nextLong() >>> 1 | 1);
-            id = found.id();
-            cluster = found.cluster();
+            DurableLog.Recovered recovered = log.open(random.nextLong() >>> 1 | 1);
             distribution =
                     new DistributionService(
                             settings.subscribers(),
                             settings.timing().electionTimeoutTicks(),
-                            new SplittableRandom(source.nextLong()));
-            links = new Links(this, distribution.port(), new SplittableRandom(source.nextLong()));
-            engine =
-                    new Engine(
-                            found,
-                            settings.timing(),
-                            new SafetyRules(),
-                            new SplittableRandom(source.nextLong()),
-                            now(),
-                            agreed,
-                            settings.compaction(),
-                            this);
+                            new SplittableRandom(random.nextLong()));
+            connections =
+                    new MemberConnections(
+                            new FrameHandler(),
+                            distribution.port(),
+                            new SplittableRandom(random.nextLong()));
+            engine = newEngine(recovered, new SplittableRandom(random.nextLong()));
+            bootstrap = new ClusterBootstrap(settings, recovered, log, engine);
         } catch (IOException | RuntimeException failure) {
             disk.close();
             throw failure;
         }
-        show();
+        diskWriter = new DiskWriter(settings.folder(), inputs, engine::disk);
+        directory = new MemberDirectory(settings, bootstrap.memberId(), engine.raft());
+        hello = new MemberHello(bootstrap.memberId(), settings.name());
+        quorum = new QuorumContactReporter(settings, controller, directory);
+        appliedChanges = new AppliedChanges(agreed, controller, distribution);
+        commands = newCommandService(controller);
+        updateHello();
+    }
+
+    private Engine newEngine(DurableLog.Recovered recovered, RandomGenerator random)
+            throws IOException {
+        return new Engine(
+                recovered,
+                settings.timing(),
+                new SafetyRules(),
+                random,
+                nowTicks(),
+                agreed,
+                settings.compaction(),
+                new EngineEnvironment());
+    }
+
+    private CommandService newCommandService(LocalController controller) {
+        StatusWriter status =
+                new StatusWriter(
+                        settings,
+                        engine.raft(),
+                        agreed,
+                        bootstrap,
+                        directory,
+                        quorum,
+                        diskWriter,
+                        distribution);
+        return new CommandService(
+                inputs, engine, agreed, controller, appliedChanges.history(), status);
     }
 
     /** Listens and takes part. */
     public void start() throws IOException, InterruptedException {
-        port = links.listen(settings.listen());
+        port = connections.listen(settings.listen());
         thread.setDaemon(true);
-        diskThread.setDaemon(true);
-        tellAgreed();
+        appliedChanges.tellController();
         distribution.start();
-        diskThread.start();
+        diskWriter.start();
         thread.start();
         LOG.info(
                 "member {} ({}) listens on {}, port {}, {} entries, agreed version {}",
                 settings.name(),
-                Long.toHexString(id),
+                Long.toHexString(bootstrap.memberId()),
                 settings.listen().getHostString(),
                 port,
                 engine.raft().log().lastIndex(),
                 agreed.version());
     }
 
+    /** The port on which it listens. */
     public int port() {
         return port;
     }
@@ -166,618 +161,169 @@
     public void close() throws InterruptedException {
         closed = true;
         thread.interrupt();
-        diskThread.interrupt();
-        thread.join(RETRY);
-        diskThread.join(RETRY);
+        diskWriter.stop();
+        thread.join(STOP_TIMEOUT_MS);
+        diskWriter.awaitStop(STOP_TIMEOUT_MS);
         distribution.close();
-        links.close();
+        connections.close();
         try {
             disk.close();
-        } catch (IOException ignored) {
-            LOG.info("folder {} was already let go", settings.folder());
+        } catch (IOException alreadyReleased) {
+            LOG.info("folder already released folder={}", settings.folder());
         }
     }
 
-    private static long now() {
-        return System.nanoTime() / NANOS_PER_TENTH;
+    private static long nowTicks() {
+        return System.nanoTime() / NANOS_PER_TICK;
     }
 
-    // ---- the member's thread --------------------------------------------------------------------
-
-    private void work() {
+    private void run() {
         List<Runnable> batch = new ArrayList<>();
-        if (cluster == 0) {
-            found(null);
+        if (!bootstrap.isPartOfCluster()) {
+            tryJoin(null);
         }
         while (!closed) {
             try {
-                Runnable first = inputs.poll(LONGEST_PAUSE, TimeUnit.MILLISECONDS);
-                engine.tick(now());
-                if (first != null) {
-                    batch.add(first);
-                    inputs.drainTo(batch, MOST_AT_ONCE);
-                    for (Runnable input : batch) {
-                        input.run();
-                        engine.tick(now());
-                    }
-                    batch.clear();
-                }
-                engine.run();
-                tend();
+                turn(batch);
             } catch (InterruptedException stopped) {
                 return;
             } catch (RuntimeException failure) {
                 // What it holds in memory may be wrong now: a restart reads the disk anew.
-                LOG.error(
-                        "failure in the agreement, it stops here; restart this governor", failure);
-                governor.reach(cutOff());
+                LOG.error("member failed and stops here, restart this controller", failure);
+                quorum.stopped();
                 return;
             }
         }
     }
 
-    private LocalController.Reach cutOff() {
-        return switch (settings.minority()) {
-            case SERVE -> LocalController.Reach.FULL;
-            case WITHDRAW -> LocalController.Reach.WITHDRAW;
-            case HOLD -> LocalController.Reach.HOLD;
-        };
-    }
-
-    private void tend() {
-        leading = engine.raft().isLeader();
-        distribution.tend(cluster, agreed, engine.raft());
-        if (engine.raft().membership() != shownMembers) {
-            show();
-            links.greet();
-        }
-        LocalController.Reach now =
-                engine.raft().hasQuorumContact() ? LocalController.Reach.FULL : cutOff();
-        if (now != reach) {
-            boolean before = reach != null;
-            reach = now;
-            governor.reach(now);
-            if (engine.raft().hasQuorumContact()) {
-                LOG.info("in touch with most members, leader {}", name(engine.raft().leader()));
-            } else if (before) {
-                LOG.warn(
-                        "cut off from most members: nothing new is agreed here, orders by minority"
-                                + " = {}",
-                        settings.minority().name().toLowerCase(Locale.ROOT));
-            }
-        }
-        if (others == null) {
-            others = others();
-        }
-        links.tend(others, System.nanoTime() / 1_000_000);
-    }
-
-    private Set<String> others() {
-        Set<String> all = new HashSet<>();
-        for (Member member : addressed().all()) {
-            if (member.id() != id) {
-                all.add(route(member.name(), member.address()));
+    /** Takes in the time and what waits, lets the engine decide, and tends what follows. */
+    private void turn(List<Runnable> batch) throws InterruptedException {
+        Runnable first = inputs.poll(MAX_WAIT_MS);
+        engine.tick(nowTicks());
+        if (first != null) {
+            batch.add(first);
+            inputs.drainTo(batch);
+            for (Runnable input : batch) {
+                input.run();
+                engine.tick(nowTicks());
             }
+            batch.clear();
         }
-        if (cluster == 0) {
-            settings.founders()
-                    .forEach(
-                            (name, address) -> {
-                                if (!name.equals(settings.name())) {
-                                    all.add(route(name, address));
-                                }
-                            });
-        }
-        return all;
-    }
-
-    /**
-     * Whom to reach: the members, or as one that has no entries yet, those that another member
-     * named.
-     */
-    private Membership addressed() {
-        Membership members = engine.raft().membership();
-        return members.all().isEmpty() && heardOf != null ? heardOf : members;
-    }
-
-    private String route(String name, String address) {
-        return settings.routes().getOrDefault(name, address);
-    }
-
-    private String name(long member) {
-        Member known = engine.raft().membership().get(member);
-        return known == null ? "none" : known.name();
-    }
-
-    private boolean offer(Runnable input) {
-        return inputs.offer(input);
+        engine.run();
+        tend();
     }
 
-    // ---- founding -------------------------------------------------------------------------------
-
-    /**
-     * Has everyone know who this is now: a connection tells it as it begins, and again when it
-     * changes.
-     */
-    private void show() {
-        try {
-            shownMembers = engine.raft().membership();
-            others = null;
-            shown =
-                    RaftCodec.hello(
-                            new RaftCodec.Hello(
-                                    Frames.VERSION, cluster, id, settings.name(), shownMembers));
-        } catch (IOException impossible) {
-            throw new UncheckedIOException(impossible);
+    private void tend() {
+        leading = engine.raft().isLeader();
+        distribution.tend(bootstrap.clusterId(), agreed, engine.raft());
+        if (!hello.names(engine.raft().membership())) {
+            updateHello();
+            connections.greet();
         }
+        quorum.update(engine.raft());
+        connections.tend(
+                directory.otherAddresses(bootstrap.isPartOfCluster()),
+                System.nanoTime() / NANOS_PER_MILLI);
     }
 
-    @Override
-    public byte[] hello() {
-        return shown;
+    /** Has new connections say who this member is now. */
+    private void updateHello() {
+        hello.update(bootstrap.clusterId(), engine.raft().membership());
+        directory.invalidate();
     }
 
-    @Override
-    public void met(RaftCodec.Hello hello) {
-        offer(
-                () -> {
-                    met.put(hello.name(), hello);
-                    if (hello.members().get(id) != null) {
-                        heardOf = hello.members();
-                        others = null;
-                    }
-                    if (cluster == 0) {
-                        found(hello);
-                    } else if (hello.cluster() != 0 && hello.cluster() != cluster) {
-                        LOG.warn(
-                                "{} belongs to another cluster, {}, not {}",
-                                hello.name(),
-                                Long.toHexString(hello.cluster()),
-                                Long.toHexString(cluster));
-                    }
-                });
-    }
-
-    /**
-     * Founders begin once each has met all others blank, one that founds alone at once; who is
-     * named by a cluster that exists becomes part of it.
-     *
-     * @param hello what another said, or null as this member begins
-     */
-    private void found(RaftCodec.Hello hello) {
-        try {
-            if (hello == null || hello.cluster() == 0) {
-                foundTogether();
-            } else if (hello.members().get(id) != null) {
-                log.found(hello.cluster(), List.of());
-                cluster = hello.cluster();
-                LOG.info("part of cluster {} by {}", Long.toHexString(cluster), hello.name());
-            } else {
-                LOG.warn(
-                        "{} has a cluster that this member is no part of:"
-                                + " add it with 'cluster member add {} {}'",
-                        hello.name(),
-                        settings.name(),
-                        settings.address());
-            }
-        } catch (IOException failure) {
-            LOG.error("can't found the cluster: {}", failure.getMessage());
-        }
-        if (cluster != 0) {
-            show();
-            links.greet();
+    private void tryJoin(RaftCodec.Hello met) {
+        bootstrap.tryJoin(met);
+        if (bootstrap.isPartOfCluster()) {
+            updateHello();
+            connections.greet();
         }
     }
 
-    private void foundTogether() throws IOException {
-        if (!settings.founders().containsKey(settings.name())) {
-            return;
+    private void met(RaftCodec.Hello other) {
+        bootstrap.met(other);
+        if (other.members().get(bootstrap.memberId()) != null) {
+            directory.namedIn(other.members());
         }
-        List<Member> founders = new ArrayList<>();
-        long sum = 1;
-        TreeMap<String, String> sorted = new TreeMap<>(settings.founders());
-        for (Map.Entry<String, String> each : sorted.entrySet()) {
-            RaftCodec.Hello other = met.get(each.getKey());
-            boolean self = each.getKey().equals(settings.name());
-            if (!self && (other == null || other.cluster() != 0)) {
-                return;
-            }
-            long number = self ? id : other.id();
-            sum = sum * 31 + number;
-            founders.add(new Member(number, each.getKey(), each.getValue(), Member.Role.VOTER));
+        if (!bootstrap.isPartOfCluster()) {
+            tryJoin(other);
         }
-        Snapshot first = log.found(sum >>> 1 | 1, founders);
-        cluster = sum >>> 1 | 1;
-        engine.found(first.membership());
-        LOG.info("cluster {} founded by {}", Long.toHexString(cluster), sorted.keySet());
     }
 
-    // ---- messages -------------------------------------------------------------------------------
-
-    @Override
-    public void message(byte[] payload, long from) throws IOException {
-        if (cluster != 0 && from == cluster) {
-            Message message = RaftCodec.message(payload);
-            offer(
-                    () -> {
-                        engine.receive(message);
-                        distribution.heard(message, engine.raft());
-                    });
+    /** Frames of the connections. Called by the reactor's thread. */
+    private final class FrameHandler implements MemberConnections.Handler {
+        @Override
+        public byte[] hello() {
+            return hello.encoded();
         }
-    }
 
-    @Override
-    public void send(Message message) {
-        Member to = addressed().get(message.to());
-        if (to != null) {
-            try {
-                links.send(route(to.name(), to.address()), RaftCodec.message(message));
-            } catch (IOException impossible) {
-                throw new UncheckedIOException(impossible);
-            }
-        }
-    }
-
-    // ---- the disk's thread ----------------------------------------------------------------------
-
-    private void store() {
-        while (!closed) {
-            try {
-                diskWork.take().run();
-            } catch (InterruptedException stopped) {
-                return;
-            }
+        @Override
+        public void helloReceived(RaftCodec.Hello other) {
+            inputs.offer(() -> met(other));
         }
-    }
 
-    /**
-     * Tries until the disk takes it: what was durable stays, and the same save can be tried again.
-     */
-    private void persist(DiskWork work, Runnable done) throws InterruptedException {
-        while (!closed) {
-            try {
-                work.run();
-                if (!diskTrouble.isEmpty()) {
-                    LOG.info("folder {} takes entries again", settings.folder());
-                    diskTrouble = "";
-                }
-                inputs.put(
+        @Override
+        public void messageReceived(byte[] payload, long cluster) throws IOException {
+            if (bootstrap.isPartOfCluster() && cluster == bootstrap.clusterId()) {
+                Message message = RaftCodec.message(payload);
+                inputs.offer(
                         () -> {
-                            engine.disk(true);
-                            done.run();
+                            engine.receive(message);
+                            distribution.heard(message, engine.raft());
                         });
-                return;
-            } catch (IOException failure) {
-                String trouble = String.valueOf(failure.getMessage());
-                if (!trouble.equals(diskTrouble)) {
-                    LOG.error(
-                            "folder {} takes nothing: {}; no votes and no entries until it does",
-                            settings.folder(),
-                            trouble);
-                    diskTrouble = trouble;
-                }
-                inputs.put(() -> engine.disk(false));
-                TimeUnit.MILLISECONDS.sleep(RETRY);
-            }
-        }
-    }
-
-    private interface DiskWork {
-        void run() throws IOException;
-    }
-
-    private void queue(DiskWork work, Runnable done) {
-        diskWork.add(
-                () -> {
-                    try {
-                        persist(work, done);
-                    } catch (InterruptedException stopped) {
-                        Thread.currentThread().interrupt();
-                    }
-                });
-    }
-
-    @Override
-    public void save(
-            long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot) {
-        queue(() -> log.save(ballot, from, entries, snapshot), () -> engine.saved(ticket));
-    }
-
-    @Override
-    public void keep(Snapshot snapshot) {
-        queue(() -> log.keep(snapshot), () -> engine.kept(snapshot));
-    }
-
-    // ---- what is agreed -------------------------------------------------------------------------
-
-    @Override
-    public void applied(Entry entry, ClientSessions.Outcome outcome) {
-        if (entry.kind() == Entry.Kind.MEMBERSHIP) {
-            LOG.info(
-                    "members agreed: {}",
-                    entry.members().all().stream()
-                            .map(
-                                    member ->
-                                            member.name()
-                                                    + " "
-                                                    + member.role().name().toLowerCase(Locale.ROOT))
-                            .toList());
-        } else if (entry.kind() == Entry.Kind.CHANGE && outcome.applied()) {
-            String change = new String(entry.body(), StandardCharsets.UTF_8);
-            String answer = new String(outcome.answer(), StandardCharsets.UTF_8);
-            LOG.info("agreed {}: {} {}", entry.index(), change, answer);
-            recent.add(
-                    "{\"index\":"
-                            + entry.index()
-                            + ",\"change\":"
-                            + change
-                            + ",\"outcome\":"
-                            + answer
-                            + "}");
-            if (recent.size() > MOST_RECENT) {
-                recent.removeFirst();
-                recentFrom++;
             }
-            distribution.applied(cluster, agreed, entry.body());
-            tellAgreed();
         }
-    }
-
-    private void tellAgreed() {
-        governor.agreed(
-                agreed.version(), new TreeMap<>(agreed.out()), new TreeMap<>(agreed.terms()));
-    }
-
-    @Override
-    public void restored(long index) {
-        LOG.info("agreed up to entry {} by a snapshot, version {}", index, agreed.version());
-        recentFrom += recent.size();
-        recent.clear();
-        distribution.restored(cluster, agreed);
-        tellAgreed();
-    }
-
-    @Override
-    public void log(String line) {
-        LOG.info("{}", line);
-    }
-
-    // ---- commands -------------------------------------------------------------------------------
 
-    @Override
-    public void call(Links.Link from, byte[] payload) {
-        try {
-            Map<String, String> call = read(payload);
-            if (!offer(() -> take(from, call))) {
-                from.send(Frames.REPLY, refusal(number(call, "call"), "busy", null));
-            }
-        } catch (IOException malformed) {
-            from.send(Frames.REPLY, refusal(0, "malformed", malformed.getMessage()));
+        @Override
+        public void callReceived(MemberConnection from, byte[] payload) {
+            commands.callReceived(from, payload);
         }
     }
 
-    private static Map<String, String> read(byte[] payload) throws IOException {
-        Map<String, String> call = new HashMap<>();
-        try (JsonParser json = JSON.createParser(payload)) {
-            if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("no JSON object");
-            }
-            while (json.nextToken() != JsonToken.END_OBJECT) {
-                String field = json.currentName();
-                if (!json.nextToken().isScalarValue()) {
-                    throw new IOException("field " + field + ": must be plain");
+    /** What the engine orders. Called by the member's thread. */
+    private final class EngineEnvironment implements Engine.Environment {
+        @Override
+        public void send(Message message) {
+            String address = directory.addressOf(message.to());
+            if (address != null) {
+                try {
+                    connections.send(address, RaftCodec.message(message));
+                } catch (IOException impossible) {
+                    throw new UncheckedIOException(impossible);
                 }
-                call.put(field, json.getText());
             }
         }
-        return call;
-    }
 
-    private static long number(Map<String, String> call, String field) throws IOException {
-        try {
-            return Long.parseLong(call.getOrDefault(field, "0"));
-        } catch (NumberFormatException wrong) {
-            throw new IOException("field " + field + ": must be a whole number");
+        @Override
+        public void save(
+                long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
+            diskWriter.submit(
+                    () -> log.save(vote, from, entries, snapshot), () -> engine.saved(ticket));
         }
-    }
 
-    private void take(Links.Link from, Map<String, String> call) {
-        long number = 0;
-        try {
-            number = number(call, "call");
-            String op = call.getOrDefault("op", "");
-            long request = ++requests;
-            asked.put(request, new Asked(from, number));
-            switch (op) {
-                case "status" -> reply(request, this::status);
-                case "log" -> {
-                    long first = number(call, "from");
-                    reply(request, json -> list(json, first));
-                }
-                case "open" -> engine.open(request, number(call, "session"));
-                case "read" -> engine.read(request);
-                case "snapshot" -> {
-                    boolean begun = engine.compact();
-                    reply(request, json -> json.writeBooleanField("begun", begun));
-                }
-                case "transfer" -> engine.transfer(request, named(call.get("name")));
-                case "remove" ->
-                        engine.member(
-                                request,
-                                new Member(
-                                        named(call.get("name")),
-                                        call.get("name"),
-                                        "",
-                                        Member.Role.LEARNER),
-                                true);
-                case "add" ->
-                        engine.member(
-                                request,
-                                new Member(
-                                        number(call, "id"),
-                                        call.get("name"),
-                                        call.get("address"),
-                                        Boolean.parseBoolean(call.get("learner"))
-                                                ? Member.Role.LEARNER
-                                                : Member.Role.JOINING),
-                                false);
-                case "change" -> change(request, call);
-                default -> throw new IOException("field op: '" + op + "' is not known");
-            }
-        } catch (IOException malformed) {
-            asked.remove(requests);
-            from.send(Frames.REPLY, refusal(number, "malformed", malformed.getMessage()));
-        }
-    }
-
-    private long named(String name) {
-        Member member = name == null ? null : engine.raft().membership().byName(name);
-        return member == null ? 0 : member.id();
-    }
-
-    private void change(long request, Map<String, String> call) throws IOException {
-        Change change =
-                Change.read(call.getOrDefault("change", "").getBytes(StandardCharsets.UTF_8));
-        if (change.kind() == Change.Kind.DRAIN && change.started() == 0) {
-            change = change.startedAt(governor.started(change.subject()));
-        }
-        if (change.scoped() && change.zone().isEmpty()) {
-            change = change.inZone(governor.zone(change.subject()));
+        @Override
+        public void keep(Snapshot snapshot) {
+            diskWriter.submit(() -> log.keep(snapshot), () -> engine.kept(snapshot));
         }
-        // A change sent again must meet its own first time, not this check: only the state can tell
-        // which it
-        // is.
-        boolean first = engine.raft().isLeader() && !Boolean.parseBoolean(call.get("again"));
-        String objection = first ? agreed.check(change) : null;
-        if (first && objection == null && !Boolean.parseBoolean(call.get("force"))) {
-            objection = governor.objection(change, agreed.out());
-        }
-        if (objection != null) {
-            answer(request, new Engine.Answer(objection, new byte[0], 0, null));
-        } else {
-            engine.change(request, number(call, "session"), number(call, "serial"), change.json());
-        }
-    }
-
-    private interface Fields {
-        void write(JsonGenerator json) throws IOException;
-    }
 
-    private void reply(long request, Fields fields) {
-        Asked to = asked.remove(request);
-        if (to != null) {
-            to.link.send(
-                    Frames.REPLY,
-                    object(
-                            json -> {
-                                json.writeNumberField("call", to.number);
-                                fields.write(json);
-                            }));
+        @Override
+        public void answer(long request, Engine.Answer answer) {
+            commands.answer(request, answer);
         }
-    }
 
-    private static byte[] object(Fields fields) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator json = JSON.createGenerator(bytes)) {
-            json.writeStartObject();
-            fields.write(json);
-            json.writeEndObject();
-        } catch (IOException impossible) {
-            throw new UncheckedIOException(impossible);
+        @Override
+        public void applied(Entry entry, ClientSessions.Outcome outcome) {
+            appliedChanges.applied(bootstrap.clusterId(), entry, outcome);
         }
-        return bytes.toByteArray();
-    }
-
-    private static byte[] refusal(long number, String code, String what) {
-        return object(
-                json -> {
-                    json.writeNumberField("call", number);
-                    json.writeStringField("refused", what == null ? code : code + ": " + what);
-                });
-    }
 
-    @Override
-    public void answer(long request, Engine.Answer answer) {
-        reply(
-                request,
-                json -> {
-                    if (answer.refused() != null) {
-                        json.writeStringField("refused", answer.refused());
-                    }
-                    if (answer.leader() != null) {
-                        json.writeStringField("leader", answer.leader());
-                    }
-                    if (answer.index() > 0) {
-                        json.writeNumberField("index", answer.index());
-                    }
-                    if (answer.body().length > 0) {
-                        json.writeFieldName("answer");
-                        json.writeRawValue(new String(answer.body(), StandardCharsets.UTF_8));
-                    }
-                });
-    }
-
-    private void status(JsonGenerator json) throws IOException {
-        RaftNode.Status standing = engine.raft().status();
-        json.writeStringField("name", settings.name());
-        json.writeStringField("id", Long.toHexString(id));
-        json.writeNumberField("number", id);
-        json.writeStringField("cluster", Long.toHexString(cluster));
-        json.writeStringField("role", roleWord(standing.role()));
-        json.writeNumberField("term", standing.term());
-        json.writeStringField("leader", name(standing.leader()));
-        Member leader = engine.raft().membership().get(standing.leader());
-        json.writeStringField("leader_address", leader == null ? "" : leader.address());
-        json.writeBooleanField("in_touch", engine.raft().hasQuorumContact());
-        json.writeStringField("orders", String.valueOf(reach).toLowerCase(Locale.ROOT));
-        json.writeBooleanField("leased", standing.holdsLease());
-        json.writeNumberField("agreed", standing.commitIndex());
-        json.writeNumberField("applied", standing.appliedIndex());
-        json.writeNumberField("saved", standing.durableIndex());
-        json.writeNumberField("first", standing.firstIndex());
-        json.writeNumberField("last", standing.lastIndex());
-        json.writeNumberField("snapshot", engine.raft().snapshot().index());
-        json.writeNumberField("version", agreed.version());
-        json.writeStringField("disk", diskTrouble);
-        DistributionService.Standing published = distribution.standing();
-        json.writeObjectFieldStart("distribution");
-        json.writeNumberField("connections", published.connections());
-        json.writeNumberField("subscribers", published.summary().subscribers());
-        json.writeNumberField("lowest", published.summary().lowestRevision());
-        json.writeNumberField("behind", published.summary().behind());
-        json.writeNumberField("unreachable", published.summary().unreachable());
-        json.writeEndObject();
-        json.writeArrayFieldStart("members");
-        for (Member member : standing.membership().all()) {
-            json.writeStartObject();
-            json.writeStringField("name", member.name());
-            json.writeStringField("address", member.address());
-            json.writeStringField("role", member.role().name().toLowerCase(Locale.ROOT));
-            if (standing.matchIndexes().containsKey(member.id())) {
-                json.writeNumberField("match", standing.matchIndexes().get(member.id()));
-            }
-            json.writeEndObject();
+        @Override
+        public void restored(long index) {
+            appliedChanges.restored(bootstrap.clusterId(), index);
         }
-        json.writeEndArray();
-    }
 
-    private void list(JsonGenerator json, long first) throws IOException {
-        json.writeNumberField("from", Math.max(first, recentFrom));
-        json.writeNumberField("next", recentFrom + recent.size());
-        json.writeArrayFieldStart("changes");
-        long skip = Math.max(0, first - recentFrom);
-        int size = 0;
-        for (String change : recent) {
-            size += skip > 0 ? 0 : change.length();
-            if (skip-- <= 0 && size < Frames.LONGEST / 2) {
-                json.writeRawValue(change);
-            }
+        @Override
+        public void log(String line) {
+            LOG.info("{}", line);
         }
-        json.writeEndArray();
-    }
-
-    /** The role as the status tells it: commands and their users know the pre-vote as a trial. */
-    private static String roleWord(RaftNode.Role role) {
-        return role == RaftNode.Role.PRE_CANDIDATE ? "trial" : role.name().toLowerCase(Locale.ROOT);
     }
 }
