--- a/src/main/java/rockshift/capacity/ChangeLoad.java
+++ b/src/main/java/rockshift/capacity/ChangeLoad.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import rockshift.cluster.Change;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 import rockshift.distribution.Item;
 import rockshift.distribution.Update;
 
@@ -57,7 +57,8 @@
     @Override
     public void run() {
         long began = HollowController.now();
-        try (Client client = new Client(members, random.split(), (int) PATIENCE_MILLIS)) {
+        try (ClusterClient client =
+                new ClusterClient(members, random.split(), (int) PATIENCE_MILLIS)) {
             for (int i = 0; i < count; i++) {
                 long rest = began + (long) (i * millisBetween) - HollowController.now();
                 TimeUnit.MILLISECONDS.sleep(Math.max(0, rest));
@@ -90,12 +91,12 @@
                 before == null ? zone : before.zone());
     }
 
-    private void ask(Client client, Change change) throws IOException, InterruptedException {
+    private void ask(ClusterClient client, Change change) throws IOException, InterruptedException {
         long at = HollowController.now();
         JsonNode answer;
         try {
             answer = client.change(change, true, at + DEADLINE_MILLIS);
-        } catch (Client.Unanswered unknown) {
+        } catch (ClusterClient.UnansweredException unknown) {
             unanswered.incrementAndGet();
             return;
         }
--- a/src/main/java/rockshift/capacity/ScaleCluster.java
+++ b/src/main/java/rockshift/capacity/ScaleCluster.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 import rockshift.distribution.Item;
 import rockshift.distribution.Scope;
 import rockshift.distribution.wire.DistributionReactor;
@@ -180,7 +180,7 @@
 
     /** The number of the member that leads, or 0 while none says so. */
     int leader() throws IOException {
-        try (Client client = new Client(fronts(), random.split(), 1_000)) {
+        try (ClusterClient client = new ClusterClient(fronts(), random.split(), 1_000)) {
             for (var status : client.statuses().entrySet()) {
                 if (status.getValue().path("role").asText().equals("leader")) {
                     return fronts().indexOf(status.getKey());
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -41,12 +41,12 @@
     }
 
     @Override
-    public void agreed(long version, Map<String, Change> out, Map<String, Double> terms) {
+    public void applyAgreed(long version, Map<String, Change> out, Map<String, Double> terms) {
         AgreedInput.tell(receiver, version, out, terms, () -> {});
     }
 
     @Override
-    public void reach(LocalController.Reach reach) {
+    public void setReach(LocalController.Reach reach) {
         receiver.setControlScope(
                 switch (reach) {
                     case FULL -> ControlScope.FULL;
@@ -78,13 +78,13 @@
     }
 
     @Override
-    public long started(String replica) {
+    public long startedMillis(String replica) {
         Endpoint entry = receiver.endpoints().get(replica);
         return entry == null ? 0 : entry.startedAtTicks() / TENTHS_PER_MILLI;
     }
 
     @Override
-    public String zone(String replica) {
+    public String zoneOf(String replica) {
         Endpoint entry = receiver.endpoints().get(replica);
         return entry == null ? "" : entry.zone();
     }
--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import rockshift.cluster.Change;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 import rockshift.cluster.ClusterSettings;
 import rockshift.config.InvalidFileException;
 import rockshift.config.OperatorFile;
@@ -90,8 +90,8 @@
             return all;
         }
 
-        Client client() throws InvalidFileException {
-            return new Client(addresses(), RandomGenerator.getDefault(), 2_000);
+        ClusterClient client() throws InvalidFileException {
+            return new ClusterClient(addresses(), RandomGenerator.getDefault(), 2_000);
         }
 
         long deadline() {
@@ -116,7 +116,7 @@
 
         int change(Change change, boolean force)
                 throws InvalidFileException, IOException, InterruptedException {
-            try (Client client = client()) {
+            try (ClusterClient client = client()) {
                 JsonNode answer = client.change(change, force, deadline());
                 return tell(
                         answer,
@@ -129,7 +129,7 @@
 
         int ask(ObjectNode call, String done)
                 throws InvalidFileException, IOException, InterruptedException {
-            try (Client client = client()) {
+            try (ClusterClient client = client()) {
                 return tell(client.askLeader(call, deadline()), done);
             }
         }
@@ -144,7 +144,7 @@
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = target.client()) {
+            try (ClusterClient client = target.client()) {
                 Map<String, JsonNode> all = client.statuses();
                 boolean reached = false;
                 if (!target.json) {
@@ -378,8 +378,8 @@
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = target.client()) {
-                JsonNode self = client.ask(address, Client.call("status"));
+            try (ClusterClient client = target.client()) {
+                JsonNode self = client.ask(address, ClusterClient.call("status"));
                 if (!self.path("name").asText().equals(name)) {
                     target.out()
                             .println(
@@ -393,7 +393,7 @@
                 }
                 return target.tell(
                         client.askLeader(
-                                Client.call("add")
+                                ClusterClient.call("add")
                                         .put("id", self.path("number").asLong())
                                         .put("name", name)
                                         .put("address", address)
@@ -413,7 +413,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return target.ask(Client.call("remove").put("name", name), name + " removed");
+            return target.ask(ClusterClient.call("remove").put("name", name), name + " removed");
         }
     }
 
@@ -429,7 +429,8 @@
 
         @Override
         public Integer call() throws Exception {
-            return target.ask(Client.call("transfer").put("name", name), "handing over to " + name);
+            return target.ask(
+                    ClusterClient.call("transfer").put("name", name), "handing over to " + name);
         }
     }
 
@@ -443,7 +444,8 @@
         @Override
         public Integer call() throws Exception {
             return target.ask(
-                    Client.call("snapshot"), "a snapshot is taken, where there is anything new");
+                    ClusterClient.call("snapshot"),
+                    "a snapshot is taken, where there is anything new");
         }
     }
 
@@ -456,8 +458,8 @@
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = target.client()) {
-                JsonNode answer = client.askLeader(Client.call("log"), target.deadline());
+            try (ClusterClient client = target.client()) {
+                JsonNode answer = client.askLeader(ClusterClient.call("log"), target.deadline());
                 if (target.json) {
                     target.out().println(answer);
                 } else {
--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -99,7 +99,7 @@
         Map<String, Change> drained = new TreeMap<>();
         Map<String, Double> overrides = new TreeMap<>();
         for (Change change : changesByKey.values()) {
-            if (change.scoped()) {
+            if (change.isScoped()) {
                 drained.put(change.subject(), change);
             } else if (change.kind() == Change.Kind.TERM) {
                 overrides.put(change.subject(), change.value());
--- a/src/main/java/rockshift/cluster/AgreedItems.java
+++ b/src/main/java/rockshift/cluster/AgreedItems.java
@@ -29,7 +29,7 @@
     /** The item of a change that sets something. */
     static Item item(Change change) {
         Change kept =
-                change.scoped()
+                change.isScoped()
                         ? change
                         : new Change(change.kind(), change.subject(), 0, change.value(), "");
         return new Item(key(change), kept.service(), kept.zone(), kept.json());
@@ -38,8 +38,8 @@
     /** All that is agreed. */
     static List<Item> all(AgreedState agreed) {
         List<Item> items = new ArrayList<>();
-        agreed.out().values().forEach(change -> items.add(item(change)));
-        agreed.terms()
+        agreed.drains().values().forEach(change -> items.add(item(change)));
+        agreed.overrides()
                 .forEach(
                         (name, value) ->
                                 items.add(item(new Change(Change.Kind.TERM, name, 0, value, ""))));
@@ -58,7 +58,7 @@
     public static Change change(Item item) throws IOException {
         Change change = Change.read(item.value());
         if (!key(change).equals(item.key()) || change.kind() == Change.Kind.BACK) {
-            throw new Change.Malformed("change", "does not stand for " + item.key());
+            throw new Change.MalformedChangeException("change", "does not stand for " + item.key());
         }
         return change;
     }
--- a/src/main/java/rockshift/cluster/AgreedState.java
+++ b/src/main/java/rockshift/cluster/AgreedState.java
@@ -20,7 +20,7 @@
     /**
      * Replicas that may be kept out at a time: a bound on the snapshot, far above a fleet's drains.
      */
-    public static final int MOST_OUT = 2_000;
+    public static final int MAX_DRAINS = 2_000;
 
     private static final int FORMAT = 1;
     private static final JsonFactory JSON = new JsonFactory();
@@ -39,8 +39,8 @@
             Map.of("crossing", new double[] {0, 1}, "moves", new double[] {0, 1});
 
     private long version;
-    private final TreeMap<String, Change> out = new TreeMap<>();
-    private final TreeMap<String, Double> terms = new TreeMap<>();
+    private final TreeMap<String, Change> drains = new TreeMap<>();
+    private final TreeMap<String, Double> overrides = new TreeMap<>();
     private final TreeMap<String, Double> budgets = new TreeMap<>();
 
     public long version() {
@@ -48,12 +48,12 @@
     }
 
     /** Drains and holds in force, by replica. */
-    public Map<String, Change> out() {
-        return out;
+    public Map<String, Change> drains() {
+        return drains;
     }
 
-    public Map<String, Double> terms() {
-        return terms;
+    public Map<String, Double> overrides() {
+        return overrides;
     }
 
     public Map<String, Double> budgets() {
@@ -61,7 +61,7 @@
     }
 
     /** Why a change can't be taken, whatever is listed; null if it can. */
-    public String check(Change change) {
+    public String objection(Change change) {
         if (change.kind() == Change.Kind.TERM || change.kind() == Change.Kind.BUDGET) {
             Map<String, double[]> known = change.kind() == Change.Kind.TERM ? TERMS : BUDGETS;
             double[] range = known.get(change.subject());
@@ -78,12 +78,12 @@
                         + " to "
                         + range[1];
             }
-        } else if (change.kind() == Change.Kind.BACK && !out.containsKey(change.subject())) {
+        } else if (change.kind() == Change.Kind.BACK && !drains.containsKey(change.subject())) {
             return "not-out: " + change.subject() + " is neither drained nor held";
         } else if (change.kind() != Change.Kind.BACK
-                && out.size() >= MOST_OUT
-                && !out.containsKey(change.subject())) {
-            return "too-many: " + MOST_OUT + " replicas are kept out";
+                && drains.size() >= MAX_DRAINS
+                && !drains.containsKey(change.subject())) {
+            return "too-many: " + MAX_DRAINS + " replicas are kept out";
         }
         return null;
     }
@@ -93,13 +93,13 @@
         String refused;
         try {
             Change change = Change.read(body);
-            refused = check(change);
+            refused = objection(change);
             if (refused == null) {
                 version++;
                 switch (change.kind()) {
-                    case DRAIN, HOLD -> out.put(change.subject(), change);
-                    case BACK -> out.remove(change.subject());
-                    case TERM -> terms.put(change.subject(), change.value());
+                    case DRAIN, HOLD -> drains.put(change.subject(), change);
+                    case BACK -> drains.remove(change.subject());
+                    case TERM -> overrides.put(change.subject(), change.value());
                     default -> budgets.put(change.subject(), change.value());
                 }
             }
@@ -126,13 +126,13 @@
             json.writeNumberField("format", FORMAT);
             json.writeNumberField("version", version);
             json.writeArrayFieldStart("out");
-            for (Change change : out.values()) {
+            for (Change change : drains.values()) {
                 json.writeStartObject();
                 change.write(json);
                 json.writeEndObject();
             }
             json.writeEndArray();
-            values(json, "terms", terms);
+            values(json, "terms", overrides);
             values(json, "budgets", budgets);
             json.writeEndObject();
         } catch (IOException impossible) {
@@ -152,8 +152,8 @@
 
     @Override
     public void restore(byte[] image) {
-        out.clear();
-        terms.clear();
+        drains.clear();
+        overrides.clear();
         budgets.clear();
         version = 0;
         if (image.length == 0) {
@@ -175,10 +175,10 @@
                     case "out" -> {
                         while (json.nextToken() != JsonToken.END_ARRAY) {
                             Change change = Change.read(json);
-                            out.put(change.subject(), change);
+                            drains.put(change.subject(), change);
                         }
                     }
-                    case "terms" -> read(json, terms);
+                    case "terms" -> read(json, overrides);
                     case "budgets" -> read(json, budgets);
                     default -> throw new IOException("field " + field + " is not known");
                 }
--- a/src/main/java/rockshift/cluster/AppliedChanges.java
+++ b/src/main/java/rockshift/cluster/AppliedChanges.java
@@ -65,7 +65,9 @@
 
     /** Tells the controller all that is agreed. */
     void tellController() {
-        controller.agreed(
-                agreed.version(), new TreeMap<>(agreed.out()), new TreeMap<>(agreed.terms()));
+        controller.applyAgreed(
+                agreed.version(),
+                new TreeMap<>(agreed.drains()),
+                new TreeMap<>(agreed.overrides()));
     }
 }
--- a/src/main/java/rockshift/cluster/Change.java
+++ b/src/main/java/rockshift/cluster/Change.java
@@ -54,10 +54,10 @@
     private static final Pattern SCOPE_NAME = Pattern.compile("[\\w.:@/+-]*");
 
     /** A change that can't be understood; the message names the field. */
-    public static final class Malformed extends IOException {
+    public static final class MalformedChangeException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String field, String what) {
+        MalformedChangeException(String field, String what) {
             super("field " + field + ": " + what);
         }
     }
@@ -80,7 +80,7 @@
     }
 
     /** Whether it is of a kind that may concern one service or zone alone. */
-    public boolean scoped() {
+    public boolean isScoped() {
         return kind == Kind.DRAIN || kind == Kind.HOLD;
     }
 
@@ -119,7 +119,7 @@
     public static Change read(byte[] json) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new Malformed("change", "no JSON object");
+                throw new MalformedChangeException("change", "no JSON object");
             }
             return read(in);
         }
@@ -145,31 +145,33 @@
                 case "zone" -> zone = scopeName(in, field);
                 case "started" -> {
                     if (token != JsonToken.VALUE_NUMBER_INT || in.getLongValue() < 0) {
-                        throw new Malformed(field, "must be ms of Unix time");
+                        throw new MalformedChangeException(field, "must be ms of Unix time");
                     }
                     started = in.getLongValue();
                 }
                 case "value" -> {
                     if (!token.isNumeric() || !Double.isFinite(in.getDoubleValue())) {
-                        throw new Malformed(field, "must be a number");
+                        throw new MalformedChangeException(field, "must be a number");
                     }
                     value = in.getDoubleValue();
                 }
-                default -> throw new Malformed(field, "is not known");
+                default -> throw new MalformedChangeException(field, "is not known");
             }
         }
         if (kind == null) {
-            throw new Malformed("change", "is missing");
+            throw new MalformedChangeException("change", "is missing");
         } else if (subject == null) {
-            throw new Malformed("subject", "is missing");
+            throw new MalformedChangeException("subject", "is missing");
         } else if ((kind == Kind.BUDGET || kind == Kind.TERM) == (value == null)) {
-            throw new Malformed("value", value == null ? "is missing" : "has no meaning here");
+            throw new MalformedChangeException(
+                    "value", value == null ? "is missing" : "has no meaning here");
         }
         Change change =
                 new Change(
                         kind, subject, started, value == null ? 0 : value, reason, service, zone);
-        if (!change.scoped() && !(service + zone).isEmpty()) {
-            throw new Malformed(service.isEmpty() ? "zone" : "service", "has no meaning here");
+        if (!change.isScoped() && !(service + zone).isEmpty()) {
+            throw new MalformedChangeException(
+                    service.isEmpty() ? "zone" : "service", "has no meaning here");
         }
         return change;
     }
@@ -177,7 +179,7 @@
     private static String scopeName(JsonParser in, String field) throws IOException {
         String name = text(in, field, LONGEST_SCOPE);
         if (!isScopeName(name)) {
-            throw new Malformed(field, "must be letters, digits and . : @ / + - _");
+            throw new MalformedChangeException(field, "must be letters, digits and . : @ / + - _");
         }
         return name;
     }
@@ -187,20 +189,22 @@
         return name.length() <= LONGEST_SCOPE && SCOPE_NAME.matcher(name).matches();
     }
 
-    private static Kind kind(String word) throws Malformed {
+    private static Kind kind(String word) throws MalformedChangeException {
         for (Kind kind : Kind.values()) {
             if (kind.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return kind;
             }
         }
-        throw new Malformed("change", "'" + word + "' is none of drain, hold, back, budget, term");
+        throw new MalformedChangeException(
+                "change", "'" + word + "' is none of drain, hold, back, budget, term");
     }
 
     private static String text(JsonParser in, String field, int longest) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_STRING
                 || in.getText().length() > longest
                 || field.equals("subject") && in.getText().isEmpty()) {
-            throw new Malformed(field, "must be text of at most " + longest + " characters");
+            throw new MalformedChangeException(
+                    field, "must be text of at most " + longest + " characters");
         }
         return in.getText();
     }
--- a/src/main/java/rockshift/cluster/ClusterBootstrap.java
+++ b/src/main/java/rockshift/cluster/ClusterBootstrap.java
@@ -122,7 +122,7 @@
         long newCluster = hash >>> 1 | 1;
         Snapshot first = log.found(newCluster, founders);
         clusterId = newCluster;
-        engine.found(first.membership());
+        engine.bootstrap(first.membership());
         LOG.info(
                 "cluster founded id={} founders={}",
                 Long.toHexString(clusterId),
--- a/src/main/java/rockshift/cluster/Client.java
+++ b/src/main/java/rockshift/cluster/ClusterClient.java
@@ -21,16 +21,16 @@
  * the same serial until it is told what came of it or its time is up. It waits for answers, and is
  * used by one thread.
  */
-public final class Client implements AutoCloseable {
+public final class ClusterClient implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int DIAL = 500;
     private static final int PAUSE = 50;
 
     /** Nobody answered, or nobody could say what came of it. */
-    public static final class Unanswered extends IOException {
+    public static final class UnansweredException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Unanswered(String what) {
+        UnansweredException(String what) {
             super(what);
         }
     }
@@ -48,7 +48,7 @@
     /**
      * @param patience ms for one call until another member is asked
      */
-    public Client(List<String> addresses, RandomGenerator chance, int patience) {
+    public ClusterClient(List<String> addresses, RandomGenerator chance, int patience) {
         this.addresses = new ArrayDeque<>(addresses);
         this.chance = chance;
         this.patience = patience;
@@ -126,7 +126,7 @@
             }
             TimeUnit.MILLISECONDS.sleep(PAUSE + chance.nextInt(PAUSE));
         }
-        throw new Unanswered(trouble);
+        throw new UnansweredException(trouble);
     }
 
     private static boolean passing(String refused) {
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -92,7 +92,7 @@
             disk.close();
             throw failure;
         }
-        diskWriter = new DiskWriter(settings.folder(), inputs, engine::disk);
+        diskWriter = new DiskWriter(settings.folder(), inputs, engine::diskStatusChanged);
         directory = new MemberDirectory(settings, bootstrap.memberId(), engine.raft());
         hello = new MemberHello(bootstrap.memberId(), settings.name());
         quorum = new QuorumContactReporter(settings, controller, directory);
@@ -269,7 +269,7 @@
                 inputs.offer(
                         () -> {
                             engine.receive(message);
-                            distribution.heard(message, engine.raft());
+                            distribution.messageReceived(message, engine.raft());
                         });
             }
         }
@@ -302,8 +302,8 @@
         }
 
         @Override
-        public void keep(Snapshot snapshot) {
-            diskWriter.submit(() -> log.keep(snapshot), () -> engine.kept(snapshot));
+        public void keepSnapshot(Snapshot snapshot) {
+            diskWriter.submit(() -> log.keep(snapshot), () -> engine.snapshotKept(snapshot));
         }
 
         @Override
--- a/src/main/java/rockshift/cluster/CommandService.java
+++ b/src/main/java/rockshift/cluster/CommandService.java
@@ -79,15 +79,15 @@
                 long from = call.number("from");
                 reply(request, json -> history.write(json, from));
             }
-            case "open" -> engine.open(request, call.number("session"));
-            case "read" -> engine.read(request);
+            case "open" -> engine.openSession(request, call.number("session"));
+            case "read" -> engine.requestRead(request);
             case "snapshot" -> {
-                boolean begun = engine.compact();
+                boolean begun = engine.takeSnapshot();
                 reply(request, json -> json.writeBooleanField("begun", begun));
             }
-            case "transfer" -> engine.transfer(request, memberId(call.text("name")));
-            case "remove" -> engine.member(request, memberToRemove(call), true);
-            case "add" -> engine.member(request, memberToAdd(call), false);
+            case "transfer" -> engine.transferLeadership(request, memberId(call.text("name")));
+            case "remove" -> engine.changeMembership(request, memberToRemove(call), true);
+            case "add" -> engine.changeMembership(request, memberToAdd(call), false);
             case "change" -> change(request, call);
             default -> throw new IOException("field op: '" + operation + "' is not known");
         }
@@ -116,7 +116,8 @@
         if (objection != null) {
             answer(request, new Engine.Answer(objection, new byte[0], 0, null));
         } else {
-            engine.change(request, call.number("session"), call.number("serial"), change.json());
+            engine.proposeChange(
+                    request, call.number("session"), call.number("serial"), change.json());
         }
     }
 
@@ -124,10 +125,10 @@
     private Change complete(Change asked) {
         Change change = asked;
         if (change.kind() == Change.Kind.DRAIN && change.started() == 0) {
-            change = change.startedAt(controller.started(change.subject()));
+            change = change.startedAt(controller.startedMillis(change.subject()));
         }
-        if (change.scoped() && change.zone().isEmpty()) {
-            change = change.inZone(controller.zone(change.subject()));
+        if (change.isScoped() && change.zone().isEmpty()) {
+            change = change.inZone(controller.zoneOf(change.subject()));
         }
         return change;
     }
@@ -140,9 +141,9 @@
         if (!engine.raft().isLeader() || call.flag("again")) {
             return null;
         }
-        String objection = agreed.check(change);
+        String objection = agreed.objection(change);
         if (objection == null && !call.flag("force")) {
-            objection = controller.objection(change, agreed.out());
+            objection = controller.objection(change, agreed.drains());
         }
         return objection;
     }
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -39,7 +39,7 @@
      * Changes that may wait to be published; beyond them the whole state is handed over once there
      * is room.
      */
-    private static final int MOST_CHANGES_WAITING = 10_000;
+    private static final int MAX_PENDING_CHANGES = 10_000;
 
     /** Ms between two looks at what is due, with subscribers and without. */
     private static final long TICK_MS = 50;
@@ -54,10 +54,10 @@
     private final Publisher publisher;
     private boolean changed;
 
-    /** Steps of the port are bounded there, changes of the member by {@link #changesWaiting}. */
+    /** Steps of the port are bounded there, changes of the member by {@link #pendingChanges}. */
     private final LinkedBlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
 
-    private final AtomicInteger changesWaiting = new AtomicInteger();
+    private final AtomicInteger pendingChanges = new AtomicInteger();
     private final Thread thread = new Thread(this::work, "distribution");
     private volatile boolean closed;
     private volatile long freshAt = Long.MIN_VALUE;
@@ -66,7 +66,7 @@
     private final Freshness freshness;
     private final Map<String, Item> handedOver = new HashMap<>();
     private Revision handedOverAt = Revision.NONE;
-    private boolean behind;
+    private boolean resendWhole;
 
     /**
      * How publishing stands.
@@ -111,8 +111,8 @@
     // ---- the member's thread --------------------------------------------------------------------
 
     /** A message came to the member. */
-    void heard(Message message, RaftNode raft) {
-        freshness.heard(message, raft, now());
+    void messageReceived(Message message, RaftNode raft) {
+        freshness.messageReceived(message, raft, now());
     }
 
     /**
@@ -120,7 +120,7 @@
      * change.
      */
     void tend(long cluster, AgreedState agreed, RaftNode raft) {
-        if (cluster != handedOverAt.cluster() || behind && changesWaiting.get() == 0) {
+        if (cluster != handedOverAt.cluster() || resendWhole && pendingChanges.get() == 0) {
             restored(cluster, agreed);
         }
         freshAt = freshness.freshAt(raft, now());
@@ -131,7 +131,7 @@
         if (cluster == 0) {
             return;
         }
-        behind = false;
+        resendWhole = false;
         handedOver.clear();
         List<Item> items = AgreedItems.all(agreed);
         items.forEach(item -> handedOver.put(item.key(), item));
@@ -148,10 +148,10 @@
         Revision revision = new Revision(cluster, agreed.version());
         handedOverAt = revision;
         List<Update> updates = List.of(update(revision, body));
-        if (changesWaiting.get() >= MOST_CHANGES_WAITING) {
-            behind = true;
+        if (pendingChanges.get() >= MAX_PENDING_CHANGES) {
+            resendWhole = true;
         }
-        if (!behind) {
+        if (!resendWhole) {
             handOver(() -> store.apply(revision, updates));
         }
     }
@@ -175,10 +175,10 @@
     }
 
     private void handOver(StoreStep step) {
-        changesWaiting.incrementAndGet();
+        pendingChanges.incrementAndGet();
         steps.add(
                 () -> {
-                    changesWaiting.decrementAndGet();
+                    pendingChanges.decrementAndGet();
                     try {
                         step.run();
                         changed = true;
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -38,8 +38,8 @@
         void save(
                 long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot);
 
-        /** Has a snapshot kept elsewhere, which ends in {@link Engine#kept}. */
-        void keep(Snapshot snapshot);
+        /** Has a snapshot kept elsewhere, which ends in {@link Engine#snapshotKept}. */
+        void keepSnapshot(Snapshot snapshot);
 
         void answer(long request, Answer answer);
 
@@ -116,7 +116,7 @@
     // ---- what comes in --------------------------------------------------------------------------
 
     /** The cluster was founded with these members, before anything else happened here. */
-    public void found(Membership members) {
+    public void bootstrap(Membership members) {
         raft.bootstrap(members);
     }
 
@@ -133,12 +133,12 @@
     }
 
     /** Whether the disk takes what it is given. */
-    public void disk(boolean works) {
+    public void diskStatusChanged(boolean works) {
         raft.diskStatusChanged(works);
     }
 
     /** A snapshot is on the disk, or (null) could not be kept. */
-    public void kept(Snapshot snapshot) {
+    public void snapshotKept(Snapshot snapshot) {
         keeping = false;
         if (snapshot != null) {
             raft.snapshotTaken(snapshot);
@@ -146,11 +146,11 @@
     }
 
     /** Opens a session under a number that its client drew. */
-    public void open(long request, long session) {
+    public void openSession(long request, long session) {
         propose(request, Entry.Kind.OPEN_SESSION, session, 0, new byte[0]);
     }
 
-    public void change(long request, long session, long serial, byte[] body) {
+    public void proposeChange(long request, long session, long serial, byte[] body) {
         propose(request, Entry.Kind.CHANGE, session, serial, body);
     }
 
@@ -169,11 +169,11 @@
     }
 
     /** Answers with the machine's image once that is known to be no older than the call. */
-    public void read(long request) {
+    public void requestRead(long request) {
         raft.requestRead(request);
     }
 
-    public void member(long request, Member member, boolean remove) {
+    public void changeMembership(long request, Member member, boolean remove) {
         ProposalRejection refusal = raft.changeMembership(member, remove);
         if (refusal != null) {
             refuse(request, refusal);
@@ -182,7 +182,7 @@
         }
     }
 
-    public void transfer(long request, long to) {
+    public void transferLeadership(long request, long to) {
         ProposalRejection refusal = raft.transferLeadership(to);
         if (refusal != null) {
             refuse(request, refusal);
@@ -229,12 +229,12 @@
                         || raft.log().bytes() > compaction.bytes()
                                 && raft.appliedIndex() > raft.snapshot().index();
         if (much && !keeping) {
-            compact();
+            takeSnapshot();
         }
     }
 
     /** Takes a snapshot of what is applied; false if one is under way. */
-    public boolean compact() {
+    public boolean takeSnapshot() {
         if (keeping || raft.appliedIndex() <= raft.snapshot().index()) {
             return false;
         }
@@ -243,7 +243,7 @@
             byte[] image = RaftCodec.image(sessions.sessions(), sessions.stateMachine().snapshot());
             keeping = true;
             keptAt = index;
-            environment.keep(
+            environment.keepSnapshot(
                     new Snapshot(index, raft.log().term(index), raft.membershipAt(index), image));
             return true;
         } catch (IOException failure) {
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -30,7 +30,7 @@
     }
 
     /** A message came to a member. */
-    public void heard(Message message, RaftNode raft, long nowMs) {
+    public void messageReceived(Message message, RaftNode raft, long nowMs) {
         if (message instanceof Message.AppendRequest append
                 && append.from() == raft.leader()
                 && announced == 0) {
--- a/src/main/java/rockshift/cluster/LocalController.java
+++ b/src/main/java/rockshift/cluster/LocalController.java
@@ -18,9 +18,9 @@
     }
 
     /** What stands agreed now: told anew, whole, after each change. */
-    void agreed(long version, Map<String, Change> out, Map<String, Double> terms);
+    void applyAgreed(long version, Map<String, Change> out, Map<String, Double> terms);
 
-    void reach(Reach reach);
+    void setReach(Reach reach);
 
     /** Why the governor would not have a change, by what is listed now; null if it would. */
     String objection(Change change, Map<String, Change> out);
@@ -28,8 +28,8 @@
     /**
      * When a replica that is listed last started, in ms of Unix time; 0 where that is not known.
      */
-    long started(String replica);
+    long startedMillis(String replica);
 
     /** The zone of a replica that is listed; empty where that is not known. */
-    String zone(String replica);
+    String zoneOf(String replica);
 }
--- a/src/main/java/rockshift/cluster/QuorumContactReporter.java
+++ b/src/main/java/rockshift/cluster/QuorumContactReporter.java
@@ -40,7 +40,7 @@
         }
         boolean first = reported == null;
         reported = reach;
-        controller.reach(reach);
+        controller.setReach(reach);
         if (contact) {
             LOG.info("quorum contact leader={}", directory.nameOf(raft.leader()));
         } else if (!first) {
@@ -52,7 +52,7 @@
 
     /** Tells the controller that this member takes no part any more. */
     void stopped() {
-        controller.reach(withoutQuorum());
+        controller.setReach(withoutQuorum());
     }
 
     private LocalController.Reach withoutQuorum() {
--- a/src/main/java/rockshift/testkit/ClusterFaults.java
+++ b/src/main/java/rockshift/testkit/ClusterFaults.java
@@ -162,7 +162,7 @@
 
     private void transferLeadership(SimulatedHost leader, int member) {
         cluster.trace("n%d is asked to hand over to n%d", leader.index(), member);
-        leader.engine().transfer(0, host(member).id());
+        leader.engine().transferLeadership(0, host(member).id());
         leader.run();
     }
 
@@ -184,7 +184,7 @@
                     && host != other
                     && leader.engine() != null
                     && leader.engine().raft().membership().voterCount() > 3) {
-                leader.engine().member(0, host.member(Member.Role.VOTER), true);
+                leader.engine().changeMembership(0, host.member(Member.Role.VOTER), true);
                 leader.run();
             }
         }
@@ -203,15 +203,15 @@
         Member stale = wipedMember(raft.membership());
         if (stale != null) {
             cluster.trace("n%d is asked to remove %s", leader.index(), stale.name());
-            leader.engine().member(0, stale, true);
+            leader.engine().changeMembership(0, stale, true);
         } else if (raft.membership().get(host.id()) == null) {
             cluster.trace("n%d is asked to add n%d", leader.index(), host.index());
-            leader.engine().member(0, host.member(Member.Role.JOINING), false);
+            leader.engine().changeMembership(0, host.member(Member.Role.JOINING), false);
         } else if (random.nextInt(3) > 0) {
             transferLeadership(host.index());
         } else if (raft.membership().voterCount() > 2) {
             cluster.trace("n%d is asked to remove n%d", leader.index(), host.index());
-            leader.engine().member(0, host.member(Member.Role.VOTER), true);
+            leader.engine().changeMembership(0, host.member(Member.Role.VOTER), true);
         }
         leader.run();
     }
--- a/src/main/java/rockshift/testkit/FaultTrial.java
+++ b/src/main/java/rockshift/testkit/FaultTrial.java
@@ -24,7 +24,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 import rockshift.cluster.Change;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 
 /**
  * Governors as processes, killed, stopped and cut at random while clients propose; then what each
@@ -271,7 +271,7 @@
         for (int i = 0; i < members; i++) {
             fronts.add(governors.front((number + i) % members));
         }
-        try (Client client = new Client(fronts, own, 1_500)) {
+        try (ClusterClient client = new ClusterClient(fronts, own, 1_500)) {
             for (int i = 0; !over; i++) {
                 String reason = "op-" + number + "-" + i;
                 String replica = "s-" + number;
@@ -402,9 +402,10 @@
         for (Set<Long> versions = new HashSet<>(); now() < end; TimeUnit.MILLISECONDS.sleep(200)) {
             versions.clear();
             for (int i = 0; i < members; i++) {
-                try (Client client = new Client(List.of(governors.front(i)), chance, 1_500)) {
+                try (ClusterClient client =
+                        new ClusterClient(List.of(governors.front(i)), chance, 1_500)) {
                     versions.add(
-                            client.ask(governors.front(i), Client.call("status"))
+                            client.ask(governors.front(i), ClusterClient.call("status"))
                                     .path("applied")
                                     .asLong());
                 } catch (IOException busy) {
--- a/src/main/java/rockshift/testkit/SimulatedClient.java
+++ b/src/main/java/rockshift/testkit/SimulatedClient.java
@@ -86,11 +86,13 @@
                         to.handle(
                                 () -> {
                                     if (asksToOpen) {
-                                        to.engine().open(mine, openedSession);
+                                        to.engine().openSession(mine, openedSession);
                                     } else if (asksToRead) {
-                                        to.engine().read(mine);
+                                        to.engine().requestRead(mine);
                                     } else {
-                                        to.engine().change(mine, openedSession, sentSerial, body);
+                                        to.engine()
+                                                .proposeChange(
+                                                        mine, openedSession, sentSerial, body);
                                     }
                                 }));
     }
--- a/src/main/java/rockshift/testkit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -392,30 +392,30 @@
             log.save(vote, from, entries, snapshot);
             handle(
                     () -> {
-                        engine.disk(true);
+                        engine.diskStatusChanged(true);
                         engine.saved(ticket);
                     });
         } catch (SimulatedDisk.Crashed crashed) {
             // It ends here.
         } catch (IOException full) {
             cluster.trace("n%d can't save: %s", index, full.getMessage());
-            handle(() -> engine.disk(false));
+            handle(() -> engine.diskStatusChanged(false));
             diskTasks.addFirst(
                     () -> trySave(startedIncarnation, ticket, vote, from, entries, snapshot));
         }
     }
 
     @Override
-    public void keep(Snapshot snapshot) {
+    public void keepSnapshot(Snapshot snapshot) {
         enqueueDiskTask(
                 () -> {
                     try {
                         log.keep(snapshot);
-                        handle(() -> engine.kept(snapshot));
+                        handle(() -> engine.snapshotKept(snapshot));
                     } catch (SimulatedDisk.Crashed crashed) {
                         // It ends here.
                     } catch (IOException full) {
-                        handle(() -> engine.kept(null));
+                        handle(() -> engine.snapshotKept(null));
                     }
                 });
     }
