--- a/src/main/java/rockshift/cluster/ClusterClient.java
+++ b/src/main/java/rockshift/cluster/ClusterClient.java
@@ -8,165 +8,200 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import rockshift.config.Section;
 import rockshift.wire.Frames;
 
 /**
- * Speaks to members as staff's commands do: asks one, goes where it points, and asks again under
- * the same serial until it is told what came of it or its time is up. It waits for answers, and is
- * used by one thread.
+ * Speaks to members as operators' commands do: asks one, follows its word on who leads, and asks
+ * again under the same serial number until it is told the outcome or its time is up. Blocks; used
+ * by one thread.
  */
 public final class ClusterClient implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int DIAL = 500;
-    private static final int PAUSE = 50;
+    private static final int CONNECT_TIMEOUT_MS = 500;
 
-    /** Nobody answered, or nobody could say what came of it. */
+    /** The least pause between two tries; up to as much again is random. */
+    private static final int RETRY_PAUSE_MS = 50;
+
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    /** Refusals after which the same call may be taken, here or by another member. */
+    private static final Set<String> TRANSIENT_REFUSALS =
+            Set.of("not-leader", Engine.Answer.UNKNOWN, "busy", "handing-over", "disk");
+
+    /** Nobody answered, or nobody could say what the outcome was. */
     public static final class UnansweredException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        UnansweredException(String what) {
-            super(what);
+        UnansweredException(String lastFailure) {
+            super(lastFailure);
         }
     }
 
+    /** The members, the one to ask first at the front. */
     private final ArrayDeque<String> addresses;
-    private final RandomGenerator chance;
-    private final int patience;
+
+    private final RandomGenerator random;
+    private final int answerTimeoutMillis;
+
+    /** The session in which changes are made; 0 before the first one. */
     private long session;
-    private long serial;
-    private long calls;
-    private String at;
+
+    private long lastSerial;
+    private long lastCall;
+
+    /** Where the socket is connected to, if there is one. */
+    private String connectedAddress;
+
     private Socket socket;
-    private DataInputStream in;
+    private DataInputStream input;
 
     /**
-     * @param patience ms for one call until another member is asked
+     * Connects to no member yet.
+     *
+     * @param answerTimeoutMillis how long one call waits until another member is asked
      */
-    public ClusterClient(List<String> addresses, RandomGenerator chance, int patience) {
+    public ClusterClient(List<String> addresses, RandomGenerator random, int answerTimeoutMillis) {
         this.addresses = new ArrayDeque<>(addresses);
-        this.chance = chance;
-        this.patience = patience;
+        this.random = random;
+        this.answerTimeoutMillis = answerTimeoutMillis;
     }
 
-    public static ObjectNode call(String op) {
-        return JSON.createObjectNode().put("op", op);
+    /** A call of an operation, to which its fields can be added. */
+    public static ObjectNode call(String operation) {
+        return JSON.createObjectNode().put("op", operation);
     }
 
-    /** One call to one member. */
+    /** Makes one call to one member. */
     public JsonNode ask(String address, ObjectNode call) throws IOException {
-        if (!address.equals(at) || socket == null) {
-            close();
-            InetSocketAddress remote = remote(address);
-            socket = new Socket();
-            socket.setTcpNoDelay(true);
-            socket.setSoTimeout(patience);
-            socket.connect(remote, DIAL);
-            in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
-            at = address;
+        if (!address.equals(connectedAddress) || socket == null) {
+            connect(address);
         }
         try {
-            long number = ++calls;
-            call.put("call", number);
+            lastCall++;
+            call.put("call", lastCall);
             socket.getOutputStream().write(Frames.frame(Frames.CALL, JSON.writeValueAsBytes(call)));
-            while (true) {
-                Frames.Frame frame = Frames.read(in);
-                JsonNode answer =
-                        frame.kind() == Frames.REPLY ? JSON.readTree(frame.payload()) : null;
-                if (answer != null && answer.path("call").asLong() == number) {
-                    return answer;
-                }
-            }
+            return readReply(lastCall);
         } catch (IOException failure) {
             close();
             throw failure;
         }
     }
 
-    private static InetSocketAddress remote(String address) throws IOException {
+    private void connect(String address) throws IOException {
+        close();
+        InetSocketAddress remote = parse(address);
+        socket = new Socket();
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(answerTimeoutMillis);
+        socket.connect(remote, CONNECT_TIMEOUT_MS);
+        input = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
+        connectedAddress = address;
+    }
+
+    private static InetSocketAddress parse(String address) throws IOException {
         try {
             return Section.socket(address);
-        } catch (IllegalArgumentException wrong) {
-            throw new IOException(wrong.getMessage(), wrong);
+        } catch (IllegalArgumentException invalid) {
+            throw new IOException(invalid.getMessage(), invalid);
+        }
+    }
+
+    /** Reads until the reply to a call; replies to calls that were given up are skipped. */
+    private JsonNode readReply(long call) throws IOException {
+        while (true) {
+            Frames.Frame frame = Frames.read(input);
+            if (frame.kind() == Frames.REPLY) {
+                JsonNode reply = JSON.readTree(frame.payload());
+                if (reply.path("call").asLong() == call) {
+                    return reply;
+                }
+            }
         }
     }
 
-    /** Asks members in turn, the one that leads once it is known, until one answers for good. */
-    public JsonNode askLeader(ObjectNode call, long deadlineMs)
+    /**
+     * Asks members in turn, the leader once it is known, until one answers for good.
+     *
+     * @param deadlineMillis by {@link System#nanoTime} in milliseconds
+     * @throws UnansweredException if the deadline passes before
+     */
+    public JsonNode askLeader(ObjectNode call, long deadlineMillis)
             throws IOException, InterruptedException {
-        String trouble = "no member was asked";
-        while (System.nanoTime() / 1_000_000 < deadlineMs) {
-            String first = addresses.getFirst();
+        String lastFailure = "no member was asked";
+        while (System.nanoTime() / NANOS_PER_MILLI < deadlineMillis) {
+            String address = addresses.getFirst();
             try {
-                JsonNode answer = ask(first, call);
+                JsonNode answer = ask(address, call);
                 String refused = answer.path("refused").asText("");
-                if (!passing(refused)) {
+                if (!TRANSIENT_REFUSALS.contains(refused)) {
                     return answer;
                 }
-                trouble = first + ": " + refused;
-                call.put(
-                        "again",
-                        call.path("again").asBoolean() || refused.equals(Engine.Answer.UNKNOWN));
-                String leader = answer.path("leader").asText("");
-                if (leader.isEmpty()) {
-                    addresses.addLast(addresses.removeFirst());
-                } else {
-                    addresses.remove(leader);
-                    addresses.addFirst(leader);
-                }
+                lastFailure = address + ": " + refused;
+                boolean mayBeApplied = refused.equals(Engine.Answer.UNKNOWN);
+                call.put("again", call.path("again").asBoolean() || mayBeApplied);
+                followLeader(answer.path("leader").asText(""));
             } catch (IOException failure) {
-                trouble = first + ": " + failure.getMessage();
+                lastFailure = address + ": " + failure.getMessage();
                 call.put("again", true);
-                addresses.addLast(addresses.removeFirst());
+                rotate();
             }
-            TimeUnit.MILLISECONDS.sleep(PAUSE + chance.nextInt(PAUSE));
+            TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS + random.nextInt(RETRY_PAUSE_MS));
+        }
+        throw new UnansweredException(lastFailure);
+    }
+
+    private void followLeader(String leader) {
+        if (leader.isEmpty()) {
+            rotate();
+        } else {
+            addresses.remove(leader);
+            addresses.addFirst(leader);
         }
-        throw new UnansweredException(trouble);
     }
 
-    private static boolean passing(String refused) {
-        return List.of("not-leader", Engine.Answer.UNKNOWN, "busy", "handing-over", "disk")
-                .contains(refused);
+    /** Has the next member asked. */
+    private void rotate() {
+        addresses.addLast(addresses.removeFirst());
     }
 
     /** Has a change agreed, once, however often it must be asked for. */
-    public JsonNode change(Change change, boolean force, long deadlineMs)
+    public JsonNode change(Change change, boolean force, long deadlineMillis)
             throws IOException, InterruptedException {
         if (session == 0) {
-            session = chance.nextLong() >>> 1 | 1;
-            askLeader(call("open").put("session", session), deadlineMs);
+            session = random.nextLong() >>> 1 | 1;
+            askLeader(call("open").put("session", session), deadlineMillis);
         }
-        serial++;
-        return askLeader(
+        lastSerial++;
+        ObjectNode call =
                 call("change")
                         .put("session", session)
-                        .put("serial", serial)
+                        .put("serial", lastSerial)
                         .put("force", force)
-                        .put(
-                                "change",
-                                new String(change.json(), java.nio.charset.StandardCharsets.UTF_8)),
-                deadlineMs);
+                        .put("change", new String(change.json(), StandardCharsets.UTF_8));
+        return askLeader(call, deadlineMillis);
     }
 
-    /** The status of each member that answers, by address. */
+    /** The status of each member by address; of one that does not answer, why. */
     public Map<String, JsonNode> statuses() {
-        Map<String, JsonNode> found = new java.util.LinkedHashMap<>();
+        Map<String, JsonNode> statuses = new LinkedHashMap<>();
         for (String address : List.copyOf(addresses)) {
             try {
-                found.put(address, ask(address, call("status")));
+                statuses.put(address, ask(address, call("status")));
             } catch (IOException failure) {
-                found.put(
-                        address,
-                        JSON.createObjectNode()
-                                .put("unreached", String.valueOf(failure.getMessage())));
+                String cause = String.valueOf(failure.getMessage());
+                statuses.put(address, JSON.createObjectNode().put("unreached", cause));
             }
         }
-        return found;
+        return statuses;
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -2,8 +2,6 @@
 
 import java.io.IOException;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import rockshift.raft.ClientSessions;
 import rockshift.raft.Entry;
@@ -21,67 +19,83 @@
 import rockshift.wire.RaftCodec;
 
 /**
- * One member put together: the protocol, the sessions, and who waits for what. It does no I/O,
- * reads no clock and starts no thread: it is used by one thread, which hands in the time first,
- * then what came, and then has it {@link #run}. The rehearsed world and the real one use this same
- * class.
+ * One member's decisions: the protocol, the client sessions, and who waits for what. It does no
+ * I/O, reads no clock and starts no thread, and the simulated cluster runs this same class.
+ *
+ * <p>One thread uses it: it hands in the time first, then what has come, and then has it {@link
+ * #run}.
  */
 public final class Engine implements RaftOutput {
-    /** Requests that may wait for an answer: more are told to come again. */
-    private static final int MOST_WAITING = 20_000;
-
-    /** What surrounds a member. Calls come on the member's thread and must not wait. */
+    /** What surrounds a member. Calls come on the engine's thread and must not wait. */
     public interface Environment {
+        /** Sends a message to another member; it may be lost. */
         void send(Message message);
 
         /** Has a save made durable elsewhere, which ends in {@link Engine#saved}. */
-        void save(
-                long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot);
+        void save(long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot);
 
         /** Has a snapshot kept elsewhere, which ends in {@link Engine#snapshotKept}. */
         void keepSnapshot(Snapshot snapshot);
 
+        /** Answers a request. */
         void answer(long request, Answer answer);
 
-        /** An entry was applied here, and what it came to. */
+        /** An entry was applied here, with this outcome. */
         void applied(Entry entry, ClientSessions.Outcome outcome);
 
         /** All that was applied was replaced by a snapshot's state. */
         void restored(long index);
 
+        /** Logs an event of the protocol. */
         void log(String line);
     }
 
     /**
-     * What a request is told.
+     * The answer to a request.
      *
-     * @param refused null, or why it had no effect; {@code unknown} where that can't be told: ask
-     *     again, with the same serial
-     * @param leader the address to ask, if another one leads
+     * @param refused null, or why it had no effect; {@link #UNKNOWN} where that cannot be told: ask
+     *     again, with the same serial number
+     * @param leader the address to ask, if another member leads
      */
     public record Answer(String refused, byte[] body, long index, String leader) {
+        /** In place of a reason: whether the request had an effect is not known. */
         public static final String UNKNOWN = "unknown";
+
+        static Answer refused(String reason, String leader) {
+            return new Answer(reason, new byte[0], 0, leader);
+        }
+
+        static Answer done(byte[] body, long index) {
+            return new Answer(null, body, index, null);
+        }
     }
 
     /** When a snapshot is taken: after so many entries, or so many bytes of them. */
     public record Compaction(long entries, long bytes) {}
 
-    private record Waiting(long request, long term) {}
-
     private final RaftNode raft;
     private final ClientSessions sessions;
     private final Compaction compaction;
     private final Environment environment;
-    private final TreeMap<Long, Waiting> proposals = new TreeMap<>();
-    private boolean keeping;
-    private long keptAt;
+    private final PendingProposals pending = new PendingProposals();
 
+    /** Whether a snapshot is being kept. */
+    private boolean keepingSnapshot;
+
+    /** The entry up to which the last snapshot was taken. */
+    private long snapshotIndex;
+
+    /**
+     * Builds a member from what its disk held.
+     *
+     * @throws IOException if the snapshot's image cannot be decoded
+     */
     public Engine(
             DurableLog.Recovered disk,
             Timing timing,
             SafetyRules rules,
-            RandomGenerator chance,
-            long now,
+            RandomGenerator random,
+            long nowTicks,
             ClientSessions.StateMachine machine,
             Compaction compaction,
             Environment environment)
@@ -94,40 +108,43 @@
                         disk.id(),
                         timing,
                         rules,
-                        chance,
-                        now,
+                        random,
+                        nowTicks,
                         disk.ballot(),
                         disk.snapshot(),
                         disk.entries());
-        keptAt = disk.snapshot().index();
+        snapshotIndex = disk.snapshot().index();
         if (disk.snapshot().data().length > 0) {
             RaftCodec.restore(disk.snapshot().data(), sessions);
         }
     }
 
+    /** The protocol's state, for reading. */
     public RaftNode raft() {
         return raft;
     }
 
+    /** The sessions of clients, with the state machine. */
     public ClientSessions sessions() {
         return sessions;
     }
 
-    // ---- what comes in --------------------------------------------------------------------------
-
     /** The cluster was founded with these members, before anything else happened here. */
     public void bootstrap(Membership members) {
         raft.bootstrap(members);
     }
 
-    public void tick(long now) {
-        raft.tick(now);
+    /** Hands in the time. */
+    public void tick(long nowTicks) {
+        raft.tick(nowTicks);
     }
 
+    /** Hands in a message of another member. */
     public void receive(Message message) {
         raft.receive(message);
     }
 
+    /** A save is durable. */
     public void saved(long ticket) {
         raft.saved(ticket);
     }
@@ -139,7 +156,7 @@
 
     /** A snapshot is on the disk, or (null) could not be kept. */
     public void snapshotKept(Snapshot snapshot) {
-        keeping = false;
+        keepingSnapshot = false;
         if (snapshot != null) {
             raft.snapshotTaken(snapshot);
         }
@@ -150,111 +167,114 @@
         propose(request, Entry.Kind.OPEN_SESSION, session, 0, new byte[0]);
     }
 
+    /** Proposes a change within a session; a serial number is applied once. */
     public void proposeChange(long request, long session, long serial, byte[] body) {
         propose(request, Entry.Kind.CHANGE, session, serial, body);
     }
 
     private void propose(long request, Entry.Kind kind, long session, long serial, byte[] body) {
-        if (proposals.size() >= MOST_WAITING) {
+        if (pending.isFull()) {
             refuse(request, ProposalRejection.BUSY);
             return;
         }
-        ProposalRejection[] why = new ProposalRejection[1];
-        long index = raft.propose(kind, session, serial, body, why);
-        if (why[0] != null) {
-            refuse(request, why[0]);
+        ProposalRejection[] rejection = new ProposalRejection[1];
+        long index = raft.propose(kind, session, serial, body, rejection);
+        if (rejection[0] != null) {
+            refuse(request, rejection[0]);
         } else {
-            proposals.put(index, new Waiting(request, raft.term()));
+            pending.add(index, request, raft.term());
         }
     }
 
-    /** Answers with the machine's image once that is known to be no older than the call. */
+    /** Answers with the state machine's image once it is known to be no older than the call. */
     public void requestRead(long request) {
         raft.requestRead(request);
     }
 
+    /** Adds or removes a member. */
     public void changeMembership(long request, Member member, boolean remove) {
-        ProposalRejection refusal = raft.changeMembership(member, remove);
-        if (refusal != null) {
-            refuse(request, refusal);
+        ProposalRejection rejection = raft.changeMembership(member, remove);
+        if (rejection != null) {
+            refuse(request, rejection);
         } else {
-            proposals.put(raft.log().lastIndex(), new Waiting(request, raft.term()));
+            pending.add(raft.log().lastIndex(), request, raft.term());
         }
     }
 
-    public void transferLeadership(long request, long to) {
-        ProposalRejection refusal = raft.transferLeadership(to);
-        if (refusal != null) {
-            refuse(request, refusal);
+    /** Hands leadership over to another member. */
+    public void transferLeadership(long request, long target) {
+        ProposalRejection rejection = raft.transferLeadership(target);
+        if (rejection != null) {
+            refuse(request, rejection);
         } else {
-            environment.answer(request, new Answer(null, new byte[0], raft.commitIndex(), null));
+            environment.answer(request, Answer.done(new byte[0], raft.commitIndex()));
         }
     }
 
-    private void refuse(long request, ProposalRejection refusal) {
-        Member leader = raft.membership().get(raft.leader());
-        boolean elsewhere = refusal == ProposalRejection.NOT_LEADER && leader != null;
+    private void refuse(long request, ProposalRejection rejection) {
+        boolean askLeader = rejection == ProposalRejection.NOT_LEADER;
         environment.answer(
-                request,
-                new Answer(refusal.code(), new byte[0], 0, elsewhere ? leader.address() : null));
+                request, Answer.refused(rejection.code(), askLeader ? leaderAddress() : null));
     }
 
-    // ---- what follows ---------------------------------------------------------------------------
+    /** The leader's address, or null where none is known. */
+    private String leaderAddress() {
+        Member leader = raft.membership().get(raft.leader());
+        return leader == null ? null : leader.address();
+    }
 
     /** Decides all that there is to decide now. */
     public void run() {
         while (raft.poll(this)) {
             continue;
         }
-        if (!raft.isLeader() && !proposals.isEmpty()) {
-            // Another leads now: whether these will be agreed is not known here, and nobody is kept
-            // waiting
-            // for it.
-            Member leader = raft.membership().get(raft.leader());
-            proposals
-                    .values()
-                    .forEach(
-                            waiting ->
-                                    environment.answer(
-                                            waiting.request,
-                                            new Answer(
-                                                    Answer.UNKNOWN,
-                                                    new byte[0],
-                                                    0,
-                                                    leader == null ? null : leader.address())));
-            proposals.clear();
+        if (!raft.isLeader() && !pending.isEmpty()) {
+            abandonProposals();
         }
-        boolean much =
-                raft.appliedIndex() - keptAt >= compaction.entries()
-                        || raft.log().bytes() > compaction.bytes()
-                                && raft.appliedIndex() > raft.snapshot().index();
-        if (much && !keeping) {
+        if (isSnapshotDue() && !keepingSnapshot) {
             takeSnapshot();
         }
     }
 
-    /** Takes a snapshot of what is applied; false if one is under way. */
+    /**
+     * Another member leads now: whether the pending proposals will be agreed is not known here, and
+     * nobody is kept waiting for it.
+     */
+    private void abandonProposals() {
+        Answer unknown = Answer.refused(Answer.UNKNOWN, leaderAddress());
+        pending.abandonAll(request -> environment.answer(request, unknown));
+    }
+
+    private boolean isSnapshotDue() {
+        boolean manyEntries = raft.appliedIndex() - snapshotIndex >= compaction.entries();
+        boolean manyBytes =
+                raft.log().bytes() > compaction.bytes()
+                        && raft.appliedIndex() > raft.snapshot().index();
+        return manyEntries || manyBytes;
+    }
+
+    /** Takes a snapshot of what is applied; false if one is under way or nothing is new. */
     public boolean takeSnapshot() {
-        if (keeping || raft.appliedIndex() <= raft.snapshot().index()) {
+        if (keepingSnapshot || raft.appliedIndex() <= raft.snapshot().index()) {
             return false;
         }
         try {
             long index = raft.appliedIndex();
             byte[] image = RaftCodec.image(sessions.sessions(), sessions.stateMachine().snapshot());
-            keeping = true;
-            keptAt = index;
+            keepingSnapshot = true;
+            snapshotIndex = index;
             environment.keepSnapshot(
                     new Snapshot(index, raft.log().term(index), raft.membershipAt(index), image));
             return true;
         } catch (IOException failure) {
-            throw new IllegalStateException(failure);
+            throw new IllegalStateException("the state machine's image", failure);
         }
     }
 
     @Override
     public void persist(
-            long ticket, TermAndVote ballot, long from, List<Entry> entries, Snapshot snapshot) {
-        environment.save(ticket, ballot, from, entries, snapshot);
+            long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
+        environment.save(ticket, vote, from, entries, snapshot);
     }
 
     @Override
@@ -265,19 +285,22 @@
     @Override
     public void apply(Entry entry) {
         ClientSessions.Outcome outcome = sessions.apply(entry);
-        while (!proposals.isEmpty() && proposals.firstKey() <= entry.index()) {
-            Map.Entry<Long, Waiting> first = proposals.pollFirstEntry();
-            Waiting waiting = first.getValue();
-            boolean same = first.getKey() == entry.index() && waiting.term == entry.term();
-            environment.answer(
-                    waiting.request,
-                    same
-                            ? new Answer(outcome.rejection(), outcome.answer(), entry.index(), null)
-                            : new Answer(Answer.UNKNOWN, new byte[0], 0, null));
-        }
+        pending.applied(
+                entry.index(),
+                entry.term(),
+                (request, same) ->
+                        environment.answer(
+                                request,
+                                same
+                                        ? answer(entry, outcome)
+                                        : Answer.refused(Answer.UNKNOWN, null)));
         environment.applied(entry, outcome);
     }
 
+    private static Answer answer(Entry entry, ClientSessions.Outcome outcome) {
+        return new Answer(outcome.rejection(), outcome.answer(), entry.index(), null);
+    }
+
     @Override
     public void restore(Snapshot snapshot) {
         try {
@@ -286,15 +309,14 @@
             throw new IllegalStateException(
                     "snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
         }
-        keptAt = snapshot.index();
+        snapshotIndex = snapshot.index();
         environment.restored(snapshot.index());
     }
 
     @Override
     public void readReady(long token) {
         environment.answer(
-                token,
-                new Answer(null, sessions.stateMachine().snapshot(), raft.appliedIndex(), null));
+                token, Answer.done(sessions.stateMachine().snapshot(), raft.appliedIndex()));
     }
 
     @Override
