--- a/src/main/java/rockshift/cluster/ChangeHistory.java
+++ b/src/main/java/rockshift/cluster/ChangeHistory.java
@@ -13,7 +13,7 @@
     private static final int MAX_CHANGES = 4_096;
 
     /** Characters of a listing: half of the longest frame. */
-    private static final int MAX_LISTED_CHARACTERS = Frames.LONGEST / 2;
+    private static final int MAX_LISTED_CHARACTERS = Frames.MAX_FRAME_BYTES / 2;
 
     /** Each as JSON. */
     private final ArrayDeque<String> changes = new ArrayDeque<>();
--- a/src/main/java/rockshift/cluster/ClusterBootstrap.java
+++ b/src/main/java/rockshift/cluster/ClusterBootstrap.java
@@ -96,7 +96,7 @@
     }
 
     private void join(RaftCodec.Hello hello) throws IOException {
-        log.found(hello.cluster(), List.of());
+        log.joinCluster(hello.cluster(), List.of());
         clusterId = hello.cluster();
         LOG.info("cluster joined id={} by={}", Long.toHexString(clusterId), hello.name());
     }
@@ -120,7 +120,7 @@
             founders.add(new Member(id, name, founder.getValue(), Member.Role.VOTER));
         }
         long newCluster = hash >>> 1 | 1;
-        Snapshot first = log.found(newCluster, founders);
+        Snapshot first = log.joinCluster(newCluster, founders);
         clusterId = newCluster;
         engine.bootstrap(first.membership());
         LOG.info(
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -303,7 +303,8 @@
 
         @Override
         public void keepSnapshot(Snapshot snapshot) {
-            diskWriter.submit(() -> log.keep(snapshot), () -> engine.snapshotKept(snapshot));
+            diskWriter.submit(
+                    () -> log.saveSnapshot(snapshot), () -> engine.snapshotKept(snapshot));
         }
 
         @Override
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -9,6 +9,7 @@
 import rockshift.raft.Membership;
 import rockshift.raft.Message;
 import rockshift.raft.ProposalRejection;
+import rockshift.raft.ProposalResult;
 import rockshift.raft.RaftNode;
 import rockshift.raft.RaftOutput;
 import rockshift.raft.SafetyRules;
@@ -110,7 +111,7 @@
                         rules,
                         random,
                         nowTicks,
-                        disk.ballot(),
+                        disk.termAndVote(),
                         disk.snapshot(),
                         disk.entries());
         snapshotIndex = disk.snapshot().index();
@@ -177,12 +178,11 @@
             refuse(request, ProposalRejection.BUSY);
             return;
         }
-        ProposalRejection[] rejection = new ProposalRejection[1];
-        long index = raft.propose(kind, session, serial, body, rejection);
-        if (rejection[0] != null) {
-            refuse(request, rejection[0]);
+        ProposalResult result = raft.propose(kind, session, serial, body);
+        if (result.isAppended()) {
+            pending.add(result.index(), request, raft.term());
         } else {
-            pending.add(index, request, raft.term());
+            refuse(request, result.rejection());
         }
     }
 
--- a/src/main/java/rockshift/cluster/MemberConnection.java
+++ b/src/main/java/rockshift/cluster/MemberConnection.java
@@ -78,14 +78,16 @@
         }
         boolean subscribes = role == Role.SUBSCRIBER;
         if (subscribes != (frame.kind() == Frames.WATCH)) {
-            throw new Frames.Broken("unexpected", "a frame of kind " + frame.kind());
+            throw new Frames.InvalidFrameException("unexpected", "a frame of kind " + frame.kind());
         }
         switch (frame.kind()) {
             case Frames.HELLO -> helloReceived(RaftCodec.hello(frame.payload()));
             case Frames.MESSAGE -> messageReceived(frame.payload());
             case Frames.CALL -> connections.handler().callReceived(this, frame.payload());
             case Frames.WATCH -> connections.subscribers().received(this, frame.payload());
-            default -> throw new Frames.Broken("unknown-kind", "a frame of kind " + frame.kind());
+            default ->
+                    throw new Frames.InvalidFrameException(
+                            "unknown-kind", "a frame of kind " + frame.kind());
         }
     }
 
@@ -112,7 +114,8 @@
 
     private void messageReceived(byte[] payload) throws IOException {
         if (peerHello == null) {
-            throw new Frames.Broken("unexpected", "a message before its sender's name");
+            throw new Frames.InvalidFrameException(
+                    "unexpected", "a message before its sender's name");
         }
         connections.handler().messageReceived(payload, peerHello.cluster());
     }
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -59,7 +59,7 @@
     private boolean timerSet;
     private boolean urgentRound = true;
     private boolean proxiesUnassigned;
-    private boolean owedIsHeld;
+    private boolean requiredIsDeferred;
 
     /**
      * A planner that knows no replicas and no proxies.
@@ -143,11 +143,11 @@
     /**
      * A proxy's stream came up; the proxy keeps the tables that it had.
      *
-     * @param usualRate transactions a second that it usually gets
+     * @param baselineRate transactions a second that it usually receives
      */
-    public void proxyJoined(long now, int number, String zone, double usualRate) {
+    public void proxyJoined(long now, int number, String zone, double baselineRate) {
         this.now = now;
-        proxies.join(now, number, zone, usualRate);
+        proxies.join(now, number, zone, baselineRate);
         proxiesUnassigned = true;
     }
 
@@ -162,7 +162,7 @@
      *
      * @param meanAnswerTicks mean time of the answers
      * @param spanTicks time that the report covers
-     * @param load fraction of its time that the replica was busy, or null if it did not tell
+     * @param load fraction of its time that the replica was busy, or null if it reported none
      */
     public void recordLoadReport(
             long now,
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Transactions of a class came to a proxy over a span. */
+    /** A proxy reported its arrivals of a class over a span. */
     public void recordUsage(long now, int number, String className, int count, long spanTicks) {
         this.now = now;
         Proxy proxy = proxies.get(number);
@@ -202,7 +202,7 @@
         }
     }
 
-    /** The time came that {@link ProxyCommands#wakeAfter} asked for. */
+    /** The timer that {@link ProxyCommands#wakeAfter} asked for fired. */
     public void timerFired(long now) {
         this.now = now;
         timerSet = false;
@@ -217,7 +217,7 @@
             assignWaitingProxies();
         } else if (!timerSet) {
             timerSet = true;
-            urgentRound |= owedIsHeld;
+            urgentRound |= requiredIsDeferred;
             commands.wakeAfter(TIMER_TICKS);
         } else if (!log.isEmpty()) {
             commands.log(log.remove());
@@ -246,20 +246,11 @@
         operatorDrains.applyOperatorDrains(replicas, now);
         urgentRound = subsetter.assignSubsets(replicas, proxies);
         decayEvidence();
-        outlierDetector.detectOutliers(
-                replicas.all(), activeRoutes.replicas(), capacityEstimator::loadOf, now);
+        detectOutliers();
         estimateDemand();
-        FleetCapacity capacity =
-                capacityEstimator.estimate(
-                        activeRoutes.replicas(), traffic, baseline, demand.expectedPerTick(), now);
+        FleetCapacity capacity = estimateCapacity();
+        updateAdmissionLevels(capacity);
         solver.carryOver(activeRoutes.tables());
-        admission.update(
-                traffic,
-                baseline,
-                capacity,
-                outlierDetector.medianFailureRatio(),
-                settings.worstClassWeight(),
-                now);
         if (regular) {
             solver.solve(activeRoutes, settings.zoneCrossingPrice());
             // Urgent rounds do not put the next regular one off: a list that changes often would.
@@ -272,12 +263,17 @@
     private void decayEvidence() {
         long elapsedTicks = now - lastRoundTicks;
         lastRoundTicks = now;
-        baseline.update(proxies.usualRatePerSecond(), elapsedTicks, !traffic.isEmpty());
+        baseline.update(proxies.baselineRatePerSecond(), elapsedTicks, !traffic.isEmpty());
         capacityEstimator.decay(replicas.all(), elapsedTicks, now);
         outlierDetector.decay(replicas.all(), elapsedTicks);
         traffic.decay(elapsedTicks, admission.levels());
     }
 
+    private void detectOutliers() {
+        outlierDetector.detectOutliers(
+                replicas.all(), activeRoutes.replicas(), capacityEstimator::loadOf, now);
+    }
+
     private void estimateDemand() {
         List<ProxyGroup> groups = subsetter.groups();
         List<RoutingTable> tables = ActiveRoutes.tablesInUse(groups);
@@ -285,11 +281,26 @@
         activeRoutes = ActiveRoutes.collect(tables, replicas.all());
     }
 
+    private FleetCapacity estimateCapacity() {
+        return capacityEstimator.estimate(
+                activeRoutes.replicas(), traffic, baseline, demand.expectedPerTick(), now);
+    }
+
+    private void updateAdmissionLevels(FleetCapacity capacity) {
+        admission.update(
+                traffic,
+                baseline,
+                capacity,
+                outlierDetector.medianFailureRatio(),
+                settings.worstClassWeight(),
+                now);
+    }
+
     private void publish(ProxyCommands commands, boolean regular) {
         TargetWeights.Round round =
                 targetWeights.round(
                         demand, proxies.all().size(), subsetter.coversWholeFleet(), now);
-        owedIsHeld =
+        requiredIsDeferred =
                 publisher.publish(
                         commands,
                         subsetter.groups(),
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -12,7 +12,10 @@
     /** Change of a level below which it is not sent. */
     private static final double MIN_LEVEL_CHANGE = 0.02;
 
-    private static final double REMOVAL_PRIORITY = 2;
+    /** Levels are sent in hundredths. */
+    private static final double LEVEL_STEPS = 100;
+
+    private static final double REMOVAL_PRIORITY = TableChange.LEVEL_PRIORITY + 1;
 
     private final AdmissionController admission;
     private final TargetWeights targetWeights;
@@ -35,7 +38,7 @@
     }
 
     private void addLevelChange(List<TableChange> changes, RoutingTable table) {
-        double level = Math.round(admission.level(table.classNumber()) * 100) / 100.0;
+        double level = Math.round(admission.level(table.classNumber()) * LEVEL_STEPS) / LEVEL_STEPS;
         double published = table.publishedLevel();
         if (Math.abs(level - published) > MIN_LEVEL_CHANGE || level == 1 && published < 1) {
             changes.add(new TableChange.Level(table, level));
@@ -52,7 +55,7 @@
                 changes.add(new TableChange.Entry(route, weight, REMOVAL_PRIORITY));
             }
         } else if (size * scale > MIN_WEIGHT_CHANGE_RATIO * published) {
-            double priority = published == 0 ? 1 + size : size;
+            double priority = published == 0 ? TableChange.LEVEL_PRIORITY + size : size;
             changes.add(new TableChange.Entry(route, weight, priority));
         }
     }
--- a/src/main/java/rockshift/testkit/SimulatedDisk.java
+++ b/src/main/java/rockshift/testkit/SimulatedDisk.java
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void cut(String name, long size) throws IOException {
+    public void truncate(String name, long size) throws IOException {
         countOperation();
         File file = file(name);
         byte[] kept = Arrays.copyOf(file.bytes.toByteArray(), (int) size);
