--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
+import java.util.Locale;
 import java.util.Map;
 import rockshift.config.InvalidFileException;
 import rockshift.config.Section;
@@ -40,8 +41,9 @@
         HOLD
     }
 
-    private static final int LEAST_ELECTION = 50;
-    private static final int MOST_FOUNDERS = 5;
+    private static final int MIN_ELECTION_TIMEOUT_MS = 50;
+    private static final int MAX_ELECTION_TIMEOUT_MS = 60_000;
+    private static final int MAX_FOUNDERS = 5;
 
     /** A member that serves as many subscribers as is usual. */
     public ClusterSettings(
@@ -77,31 +79,11 @@
         InetSocketAddress listen = cluster.address("listen", null);
         String address = cluster.text("address", cluster.text("listen", null));
         Path folder = Path.of(cluster.text("folder", null));
-        long election = cluster.span("election", "1s", LEAST_ELECTION, 60_000);
-        long heartbeat = cluster.span("heartbeat", election / 50 + "ms", 5, 30_000);
-        if (heartbeat * 3 > election) {
-            throw cluster.wrong("heartbeat", "must be a third of election at most");
-        }
-        double drift = cluster.number("drift", 0.05, 0, 0.5);
-        boolean leases = cluster.flag("leases", true);
-        int batch = cluster.whole("batch", 512, 1, 4_096);
-        Engine.Compaction compaction =
-                new Engine.Compaction(
-                        cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
-                        cluster.bytes("snapshot_bytes", "4MB", 64 << 10, 64 << 20));
-        Minority minority =
-                Minority.valueOf(
-                        cluster.word("minority", "withdraw", "serve", "withdraw", "hold")
-                                .toUpperCase(java.util.Locale.ROOT));
-        Map<String, String> founders = addresses(cluster, "founder");
-        if (!founders.isEmpty() && !founders.containsKey(name)) {
-            throw cluster.wrong("founder", "does not name " + name + " itself");
-        } else if (founders.size() > MOST_FOUNDERS
-                || founders.size() == 2
-                || founders.size() == 4) {
-            throw cluster.wrong("founder", "must name one, three or five, not " + founders.size());
-        }
-        Map<String, String> routes = addresses(cluster, "route");
+        Timing timing = readTiming(cluster);
+        Engine.Compaction compaction = readCompaction(cluster);
+        Minority minority = readMinority(cluster);
+        Map<String, String> founders = readFounders(cluster, name);
+        Map<String, String> routes = readAddresses(cluster, "route");
         int subscribers =
                 cluster.whole(
                         "subscribers",
@@ -116,19 +98,55 @@
                 folder,
                 founders,
                 routes,
-                new Timing(election, heartbeat, drift, leases, batch),
+                timing,
                 compaction,
                 minority,
                 subscribers);
     }
 
-    private static Map<String, String> addresses(Section cluster, String kind)
+    private static Timing readTiming(Section cluster) throws InvalidFileException {
+        long election =
+                cluster.span("election", "1s", MIN_ELECTION_TIMEOUT_MS, MAX_ELECTION_TIMEOUT_MS);
+        long heartbeat = cluster.span("heartbeat", election / 50 + "ms", 5, 30_000);
+        if (heartbeat * 3 > election) {
+            throw cluster.wrong("heartbeat", "must be a third of election at most");
+        }
+        double drift = cluster.number("drift", 0.05, 0, 0.5);
+        boolean leases = cluster.flag("leases", true);
+        int batch = cluster.whole("batch", 512, 1, 4_096);
+        return new Timing(election, heartbeat, drift, leases, batch);
+    }
+
+    private static Engine.Compaction readCompaction(Section cluster) throws InvalidFileException {
+        return new Engine.Compaction(
+                cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
+                cluster.bytes("snapshot_bytes", "4MB", 64 << 10, 64 << 20));
+    }
+
+    private static Minority readMinority(Section cluster) throws InvalidFileException {
+        String word = cluster.word("minority", "withdraw", "serve", "withdraw", "hold");
+        return Minority.valueOf(word.toUpperCase(Locale.ROOT));
+    }
+
+    private static Map<String, String> readFounders(Section cluster, String name)
+            throws InvalidFileException {
+        Map<String, String> founders = readAddresses(cluster, "founder");
+        int count = founders.size();
+        if (count > 0 && !founders.containsKey(name)) {
+            throw cluster.wrong("founder", "does not name " + name + " itself");
+        } else if (count > MAX_FOUNDERS || count == 2 || count == 4) {
+            throw cluster.wrong("founder", "must name one, three or five, not " + count);
+        }
+        return founders;
+    }
+
+    private static Map<String, String> readAddresses(Section cluster, String kind)
             throws InvalidFileException {
-        Map<String, String> found = new LinkedHashMap<>();
-        for (Map.Entry<String, Section> each : cluster.blocks(kind).entrySet()) {
-            each.getValue().address("address", null);
-            found.put(each.getKey(), each.getValue().text("address", null));
+        Map<String, String> addresses = new LinkedHashMap<>();
+        for (Map.Entry<String, Section> block : cluster.blocks(kind).entrySet()) {
+            block.getValue().address("address", null);
+            addresses.put(block.getKey(), block.getValue().text("address", null));
         }
-        return found;
+        return addresses;
     }
 }
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -28,9 +28,11 @@
 import rockshift.raft.RaftNode;
 
 /**
- * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a
- * thread of its own, so that the agreement waits for none of it. The member's thread hands in what
- * is agreed; subscribers' messages come from the connections.
+ * Publishes the agreed state to the relays and controllers that subscribe at a member, on a thread
+ * of its own, so that the cluster's protocol waits for none of it.
+ *
+ * <p>It owns that thread, which alone uses the publisher and its store. The member's thread hands
+ * in what is agreed; subscribers' messages come from the reactor's thread. Both queue steps.
  */
 final class DistributionService implements DownstreamConnections.Owner, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
@@ -45,7 +47,10 @@
     private static final long TICK_MS = 50;
 
     private static final long IDLE_TICK_MS = 1_000;
-    private static final long JOIN_MS = 500;
+
+    /** How long the thread may take to end. */
+    private static final long STOP_TIMEOUT_MS = 500;
+
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final DownstreamConnections port;
@@ -59,9 +64,16 @@
 
     private final AtomicInteger pendingChanges = new AtomicInteger();
     private final Thread thread = new Thread(this::work, "distribution");
+
+    /** Publishes to the publisher's thread that it is to end. */
     private volatile boolean closed;
+
+    /** Publishes from the member's thread up to when what was handed over is the newest. */
     private volatile long freshAt = Long.MIN_VALUE;
+
+    /** Publishes from the publisher's thread how publishing stands, for the status. */
     private volatile Standing standing = new Standing(0, 0, new Summary(0, 0, 0, 0, 0));
+
     // Used by the member's thread alone.
     private final Freshness freshness;
     private final Map<String, Item> handedOver = new HashMap<>();
@@ -108,9 +120,7 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    // ---- the member's thread --------------------------------------------------------------------
-
-    /** A message came to the member. */
+    /** A message of another member has come. */
     void messageReceived(Message message, RaftNode raft) {
         freshness.messageReceived(message, raft, now());
     }
@@ -166,7 +176,7 @@
             handedOver.put(item.key(), item);
             return Update.put(revision.number(), item);
         } catch (IOException impossible) {
-            throw new IllegalStateException("a change that was applied can't be read", impossible);
+            throw new IllegalStateException("an applied change cannot be decoded", impossible);
         }
     }
 
@@ -184,15 +194,13 @@
                         changed = true;
                     } catch (RejectionException refused) {
                         LOG.error(
-                                "what was agreed can't be published: {} {}",
+                                "agreed change not published reason={} detail=\"{}\"",
                                 refused.reason().code(),
                                 refused.detail());
                     }
                 });
     }
 
-    // ---- the publisher's thread -----------------------------------------------------------------
-
     private void work() {
         List<Runnable> batch = new ArrayList<>();
         while (!closed) {
@@ -239,7 +247,7 @@
         try {
             step.run();
         } catch (RuntimeException failure) {
-            LOG.error("failure in the distribution", failure);
+            LOG.error("distribution step failed", failure);
         }
     }
 
@@ -276,6 +284,6 @@
     public void close() throws InterruptedException {
         closed = true;
         thread.interrupt();
-        thread.join(JOIN_MS);
+        thread.join(STOP_TIMEOUT_MS);
     }
 }
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -1,60 +1,54 @@
 package rockshift.cluster;
 
+import rockshift.model.Ticks;
 import rockshift.raft.Message;
 import rockshift.raft.RaftNode;
 
 /**
- * Tells up to when what a member has applied was the newest that was agreed. A leader that most
- * answered within an election time was the leader then; a follower is as fresh as its leader was
- * when it last told how far entries are agreed, once these are applied.
+ * Up to when what a member has applied was the newest that was agreed. A leader that a quorum
+ * answered within an election timeout was the leader then. A follower is as fresh as its leader was
+ * when it last announced its commit index, once the entries up to that are applied. Used by the
+ * member's thread alone.
  */
 final class Freshness {
-    private static final int TENTHS_PER_MILLI = 10;
+    private final long electionTimeoutMillis;
+    private long freshAtMillis = Long.MIN_VALUE;
 
-    private final long electionMs;
-    private long freshAt = Long.MIN_VALUE;
+    /** The commit index that the leader has announced, while it is not applied here; or 0. */
+    private long announcedIndex;
 
-    /**
-     * Up to where the leader said that entries are agreed, and when that came; 0 where nothing is
-     * waited for.
-     */
-    private long announced;
-
-    private long announcedAt;
+    private long announcedAtMillis;
 
-    /**
-     * @param election tenths of a ms
-     */
-    Freshness(long election) {
-        electionMs = election / TENTHS_PER_MILLI;
+    Freshness(long electionTimeoutTicks) {
+        electionTimeoutMillis = electionTimeoutTicks / Ticks.TICKS_PER_MILLI;
     }
 
-    /** A message came to a member. */
-    public void messageReceived(Message message, RaftNode raft, long nowMs) {
+    /** A message has come to the member. */
+    void messageReceived(Message message, RaftNode raft, long nowMillis) {
         if (message instanceof Message.AppendRequest append
                 && append.from() == raft.leader()
-                && announced == 0) {
-            announced = Math.max(1, append.leaderCommitIndex());
-            announcedAt = nowMs;
+                && announcedIndex == 0) {
+            announcedIndex = Math.max(1, append.leaderCommitIndex());
+            announcedAtMillis = nowMillis;
         }
     }
 
     /**
-     * Ms of the time up to which all that was agreed is known to be applied here; the lowest long
-     * if it never was.
+     * The time up to which all that was agreed is known to be applied here, in ms; {@link
+     * Long#MIN_VALUE} if it never was.
      */
-    public long freshAt(RaftNode raft, long nowMs) {
+    long freshAt(RaftNode raft, long nowMillis) {
         if (raft.isLeader()) {
-            announced = 0;
+            announcedIndex = 0;
             if (raft.hasQuorumContact()
                     && raft.appliedIndex() == raft.commitIndex()
                     && raft.log().term(raft.commitIndex()) == raft.term()) {
-                freshAt = nowMs - electionMs;
+                freshAtMillis = nowMillis - electionTimeoutMillis;
             }
-        } else if (announced > 0 && raft.appliedIndex() >= announced) {
-            freshAt = Math.max(freshAt, announcedAt - electionMs);
-            announced = 0;
+        } else if (announcedIndex > 0 && raft.appliedIndex() >= announcedIndex) {
+            freshAtMillis = Math.max(freshAtMillis, announcedAtMillis - electionTimeoutMillis);
+            announcedIndex = 0;
         }
-        return freshAt;
+        return freshAtMillis;
     }
 }
--- a/src/main/java/rockshift/cluster/LocalController.java
+++ b/src/main/java/rockshift/cluster/LocalController.java
@@ -3,33 +3,32 @@
 import java.util.Map;
 
 /**
- * The governor that a member belongs to, as far as the agreement concerns it. Calls come on the
- * member's thread.
+ * The controller that a member belongs to, as far as the agreed state concerns it. Calls come on
+ * the member's thread and must not wait.
  */
 public interface LocalController {
-    /**
-     * Whether a governor is in touch with a leader that most hear, or what it still may order if
-     * not.
-     */
+    /** How much a controller may order, by whether its member is in touch with a quorum. */
     enum Reach {
+        /** All: the member is in touch, or its file says so. */
         FULL,
+        /** Removals only: what the rules owe to replicas that drain. */
         WITHDRAW,
+        /** Nothing. */
         HOLD
     }
 
-    /** What stands agreed now: told anew, whole, after each change. */
-    void applyAgreed(long version, Map<String, Change> out, Map<String, Double> terms);
+    /** Takes over all that is agreed, anew after each change. */
+    void applyAgreed(long version, Map<String, Change> drains, Map<String, Double> overrides);
 
+    /** Takes over how much it may order. */
     void setReach(Reach reach);
 
-    /** Why the governor would not have a change, by what is listed now; null if it would. */
-    String objection(Change change, Map<String, Change> out);
+    /** Why the controller refuses a change, by what discovery lists now; null if it does not. */
+    String objection(Change change, Map<String, Change> drains);
 
-    /**
-     * When a replica that is listed last started, in ms of Unix time; 0 where that is not known.
-     */
+    /** When a listed replica last started, in ms of Unix time; 0 where that is not known. */
     long startedMillis(String replica);
 
-    /** The zone of a replica that is listed; empty where that is not known. */
+    /** The zone of a listed replica; empty where that is not known. */
     String zoneOf(String replica);
 }
