--- a/src/main/java/rockshift/cluster/ClusterBootstrap.java
+++ b/src/main/java/rockshift/cluster/ClusterBootstrap.java
@@ -10,7 +10,7 @@
 import rockshift.raft.Member;
 import rockshift.raft.Snapshot;
 import rockshift.storage.DurableLog;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.Hello;
 
 /**
  * How a member with an empty folder becomes part of a cluster. Founders begin one once each has met
@@ -31,7 +31,7 @@
     private final Engine engine;
 
     /** The last hello of each member met, by name. */
-    private final Map<String, RaftCodec.Hello> met = new TreeMap<>();
+    private final Map<String, Hello> met = new TreeMap<>();
 
     /** Publishes the cluster that this member is part of to the reactor's thread. */
     private volatile long clusterId;
@@ -60,7 +60,7 @@
     }
 
     /** Notes what another member has said; warns of one that belongs to another cluster. */
-    void met(RaftCodec.Hello hello) {
+    void met(Hello hello) {
         met.put(hello.name(), hello);
         if (isPartOfCluster() && hello.cluster() != NONE && hello.cluster() != clusterId) {
             LOG.warn(
@@ -76,7 +76,7 @@
      *
      * @param hello what another member has just said, or null as this one begins
      */
-    void tryJoin(RaftCodec.Hello hello) {
+    void tryJoin(Hello hello) {
         try {
             if (hello == null || hello.cluster() == NONE) {
                 foundWithAllFounders();
@@ -95,7 +95,7 @@
         }
     }
 
-    private void join(RaftCodec.Hello hello) throws IOException {
+    private void join(Hello hello) throws IOException {
         log.joinCluster(hello.cluster(), List.of());
         clusterId = hello.cluster();
         LOG.info("cluster joined id={} by={}", Long.toHexString(clusterId), hello.name());
@@ -111,7 +111,7 @@
         for (Map.Entry<String, String> founder : new TreeMap<>(settings.founders()).entrySet()) {
             String name = founder.getKey();
             boolean self = name.equals(settings.name());
-            RaftCodec.Hello hello = met.get(name);
+            Hello hello = met.get(name);
             if (!self && (hello == null || hello.cluster() != NONE)) {
                 return;
             }
--- a/src/main/java/rockshift/cluster/ClusterClient.java
+++ b/src/main/java/rockshift/cluster/ClusterClient.java
@@ -109,7 +109,7 @@
 
     private static InetSocketAddress parse(String address) throws IOException {
         try {
-            return Section.socket(address);
+            return Section.parseAddress(address);
         } catch (IllegalArgumentException invalid) {
             throw new IOException(invalid.getMessage(), invalid);
         }
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -17,7 +17,8 @@
 import rockshift.raft.TermAndVote;
 import rockshift.storage.DurableLog;
 import rockshift.storage.FileDisk;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.Hello;
+import rockshift.wire.MessageCodec;
 
 /**
  * One running member of the cluster: puts its parts together, and starts and stops their threads.
@@ -232,7 +233,7 @@
         directory.invalidate();
     }
 
-    private void tryJoin(RaftCodec.Hello met) {
+    private void tryJoin(Hello met) {
         bootstrap.tryJoin(met);
         if (bootstrap.isPartOfCluster()) {
             updateHello();
@@ -240,7 +241,7 @@
         }
     }
 
-    private void met(RaftCodec.Hello other) {
+    private void met(Hello other) {
         bootstrap.met(other);
         if (other.members().get(bootstrap.memberId()) != null) {
             directory.namedIn(other.members());
@@ -258,14 +259,14 @@
         }
 
         @Override
-        public void helloReceived(RaftCodec.Hello other) {
+        public void helloReceived(Hello other) {
             inputs.offer(() -> met(other));
         }
 
         @Override
         public void messageReceived(byte[] payload, long cluster) throws IOException {
             if (bootstrap.isPartOfCluster() && cluster == bootstrap.clusterId()) {
-                Message message = RaftCodec.message(payload);
+                Message message = MessageCodec.decode(payload);
                 inputs.offer(
                         () -> {
                             engine.receive(message);
@@ -287,7 +288,7 @@
             String address = directory.addressOf(message.to());
             if (address != null) {
                 try {
-                    connections.send(address, RaftCodec.message(message));
+                    connections.send(address, MessageCodec.encode(message));
                 } catch (IOException impossible) {
                     throw new UncheckedIOException(impossible);
                 }
@@ -297,8 +298,7 @@
         @Override
         public void save(
                 long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
-            diskWriter.submit(
-                    () -> log.save(vote, from, entries, snapshot), () -> engine.saved(ticket));
+            diskWriter.submit(() -> log.save(vote, entries, snapshot), () -> engine.saved(ticket));
         }
 
         @Override
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -19,7 +19,7 @@
  *     later
  * @param routes by name: where this member reaches another, if not at the address that all were
  *     told
- * @param subscribers relays and governors that may subscribe here at a time
+ * @param subscribers relays and controllers that may subscribe here at a time
  */
 public record ClusterSettings(
         String name,
@@ -32,9 +32,7 @@
         Engine.Compaction compaction,
         Minority minority,
         int subscribers) {
-    /**
-     * What a governor still orders when it is cut off from most: all, what rules owe, or nothing.
-     */
+    /** What a controller still orders without a quorum: all, removals only, or nothing. */
     public enum Minority {
         SERVE,
         WITHDRAW,
@@ -45,35 +43,11 @@
     private static final int MAX_ELECTION_TIMEOUT_MS = 60_000;
     private static final int MAX_FOUNDERS = 5;
 
-    /** A member that serves as many subscribers as is usual. */
-    public ClusterSettings(
-            String name,
-            InetSocketAddress listen,
-            String address,
-            Path folder,
-            Map<String, String> founders,
-            Map<String, String> routes,
-            Timing timing,
-            Engine.Compaction compaction,
-            Minority minority) {
-        this(
-                name,
-                listen,
-                address,
-                folder,
-                founders,
-                routes,
-                timing,
-                compaction,
-                minority,
-                DistributionSettings.DEFAULT_SUBSCRIBERS);
-    }
-
     /** Reads the block, and refuses what it does not know. */
     public static ClusterSettings read(Section file) throws InvalidFileException {
         Section cluster = file.block("cluster");
         if (cluster == null) {
-            throw file.wrong("cluster", "is missing");
+            throw file.invalid("cluster", "is missing");
         }
         String name = cluster.text("name", null);
         InetSocketAddress listen = cluster.address("listen", null);
@@ -85,12 +59,12 @@
         Map<String, String> founders = readFounders(cluster, name);
         Map<String, String> routes = readAddresses(cluster, "route");
         int subscribers =
-                cluster.whole(
+                cluster.integer(
                         "subscribers",
                         DistributionSettings.DEFAULT_SUBSCRIBERS,
                         1,
                         DistributionSettings.MAX_SUBSCRIBERS);
-        cluster.end();
+        cluster.rejectUnknownFields();
         return new ClusterSettings(
                 name,
                 listen,
@@ -106,25 +80,26 @@
 
     private static Timing readTiming(Section cluster) throws InvalidFileException {
         long election =
-                cluster.span("election", "1s", MIN_ELECTION_TIMEOUT_MS, MAX_ELECTION_TIMEOUT_MS);
-        long heartbeat = cluster.span("heartbeat", election / 50 + "ms", 5, 30_000);
+                cluster.durationTicks(
+                        "election", "1s", MIN_ELECTION_TIMEOUT_MS, MAX_ELECTION_TIMEOUT_MS);
+        long heartbeat = cluster.durationTicks("heartbeat", election / 50 + "ms", 5, 30_000);
         if (heartbeat * 3 > election) {
-            throw cluster.wrong("heartbeat", "must be a third of election at most");
+            throw cluster.invalid("heartbeat", "must be a third of election at most");
         }
         double drift = cluster.number("drift", 0.05, 0, 0.5);
         boolean leases = cluster.flag("leases", true);
-        int batch = cluster.whole("batch", 512, 1, 4_096);
+        int batch = cluster.integer("batch", 512, 1, 4_096);
         return new Timing(election, heartbeat, drift, leases, batch);
     }
 
     private static Engine.Compaction readCompaction(Section cluster) throws InvalidFileException {
         return new Engine.Compaction(
-                cluster.whole("snapshot_after", 10_000, 100, 1_000_000),
+                cluster.integer("snapshot_after", 10_000, 100, 1_000_000),
                 cluster.bytes("snapshot_bytes", "4MB", 64 << 10, 64 << 20));
     }
 
     private static Minority readMinority(Section cluster) throws InvalidFileException {
-        String word = cluster.word("minority", "withdraw", "serve", "withdraw", "hold");
+        String word = cluster.choice("minority", "withdraw", "serve", "withdraw", "hold");
         return Minority.valueOf(word.toUpperCase(Locale.ROOT));
     }
 
@@ -133,9 +108,9 @@
         Map<String, String> founders = readAddresses(cluster, "founder");
         int count = founders.size();
         if (count > 0 && !founders.containsKey(name)) {
-            throw cluster.wrong("founder", "does not name " + name + " itself");
+            throw cluster.invalid("founder", "does not name " + name + " itself");
         } else if (count > MAX_FOUNDERS || count == 2 || count == 4) {
-            throw cluster.wrong("founder", "must name one, three or five, not " + count);
+            throw cluster.invalid("founder", "must name one, three or five, not " + count);
         }
         return founders;
     }
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -17,7 +17,7 @@
 import rockshift.raft.TermAndVote;
 import rockshift.raft.Timing;
 import rockshift.storage.DurableLog;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.StateCodec;
 
 /**
  * One member's decisions: the protocol, the client sessions, and who waits for what. It does no
@@ -116,7 +116,7 @@
                         disk.entries());
         snapshotIndex = disk.snapshot().index();
         if (disk.snapshot().data().length > 0) {
-            RaftCodec.restore(disk.snapshot().data(), sessions);
+            StateCodec.restoreImage(disk.snapshot().data(), sessions);
         }
     }
 
@@ -260,7 +260,8 @@
         }
         try {
             long index = raft.appliedIndex();
-            byte[] image = RaftCodec.image(sessions.sessions(), sessions.stateMachine().snapshot());
+            byte[] image =
+                    StateCodec.encodeImage(sessions.sessions(), sessions.stateMachine().snapshot());
             keepingSnapshot = true;
             snapshotIndex = index;
             environment.keepSnapshot(
@@ -304,7 +305,7 @@
     @Override
     public void restore(Snapshot snapshot) {
         try {
-            RaftCodec.restore(snapshot.data(), sessions);
+            StateCodec.restoreImage(snapshot.data(), sessions);
         } catch (IOException damaged) {
             throw new IllegalStateException(
                     "snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
--- a/src/main/java/rockshift/cluster/MemberConnection.java
+++ b/src/main/java/rockshift/cluster/MemberConnection.java
@@ -8,7 +8,7 @@
 import rockshift.cluster.IncomingConnectionLimits.Role;
 import rockshift.wire.FramedConnection;
 import rockshift.wire.Frames;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.Hello;
 
 /**
  * One connection of a member: to another member, or from a member, a command or a subscriber.
@@ -32,7 +32,7 @@
     private final OutgoingPeer dialled;
 
     /** What the other member has said of itself, or null. */
-    private RaftCodec.Hello peerHello;
+    private Hello peerHello;
 
     /** Of a connection that the other side has opened. */
     private Role role;
@@ -81,7 +81,7 @@
             throw new Frames.InvalidFrameException("unexpected", "a frame of kind " + frame.kind());
         }
         switch (frame.kind()) {
-            case Frames.HELLO -> helloReceived(RaftCodec.hello(frame.payload()));
+            case Frames.HELLO -> helloReceived(Hello.decode(frame.payload()));
             case Frames.MESSAGE -> messageReceived(frame.payload());
             case Frames.CALL -> connections.handler().callReceived(this, frame.payload());
             case Frames.WATCH -> connections.subscribers().received(this, frame.payload());
@@ -104,7 +104,7 @@
         return true;
     }
 
-    private void helloReceived(RaftCodec.Hello hello) {
+    private void helloReceived(Hello hello) {
         peerHello = hello;
         if (dialled == null) {
             sendHello();
--- a/src/main/java/rockshift/cluster/MemberConnections.java
+++ b/src/main/java/rockshift/cluster/MemberConnections.java
@@ -20,7 +20,7 @@
 import rockshift.config.Section;
 import rockshift.distribution.wire.DownstreamConnections;
 import rockshift.wire.Frames;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.Hello;
 
 /**
  * A member's sockets: a listener of its own, and one outgoing connection to each other member. What
@@ -51,7 +51,7 @@
         /** This member's own hello, encoded. */
         byte[] hello();
 
-        void helloReceived(RaftCodec.Hello hello);
+        void helloReceived(Hello hello);
 
         /**
          * A message of the protocol.
@@ -165,7 +165,7 @@
     }
 
     private void dial(String address, OutgoingPeer peer) {
-        InetSocketAddress remote = Section.socket(address);
+        InetSocketAddress remote = Section.parseAddress(address);
         reactor.connect(
                 new HttpHost(remote.getHostString(), remote.getPort()),
                 remote,
--- a/src/main/java/rockshift/cluster/MemberHello.java
+++ b/src/main/java/rockshift/cluster/MemberHello.java
@@ -4,7 +4,7 @@
 import java.io.UncheckedIOException;
 import rockshift.raft.Membership;
 import rockshift.wire.Frames;
-import rockshift.wire.RaftCodec;
+import rockshift.wire.Hello;
 
 /**
  * What this member says of itself at the start of a connection, and again when it changes. Updated
@@ -37,9 +37,7 @@
     void update(long cluster, Membership current) {
         try {
             membership = current;
-            encoded =
-                    RaftCodec.hello(
-                            new RaftCodec.Hello(Frames.VERSION, cluster, memberId, name, current));
+            encoded = new Hello(Frames.VERSION, cluster, memberId, name, current).encode();
         } catch (IOException impossible) {
             throw new UncheckedIOException(impossible);
         }
