--- a/src/main/java/rockshift/cli/MemberOptions.java
+++ b/src/main/java/rockshift/cli/MemberOptions.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import rockshift.cluster.Change;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 import rockshift.cluster.ClusterSettings;
 import rockshift.config.InvalidFileException;
 import rockshift.config.OperatorFile;
@@ -68,8 +68,8 @@
     }
 
     /** A client of these members; the caller closes it. */
-    Client client() throws InvalidFileException {
-        return new Client(addresses(), RandomGenerator.getDefault(), CALL_TIMEOUT_MILLIS);
+    ClusterClient client() throws InvalidFileException {
+        return new ClusterClient(addresses(), RandomGenerator.getDefault(), CALL_TIMEOUT_MILLIS);
     }
 
     /** Until when to go on asking, by the monotonic clock. */
@@ -101,7 +101,7 @@
     /** Proposes a change, prints what came of it, and returns the exit status. */
     int change(Change change, boolean force)
             throws InvalidFileException, IOException, InterruptedException {
-        try (Client client = client()) {
+        try (ClusterClient client = client()) {
             JsonNode answer = client.change(change, force, deadlineMillis());
             return print(
                     answer,
@@ -115,7 +115,7 @@
     /** Asks the leader, prints its answer, and returns the exit status. */
     int ask(ObjectNode call, String done)
             throws InvalidFileException, IOException, InterruptedException {
-        try (Client client = client()) {
+        try (ClusterClient client = client()) {
             return print(client.askLeader(call, deadlineMillis()), done);
         }
     }
--- a/src/main/java/rockshift/testkit/FaultTrial.java
+++ b/src/main/java/rockshift/testkit/FaultTrial.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 
 /**
  * Controllers as processes, killed, paused and partitioned at random while clients propose changes;
@@ -283,8 +283,9 @@
 
     private long appliedVersion(int member) {
         String address = controllers.clientAddress(member);
-        try (Client client = new Client(List.of(address), random, STATUS_TIMEOUT_MILLIS)) {
-            return client.ask(address, Client.call("status")).path("applied").asLong();
+        try (ClusterClient client =
+                new ClusterClient(List.of(address), random, STATUS_TIMEOUT_MILLIS)) {
+            return client.ask(address, ClusterClient.call("status")).path("applied").asLong();
         } catch (IOException busy) {
             return UNKNOWN_VERSION;
         }
