--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -12,12 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.distribution.ConfigurationStore;
-import rockshift.distribution.DistributionMessage;
 import rockshift.distribution.Item;
 import rockshift.distribution.Limits;
 import rockshift.distribution.Publisher;
 import rockshift.distribution.RejectionException;
-import rockshift.distribution.RejectionReason;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Scope;
 import rockshift.distribution.Summary;
@@ -32,7 +30,7 @@
  * thread of its own, so that the agreement waits for none of it. The member's thread hands in what
  * is agreed; subscribers' messages come from the connections.
  */
-final class DistributionService implements DownstreamConnections.Owner, AutoCloseable {
+final class DistributionService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
 
     /**
@@ -86,9 +84,10 @@
     DistributionService(int subscribers, long election, RandomGenerator random) {
         Limits limits = DistributionSettings.limits(subscribers);
         freshness = new Freshness(election);
-        port = new DownstreamConnections(subscribers, this);
+        port = new DownstreamConnections(subscribers, this::execute);
         store = new ConfigurationStore(limits.sizes());
         publisher = new Publisher(store, Scope.all(), limits, random, port);
+        port.serve(publisher);
         thread.setDaemon(true);
     }
 
@@ -243,8 +242,7 @@
         }
     }
 
-    @Override
-    public void execute(Runnable step) {
+    private void execute(Runnable step) {
         steps.add(
                 () -> {
                     flush();
@@ -252,26 +250,6 @@
                 });
     }
 
-    @Override
-    public void connected(long connection) {
-        publisher.connected(connection, now());
-    }
-
-    @Override
-    public void received(long connection, DistributionMessage message) {
-        publisher.received(connection, message, now());
-    }
-
-    @Override
-    public void undecodable(long connection, RejectionReason reason, String place) {
-        publisher.undecodable(connection, reason, place, now());
-    }
-
-    @Override
-    public void disconnected(long connection) {
-        publisher.disconnected(connection, now());
-    }
-
     @Override
     public void close() throws InterruptedException {
         closed = true;
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -76,26 +76,6 @@
         subscriber.undecodable(reason, detail, atMillis);
     }
 
-    /** A connection from downstream came up. */
-    public void connected(long connection, long atMillis) {
-        publisher.connected(connection, atMillis);
-    }
-
-    /** A connection from downstream has ended. */
-    public void disconnected(long connection, long atMillis) {
-        publisher.disconnected(connection, atMillis);
-    }
-
-    /** A message came from downstream. */
-    public void received(long connection, DistributionMessage message, long atMillis) {
-        publisher.received(connection, message, atMillis);
-    }
-
-    /** The host could not decode a message from downstream. */
-    public void undecodable(long connection, RejectionReason reason, String detail, long atMillis) {
-        publisher.undecodable(connection, reason, detail, atMillis);
-    }
-
     /** Does what is due on both sides. To be called every 50 ms or so. */
     public void tick(long atMillis) {
         nowMillis = atMillis;
@@ -108,7 +88,7 @@
         return store;
     }
 
-    /** Its downstream side. */
+    /** Its downstream side, to which the host hands the events of subscribers' connections. */
     public Publisher publisher() {
         return publisher;
     }
--- a/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
+++ b/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
@@ -3,6 +3,8 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.Executor;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.slf4j.Logger;
@@ -33,44 +35,38 @@
 
     private static final int MAX_QUEUED = 20_000;
 
-    /**
-     * The publisher's owner, which hands events on in the order in which they came, on whatever
-     * thread it likes.
-     */
-    public interface Owner {
-        /** Runs a step of the publisher, now or later. */
-        void execute(Runnable step);
-
-        /** A subscriber connected. */
-        void connected(long connection);
-
-        /** A message came. */
-        void received(long connection, DistributionMessage message);
-
-        /** A message came that can't be decoded. */
-        void undecodable(long connection, RejectionReason reason, String detail);
-
-        /** A connection has ended. */
-        void disconnected(long connection);
-    }
-
     /** One subscriber's connection. */
     private record Peer(long number, FramedConnection connection, AtomicInteger queued) {}
 
     private final int maxServed;
-    private final Owner owner;
+    private final Executor steps;
     private final ConnectionLog log = new ConnectionLog(LOG, "subscriber");
     private final AtomicLong numbers = new AtomicLong();
     private final AtomicInteger queued = new AtomicInteger();
     private final Map<FramedConnection, Peer> byConnection = new ConcurrentHashMap<>();
     private final Map<Long, Peer> byNumber = new ConcurrentHashMap<>();
 
+    /** Set once, before the first connection is taken; used within the publisher's steps alone. */
+    private Publisher publisher;
+
     /**
+     * No connections, and no publisher yet.
+     *
      * @param maxServed connections that the publisher serves at most
+     * @param steps runs the publisher's steps one at a time, in their order, on any thread
      */
-    public DownstreamConnections(int maxServed, Owner owner) {
+    public DownstreamConnections(int maxServed, Executor steps) {
         this.maxServed = maxServed;
-        this.owner = owner;
+        this.steps = steps;
+    }
+
+    /** Hands the events of connections to this publisher; called before the first one comes. */
+    public void serve(Publisher served) {
+        publisher = served;
+    }
+
+    private static long nowMillis() {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     /** Connections that may be open at a time, those that are told to come again included. */
@@ -88,7 +84,7 @@
         Peer peer = new Peer(numbers.incrementAndGet(), connection, new AtomicInteger());
         byConnection.put(connection, peer);
         byNumber.put(peer.number, peer);
-        owner.execute(() -> owner.connected(peer.number));
+        steps.execute(() -> publisher.connected(peer.number, nowMillis()));
     }
 
     /** A frame's payload came. */
@@ -100,15 +96,14 @@
         }
         try {
             DistributionMessage message = DistributionCodec.read(payload);
-            queue(peer, () -> owner.received(peer.number, message));
+            queue(peer, () -> publisher.received(peer.number, message, nowMillis()));
         } catch (IOException malformed) {
+            String detail = malformed.getMessage();
             queue(
                     peer,
                     () ->
-                            owner.undecodable(
-                                    peer.number,
-                                    RejectionReason.MALFORMED,
-                                    malformed.getMessage()));
+                            publisher.undecodable(
+                                    peer.number, RejectionReason.MALFORMED, detail, nowMillis()));
         }
     }
 
@@ -119,7 +114,7 @@
         }
         peer.queued.incrementAndGet();
         queued.incrementAndGet();
-        owner.execute(
+        steps.execute(
                 () -> {
                     peer.queued.decrementAndGet();
                     queued.decrementAndGet();
@@ -134,7 +129,7 @@
         log.ended(connection.from(), code, connection.about());
         Peer peer = byConnection.remove(connection);
         if (peer != null && byNumber.remove(peer.number) != null) {
-            owner.execute(() -> owner.disconnected(peer.number));
+            steps.execute(() -> publisher.disconnected(peer.number, nowMillis()));
         }
     }
 
--- a/src/main/java/rockshift/distribution/wire/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -45,8 +45,7 @@
         upstream =
                 new UpstreamConnector(
                         reactor, List.copyOf(settings.upstreams().values()), new UpstreamOwner());
-        downstream =
-                new DownstreamConnections(settings.relay().subscribers(), new DownstreamOwner());
+        downstream = new DownstreamConnections(settings.relay().subscribers(), this::execute);
         relay =
                 new Relay(
                         settings.name(),
@@ -57,6 +56,7 @@
                         upstream,
                         downstream,
                         this::logNotice);
+        downstream.serve(relay.publisher());
         staleness =
                 new StalenessMonitor(
                         settings.limits().timing().staleThresholdMillis(),
@@ -157,34 +157,6 @@
                 afterMillis);
     }
 
-    /** Hands the events of subscribers' connections to the relay. */
-    private final class DownstreamOwner implements DownstreamConnections.Owner {
-        @Override
-        public void execute(Runnable step) {
-            RelayProcess.this.execute(step);
-        }
-
-        @Override
-        public void connected(long connection) {
-            relay.connected(connection, nowMillis());
-        }
-
-        @Override
-        public void received(long connection, DistributionMessage message) {
-            relay.received(connection, message, nowMillis());
-        }
-
-        @Override
-        public void undecodable(long connection, RejectionReason reason, String detail) {
-            relay.undecodable(connection, reason, detail, nowMillis());
-        }
-
-        @Override
-        public void disconnected(long connection) {
-            relay.disconnected(connection, nowMillis());
-        }
-    }
-
     /** Hands the events of the connection upstream to the relay. */
     private final class UpstreamOwner implements UpstreamConnector.Owner {
         @Override
