--- a/src/main/java/rockshift/capacity/CapacityReport.java
+++ b/src/main/java/rockshift/capacity/CapacityReport.java
@@ -89,7 +89,7 @@
     private final List<ControllerSample> samples = new ArrayList<>();
     private final List<RunFigure> figures = new ArrayList<>();
 
-    /** One figure of one run of many governors. */
+    /** One figure of one run of many controllers. */
     private record RunFigure(int controllers, String name, double value) {}
 
     /** Reads a folder of tables; one that is missing counts as empty. */
--- a/src/main/java/rockshift/capacity/ControllerRun.java
+++ b/src/main/java/rockshift/capacity/ControllerRun.java
@@ -42,7 +42,7 @@
     private final Path folder;
     private final boolean watchHeap;
     private final StaticDiscoveryServer discovery;
-    private final LoggedProcess governor;
+    private final LoggedProcess controller;
     private final Thread atEnd;
 
     private ControllerRun(FleetShape shape, Path folder, boolean watchHeap) throws IOException {
@@ -56,7 +56,7 @@
                         shape.configuration(discovery.port(), discovery.list()));
         List<String> options =
                 watchHeap ? List.of("-Xlog:gc:file=" + folder.resolve("gc.log")) : List.of();
-        governor =
+        controller =
                 new LoggedProcess(ProgramCommand.serve(file, options, List.of()), PORT, line -> {});
         atEnd = new Thread(this::end);
         Runtime.getRuntime().addShutdownHook(atEnd);
@@ -71,14 +71,14 @@
             FleetShape shape, int run, boolean watchHeap, Times times, Path under)
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory(under, FOLDER_PREFIX);
-        try (ControllerRun governor = new ControllerRun(shape, folder, watchHeap)) {
-            return governor.measure(run, times);
+        try (ControllerRun controller = new ControllerRun(shape, folder, watchHeap)) {
+            return controller.measure(run, times);
         }
     }
 
     /** Ends the process and leaves nothing behind; also run when this program is ended. */
     private void end() {
-        governor.close();
+        controller.close();
         for (String file : List.of("governor.json", "gc.log", "")) {
             folder.resolve(file).toFile().delete();
         }
@@ -92,7 +92,7 @@
 
     private ControllerSample measure(int run, Times times)
             throws IOException, InterruptedException {
-        try (FleetSimulator fleet = new FleetSimulator(shape, governor.awaitPort(), run)) {
+        try (FleetSimulator fleet = new FleetSimulator(shape, controller.awaitPort(), run)) {
             double tables = awaitTables(fleet, times.tables());
             try {
                 TimeUnit.MILLISECONDS.sleep(times.settle());
@@ -103,7 +103,7 @@
                 boolean late = fleet.longestDelayMillis() > Math.max(lateBefore, RIG_LATE_MILLIS);
                 return sample(run, fleet, tables, before, after, late);
             } catch (IOException unread) {
-                if (governor.isAlive()) {
+                if (controller.isAlive()) {
                     throw unread;
                 }
                 return ControllerSample.died(
@@ -118,7 +118,7 @@
     }
 
     private Counts count(FleetSimulator fleet) throws IOException {
-        return new Counts(ProcessUsage.of(governor.pid()), fleet.traffic(), discovery.traffic());
+        return new Counts(ProcessUsage.of(controller.pid()), fleet.traffic(), discovery.traffic());
     }
 
     private static double loadAverage() {
--- a/src/main/java/rockshift/capacity/FleetShape.java
+++ b/src/main/java/rockshift/capacity/FleetShape.java
@@ -34,7 +34,7 @@
         return "class-" + number;
     }
 
-    /** The controller's file: the terms of {@code example/governor.json} at this size. */
+    /** The controller's file: the settings of {@code example/governor.json} at this size. */
     String configuration(int discoveryPort, String known) {
         double more = LINES_PER_PROXY * Math.max(0, proxies - CHANNEL_PROXIES);
         StringBuilder kinds = new StringBuilder();
--- a/src/main/java/rockshift/capacity/Observation.java
+++ b/src/main/java/rockshift/capacity/Observation.java
@@ -26,11 +26,11 @@
     /** A controller was ended. */
     record Ended(long atMillis, String controller) implements OfController {}
 
-    /** A whole state is in force at a governor. */
+    /** A whole state is in force at a controller. */
     record SnapshotTaken(long atMillis, String controller, Revision revision, List<Item> items)
             implements OfController {}
 
-    /** A difference is in force at a governor. */
+    /** A difference is in force at a controller. */
     record DifferenceTaken(long atMillis, String controller, Revision to, List<Update> updates)
             implements OfController {}
 
--- a/src/main/java/rockshift/capacity/Region.java
+++ b/src/main/java/rockshift/capacity/Region.java
@@ -87,7 +87,7 @@
         links.forEach(link -> link.setPartitioned(now));
     }
 
-    /** The relays, another one first for every other governor. */
+    /** The relays, another one first for every other controller. */
     List<InetSocketAddress> upstreams(int controller) {
         List<InetSocketAddress> all = new ArrayList<>();
         for (int i = 0; i < RELAYS; i++) {
--- a/src/main/java/rockshift/capacity/RoleUsage.java
+++ b/src/main/java/rockshift/capacity/RoleUsage.java
@@ -24,7 +24,7 @@
 
     /**
      * The most that a process of each role used since, by figure; what relays passed is shared by
-     * governors.
+     * controllers.
      */
     Map<String, Double> since(int controllers) throws IOException {
         Map<String, Double> figures = new LinkedHashMap<>();
--- a/src/main/java/rockshift/capacity/ScaleRun.java
+++ b/src/main/java/rockshift/capacity/ScaleRun.java
@@ -228,7 +228,7 @@
 
     private void startControllers(String figure) throws IOException, InterruptedException {
         long startedMillis = LightweightController.nowMillis();
-        cluster.controllers().forEach(governor -> governor.start(startedTogether));
+        cluster.controllers().forEach(controller -> controller.start(startedTogether));
         cluster.awaitStates();
         figures.put(figure, (double) (LightweightController.nowMillis() - startedMillis));
     }
--- a/src/main/java/rockshift/capacity/ScaleScenario.java
+++ b/src/main/java/rockshift/capacity/ScaleScenario.java
@@ -30,7 +30,7 @@
 
     private static final double CHANGES_PER_DAY = 1_300;
 
-    /** Restarts and failed machines a day, of the target's governors. */
+    /** Restarts and failed machines a day, of the target's controllers. */
     private static final double KILLS_PER_DAY = 410 + 32;
 
     private static final double TARGET_CONTROLLERS = 1_300;
--- a/src/main/java/rockshift/capacity/ScaleVerdict.java
+++ b/src/main/java/rockshift/capacity/ScaleVerdict.java
@@ -38,7 +38,7 @@
     }
 
     /** The last line of a run, with what it measured beside. */
-    public String summary(double busiestMemberShare, double governorBytesPerSecond) {
+    public String summary(double busiestMemberShare, double controllerBytesPerSecond) {
         return String.format(
                 Locale.ROOT,
                 "scale: %d governors, %d changes, in force everywhere p50 %.2f s p99 %.2f s max"
@@ -53,7 +53,7 @@
                 disordered,
                 stale,
                 100 * busiestMemberShare,
-                governorBytesPerSecond);
+                controllerBytesPerSecond);
     }
 
     private double seconds(double percentile) {
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -55,7 +55,7 @@
                 .execute(arguments);
     }
 
-    /** A governor on sockets. */
+    /** A controller on sockets. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
--- a/src/main/java/rockshift/distribution/wire/DistributionCodec.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionCodec.java
@@ -165,90 +165,108 @@
         in.at("message").startArray();
         Kind kind = in.at("kind").oneOf(Kind.values());
         long epoch = in.at("scopeEpoch").number(0, Long.MAX_VALUE);
-        DistributionMessage message =
-                switch (kind) {
-                    case SUBSCRIBE ->
-                            new DistributionMessage.Subscribe(
-                                    in.at("subscriber").text(SIZES.maxNameLength()),
-                                    epoch,
-                                    scope(in),
-                                    revision(in, "held"),
-                                    in.at("sentMillis").number());
-                    case ACKNOWLEDGE -> acknowledge(in, epoch);
-                    case SNAPSHOT_PART -> snapshotPart(in, epoch);
-                    case DIFFERENCE ->
-                            new DistributionMessage.Difference(
-                                    epoch,
-                                    revision(in, "from"),
-                                    revision(in, "to"),
-                                    in.at("digest").number(),
-                                    updates(in));
-                    case HEARTBEAT ->
-                            new DistributionMessage.Heartbeat(
-                                    epoch,
-                                    revision(in, "current"),
-                                    in.at("digest").number(),
-                                    count(in, "staleMillis"),
-                                    in.at("echoMillis").number());
-                    case NOTICE ->
-                            new DistributionMessage.Notice(
-                                    epoch, reason(in), in.at("place").text(MAX_DETAIL_LENGTH));
-                    case REJECTED ->
-                            new DistributionMessage.Rejected(
-                                    epoch,
-                                    reason(in),
-                                    in.at("place").text(MAX_DETAIL_LENGTH),
-                                    count(in, "retryAfterMillis"));
-                };
+        DistributionMessage message = readFields(in, kind, epoch);
         in.at("message").end();
         return message;
     }
 
-    private static long count(CborReader in, String field) throws IOException {
+    private static DistributionMessage readFields(CborReader in, Kind kind, long epoch)
+            throws IOException {
+        return switch (kind) {
+            case SUBSCRIBE -> readSubscribe(in, epoch);
+            case ACKNOWLEDGE -> readAcknowledge(in, epoch);
+            case SNAPSHOT_PART -> readSnapshotPart(in, epoch);
+            case DIFFERENCE -> readDifference(in, epoch);
+            case HEARTBEAT -> readHeartbeat(in, epoch);
+            case NOTICE -> new DistributionMessage.Notice(epoch, readReason(in), readDetail(in));
+            case REJECTED ->
+                    new DistributionMessage.Rejected(
+                            epoch,
+                            readReason(in),
+                            readDetail(in),
+                            readCount(in, "retryAfterMillis"));
+        };
+    }
+
+    private static DistributionMessage readSubscribe(CborReader in, long epoch) throws IOException {
+        return new DistributionMessage.Subscribe(
+                in.at("subscriber").text(SIZES.maxNameLength()),
+                epoch,
+                readScope(in),
+                readRevision(in, "held"),
+                in.at("sentMillis").number());
+    }
+
+    private static DistributionMessage readDifference(CborReader in, long epoch)
+            throws IOException {
+        return new DistributionMessage.Difference(
+                epoch,
+                readRevision(in, "from"),
+                readRevision(in, "to"),
+                in.at("digest").number(),
+                readUpdates(in));
+    }
+
+    private static DistributionMessage readHeartbeat(CborReader in, long epoch) throws IOException {
+        return new DistributionMessage.Heartbeat(
+                epoch,
+                readRevision(in, "current"),
+                in.at("digest").number(),
+                readCount(in, "staleMillis"),
+                in.at("echoMillis").number());
+    }
+
+    private static String readDetail(CborReader in) throws IOException {
+        return in.at("place").text(MAX_DETAIL_LENGTH);
+    }
+
+    private static long readCount(CborReader in, String field) throws IOException {
         return in.at(field).number(0, Long.MAX_VALUE);
     }
 
-    private static int intCount(CborReader in, String field) throws IOException {
+    private static int readIntCount(CborReader in, String field) throws IOException {
         return in.at(field).whole(Integer.MAX_VALUE);
     }
 
-    private static DistributionMessage acknowledge(CborReader in, long epoch) throws IOException {
-        Revision inForce = revision(in, "inForce");
-        int snapshotParts = intCount(in, "snapshotParts");
+    private static DistributionMessage readAcknowledge(CborReader in, long epoch)
+            throws IOException {
+        Revision inForce = readRevision(in, "inForce");
+        int snapshotParts = readIntCount(in, "snapshotParts");
         Summary summary =
                 new Summary(
-                        count(in, "summary.lowestRevision"),
-                        intCount(in, "summary.subscribers"),
-                        intCount(in, "summary.behind"),
-                        intCount(in, "summary.unreachable"),
+                        readCount(in, "summary.lowestRevision"),
+                        readIntCount(in, "summary.subscribers"),
+                        readIntCount(in, "summary.behind"),
+                        readIntCount(in, "summary.unreachable"),
                         in.at("summary.fingerprint").number());
         return new DistributionMessage.Acknowledge(
                 epoch, inForce, snapshotParts, summary, in.at("sentMillis").number());
     }
 
-    private static DistributionMessage snapshotPart(CborReader in, long epoch) throws IOException {
-        Revision revision = revision(in, "revision");
-        int part = intCount(in, "part");
-        int parts = intCount(in, "parts");
+    private static DistributionMessage readSnapshotPart(CborReader in, long epoch)
+            throws IOException {
+        Revision revision = readRevision(in, "revision");
+        int part = readIntCount(in, "part");
+        int parts = readIntCount(in, "parts");
         long digest = in.at("digest").number();
         List<Item> items = new ArrayList<>();
         for (int left = in.at("items").whole(SIZES.maxPartItems()); left > 0; left--) {
-            items.add(item(in, "items"));
+            items.add(readItem(in, "items"));
         }
         return new DistributionMessage.SnapshotPart(epoch, revision, part, parts, digest, items);
     }
 
-    private static List<Update> updates(CborReader in) throws IOException {
+    private static List<Update> readUpdates(CborReader in) throws IOException {
         List<Update> updates = new ArrayList<>();
         for (int left = in.at("updates").whole(SIZES.maxDifferenceUpdates()); left > 0; left--) {
-            long revision = count(in, "updates.revision");
+            long revision = readCount(in, "updates.revision");
             boolean deleted = in.at("updates.deleted").flag();
-            updates.add(new Update(revision, item(in, "updates"), deleted));
+            updates.add(new Update(revision, readItem(in, "updates"), deleted));
         }
         return updates;
     }
 
-    private static Item item(CborReader in, String list) throws IOException {
+    private static Item readItem(CborReader in, String list) throws IOException {
         return new Item(
                 in.at(list + ".key").text(MAX_KEY_LENGTH),
                 in.at(list + ".service").text(SIZES.maxNameLength()),
@@ -256,16 +274,16 @@
                 in.at(list + ".value").bytes(SIZES.maxItemBytes()));
     }
 
-    private static Revision revision(CborReader in, String field) throws IOException {
-        return new Revision(in.at(field + ".cluster").number(), count(in, field + ".number"));
+    private static Revision readRevision(CborReader in, String field) throws IOException {
+        return new Revision(in.at(field + ".cluster").number(), readCount(in, field + ".number"));
     }
 
-    private static Scope scope(CborReader in) throws IOException {
+    private static Scope readScope(CborReader in) throws IOException {
         boolean everything = in.at("scope.everything").flag();
-        return new Scope(everything, names(in, "scope.services"), names(in, "scope.zones"));
+        return new Scope(everything, readNames(in, "scope.services"), readNames(in, "scope.zones"));
     }
 
-    private static SortedSet<String> names(CborReader in, String field) throws IOException {
+    private static SortedSet<String> readNames(CborReader in, String field) throws IOException {
         SortedSet<String> names = new TreeSet<>();
         for (int left = in.at(field).whole(SIZES.maxScopeNames()); left > 0; left--) {
             String name = in.text(SIZES.maxNameLength());
@@ -277,7 +295,7 @@
         return names;
     }
 
-    private static RejectionReason reason(CborReader in) throws IOException {
+    private static RejectionReason readReason(CborReader in) throws IOException {
         String code = in.at("reason").text(MAX_DETAIL_LENGTH);
         RejectionReason reason = RejectionReason.byCode(code);
         if (reason == null) {
