--- a/src/main/java/rockshift/storage/RecordKind.java
+++ b/src/main/java/rockshift/storage/RecordKind.java
@@ -15,6 +15,8 @@
     /** A snapshot; the only record of its file. */
     SNAPSHOT(6);
 
+    private static final RecordKind[] KINDS = values();
+
     private final byte code;
 
     RecordKind(int code) {
@@ -27,7 +29,7 @@
 
     /** The kind of a code, null if there is none. */
     static RecordKind of(byte code) {
-        for (RecordKind kind : values()) {
+        for (RecordKind kind : KINDS) {
             if (kind.code == code) {
                 return kind;
             }
