--- a/src/main/java/rockshift/cli/ClusterMemberCommands.java
+++ b/src/main/java/rockshift/cli/ClusterMemberCommands.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 
 /** The commands that change members, leadership and snapshots. */
 final class ClusterMemberCommands {
@@ -40,8 +40,8 @@
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = members.client()) {
-                JsonNode self = client.ask(address, Client.call("status"));
+            try (ClusterClient client = members.client()) {
+                JsonNode self = client.ask(address, ClusterClient.call("status"));
                 if (!self.path("name").asText().equals(name)) {
                     members.out()
                             .println(
@@ -55,7 +55,7 @@
                 }
                 return members.print(
                         client.askLeader(
-                                Client.call("add")
+                                ClusterClient.call("add")
                                         .put("id", self.path("number").asLong())
                                         .put("name", name)
                                         .put("address", address)
@@ -75,7 +75,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return members.ask(Client.call("remove").put("name", name), name + " removed");
+            return members.ask(ClusterClient.call("remove").put("name", name), name + " removed");
         }
     }
 
@@ -92,7 +92,7 @@
         @Override
         public Integer call() throws Exception {
             return members.ask(
-                    Client.call("transfer").put("name", name), "handing over to " + name);
+                    ClusterClient.call("transfer").put("name", name), "handing over to " + name);
         }
     }
 
@@ -106,7 +106,8 @@
         @Override
         public Integer call() throws Exception {
             return members.ask(
-                    Client.call("snapshot"), "a snapshot is taken, where there is anything new");
+                    ClusterClient.call("snapshot"),
+                    "a snapshot is taken, where there is anything new");
         }
     }
 }
--- a/src/main/java/rockshift/cli/ClusterStatusCommand.java
+++ b/src/main/java/rockshift/cli/ClusterStatusCommand.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 
 /** Prints where each member stands, and what is in force below all of them. */
 @Command(
@@ -24,7 +24,7 @@
 
     @Override
     public Integer call() throws Exception {
-        try (Client client = members.client()) {
+        try (ClusterClient client = members.client()) {
             Map<String, JsonNode> statuses = client.statuses();
             if (members.json()) {
                 statuses.values().forEach(members.out()::println);
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -12,12 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rockshift.distribution.ConfigurationStore;
-import rockshift.distribution.DistributionMessage;
 import rockshift.distribution.Item;
 import rockshift.distribution.Limits;
 import rockshift.distribution.Publisher;
 import rockshift.distribution.RejectionException;
-import rockshift.distribution.RejectionReason;
 import rockshift.distribution.Revision;
 import rockshift.distribution.Scope;
 import rockshift.distribution.Summary;
@@ -28,24 +26,29 @@
 import rockshift.raft.RaftNode;
 
 /**
- * Publishes what a member knows agreed to the relays and governors that subscribe at it, on a
- * thread of its own, so that the agreement waits for none of it. The member's thread hands in what
- * is agreed; subscribers' messages come from the connections.
+ * Publishes the agreed state to the relays and controllers that subscribe at a member, on a thread
+ * of its own, so that the cluster's protocol waits for none of it.
+ *
+ * <p>It owns that thread, which alone uses the publisher and its store. The member's thread hands
+ * in what is agreed; subscribers' messages come from the reactor's thread. Both queue steps.
  */
-final class DistributionService implements DownstreamConnections.Owner, AutoCloseable {
+final class DistributionService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
 
     /**
      * Changes that may wait to be published; beyond them the whole state is handed over once there
      * is room.
      */
-    private static final int MOST_CHANGES_WAITING = 10_000;
+    private static final int MAX_PENDING_CHANGES = 10_000;
 
     /** Ms between two looks at what is due, with subscribers and without. */
     private static final long TICK_MS = 50;
 
     private static final long IDLE_TICK_MS = 1_000;
-    private static final long JOIN_MS = 500;
+
+    /** How long the thread may take to end. */
+    private static final long STOP_TIMEOUT_MS = 500;
+
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final DownstreamConnections port;
@@ -54,19 +57,26 @@
     private final Publisher publisher;
     private boolean changed;
 
-    /** Steps of the port are bounded there, changes of the member by {@link #changesWaiting}. */
+    /** Steps of the port are bounded there, changes of the member by {@link #pendingChanges}. */
     private final LinkedBlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
 
-    private final AtomicInteger changesWaiting = new AtomicInteger();
+    private final AtomicInteger pendingChanges = new AtomicInteger();
     private final Thread thread = new Thread(this::work, "distribution");
+
+    /** Publishes to the publisher's thread that it is to end. */
     private volatile boolean closed;
+
+    /** Publishes from the member's thread up to when what was handed over is the newest. */
     private volatile long freshAt = Long.MIN_VALUE;
+
+    /** Publishes from the publisher's thread how publishing stands, for the status. */
     private volatile Standing standing = new Standing(0, 0, new Summary(0, 0, 0, 0, 0));
+
     // Used by the member's thread alone.
     private final Freshness freshness;
     private final Map<String, Item> handedOver = new HashMap<>();
     private Revision handedOverAt = Revision.NONE;
-    private boolean behind;
+    private boolean resendWhole;
 
     /**
      * How publishing stands.
@@ -86,9 +96,10 @@
     DistributionService(int subscribers, long election, RandomGenerator random) {
         Limits limits = DistributionSettings.limits(subscribers);
         freshness = new Freshness(election);
-        port = new DownstreamConnections(subscribers, this);
+        port = new DownstreamConnections(subscribers, this::execute);
         store = new ConfigurationStore(limits.sizes());
         publisher = new Publisher(store, Scope.all(), limits, random, port);
+        port.serve(publisher);
         thread.setDaemon(true);
     }
 
@@ -108,11 +119,9 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    // ---- the member's thread --------------------------------------------------------------------
-
-    /** A message came to the member. */
-    void heard(Message message, RaftNode raft) {
-        freshness.heard(message, raft, now());
+    /** A message of another member has come. */
+    void messageReceived(Message message, RaftNode raft) {
+        freshness.messageReceived(message, raft, now());
     }
 
     /**
@@ -120,7 +129,7 @@
      * change.
      */
     void tend(long cluster, AgreedState agreed, RaftNode raft) {
-        if (cluster != handedOverAt.cluster() || behind && changesWaiting.get() == 0) {
+        if (cluster != handedOverAt.cluster() || resendWhole && pendingChanges.get() == 0) {
             restored(cluster, agreed);
         }
         freshAt = freshness.freshAt(raft, now());
@@ -131,7 +140,7 @@
         if (cluster == 0) {
             return;
         }
-        behind = false;
+        resendWhole = false;
         handedOver.clear();
         List<Item> items = AgreedItems.all(agreed);
         items.forEach(item -> handedOver.put(item.key(), item));
@@ -148,10 +157,10 @@
         Revision revision = new Revision(cluster, agreed.version());
         handedOverAt = revision;
         List<Update> updates = List.of(update(revision, body));
-        if (changesWaiting.get() >= MOST_CHANGES_WAITING) {
-            behind = true;
+        if (pendingChanges.get() >= MAX_PENDING_CHANGES) {
+            resendWhole = true;
         }
-        if (!behind) {
+        if (!resendWhole) {
             handOver(() -> store.apply(revision, updates));
         }
     }
@@ -166,7 +175,7 @@
             handedOver.put(item.key(), item);
             return Update.put(revision.number(), item);
         } catch (IOException impossible) {
-            throw new IllegalStateException("a change that was applied can't be read", impossible);
+            throw new IllegalStateException("an applied change cannot be decoded", impossible);
         }
     }
 
@@ -175,24 +184,22 @@
     }
 
     private void handOver(StoreStep step) {
-        changesWaiting.incrementAndGet();
+        pendingChanges.incrementAndGet();
         steps.add(
                 () -> {
-                    changesWaiting.decrementAndGet();
+                    pendingChanges.decrementAndGet();
                     try {
                         step.run();
                         changed = true;
                     } catch (RejectionException refused) {
                         LOG.error(
-                                "what was agreed can't be published: {} {}",
+                                "agreed change not published reason={} detail=\"{}\"",
                                 refused.reason().code(),
                                 refused.detail());
                     }
                 });
     }
 
-    // ---- the publisher's thread -----------------------------------------------------------------
-
     private void work() {
         List<Runnable> batch = new ArrayList<>();
         while (!closed) {
@@ -239,12 +246,11 @@
         try {
             step.run();
         } catch (RuntimeException failure) {
-            LOG.error("failure in the distribution", failure);
+            LOG.error("distribution step failed", failure);
         }
     }
 
-    @Override
-    public void execute(Runnable step) {
+    private void execute(Runnable step) {
         steps.add(
                 () -> {
                     flush();
@@ -252,30 +258,10 @@
                 });
     }
 
-    @Override
-    public void connected(long connection) {
-        publisher.connected(connection, now());
-    }
-
-    @Override
-    public void received(long connection, DistributionMessage message) {
-        publisher.received(connection, message, now());
-    }
-
-    @Override
-    public void undecodable(long connection, RejectionReason reason, String place) {
-        publisher.undecodable(connection, reason, place, now());
-    }
-
-    @Override
-    public void disconnected(long connection) {
-        publisher.disconnected(connection, now());
-    }
-
     @Override
     public void close() throws InterruptedException {
         closed = true;
         thread.interrupt();
-        thread.join(JOIN_MS);
+        thread.join(STOP_TIMEOUT_MS);
     }
 }
--- a/src/main/java/rockshift/planner/TaskSchedule.java
+++ b/src/main/java/rockshift/planner/TaskSchedule.java
@@ -10,18 +10,20 @@
         tasks.add(task);
     }
 
-    /** Whether the task that falls due first is of a kind, and due. */
+    /** Whether the task that falls due first is of a kind, and due; throws if none is scheduled. */
     boolean isNextDue(ScheduledTask.Kind kind, long now) {
         ScheduledTask first = tasks.first();
         return first.kind() == kind && first.dueAtTicks() <= now;
     }
 
-    /** Takes the task that falls due first. */
+    /** Removes the task that falls due first. */
     ScheduledTask takeNext() {
         return tasks.pollFirst();
     }
 
-    /** Takes a regular round that is due, also from behind other tasks; whether there was one. */
+    /**
+     * Removes a regular round that is due, whichever tasks are before it; whether there was one.
+     */
     boolean takeDueRegularRound(long now) {
         return tasks.removeIf(
                 task ->
