--- a/src/main/java/rockshift/planner/CapacityEstimator.java
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -12,7 +12,8 @@
  *
  * <p>Inputs: answers to this controller's proxies, and load as a fraction of time that the replica
  * was busy for everyone. Their quotient is the capacity scaled by this controller's part of it,
- * which needs nothing from other controllers. Few answers lean on the mean of the machine type.
+ * which needs nothing from other controllers. With few answers the estimate is close to the mean of
+ * the machine type.
  *
  * <p>Guards against weights that feed on themselves: the answered rate alone follows the weight
  * that a replica was given, and one replica draws ever more. It shows as one replica with many
@@ -22,14 +23,15 @@
     /** Memory of answers and loads. */
     static final double MEMORY_TICKS = 8 * Ticks.TICKS_PER_SECOND;
 
-    /** A replica with fewer answers leans on the mean of its machine type. */
+    /** Weight of the mean of the machine type in an estimate, in answers. */
     private static final double PRIOR_ANSWERS = 15;
 
     /** A load report below it is mostly noise, and so would be a rate over it. */
     private static final double MIN_LOAD = 0.05;
 
     /**
-     * Answers that wait for a smaller fraction of their time may as well have brought less work.
+     * Answers that wait for a smaller fraction of their time may just as well come from replicas
+     * with less work.
      */
     private static final double MIN_WAITING_FRACTION = 0.25;
 
@@ -50,7 +52,9 @@
         return Math.exp(-elapsedTicks / MEMORY_TICKS);
     }
 
-    /** Lets evidence count less; answers of a cold replica say nothing about a warm one. */
+    /**
+     * Lets evidence count less; answers of a slow-starting replica say nothing about a started one.
+     */
     void decay(Collection<Replica> replicas, long elapsedTicks, long now) {
         double kept = keptFraction(elapsedTicks);
         for (Replica replica : replicas) {
@@ -59,9 +63,10 @@
     }
 
     /**
-     * Sets the capacities of replicas in use, as shares of their sum.
+     * Updates the capacities of replicas in use, as shares of their sum, and the load that counts
+     * for a replica without reports.
      *
-     * @param expectedPerTick transactions that the joined proxies bring
+     * @param expectedPerTick transactions a tick that the joined proxies are expected to receive
      */
     FleetCapacity updateCapacities(
             List<Replica> replicas,
@@ -72,26 +77,28 @@
         updateLoadWithoutReport(replicas, traffic);
         MachineTypeMeans means = new MachineTypeMeans(replicas);
         double sum = 0;
-        double openCapacity = 0;
-        double busyCapacity = 0;
         for (Replica replica : replicas) {
             replica.beginCapacityRound();
-            replica.setCapacity(updateCapacities(replica, means, now));
+            replica.setCapacity(estimatedCapacity(replica, means, now));
             sum += replica.capacity();
+        }
+        double openCapacity = 0;
+        double busyCapacity = 0;
+        for (Replica replica : replicas) {
             // What no proxy can reach, as behind a cut network, is no capacity to admit by.
-            if (replica.routesInUse().stream().anyMatch(eligibility::isOpen)) {
+            if (hasOpenRoute(replica)) {
                 openCapacity += replica.capacity();
                 busyCapacity += replica.capacity() * loadOf(replica);
             }
         }
-        double rate =
+        double answersPerTick =
                 traffic.conservativeCapacityTicks() > 0
                         ? openCapacity / traffic.conservativeCapacityTicks()
                         : 0;
         double requestedPerTick = Math.max(expectedPerTick, traffic.attemptsPerTick());
-        normalize(replicas, rate > 0 ? requestedPerTick / rate : 0, sum, now);
+        normalize(replicas, answersPerTick > 0 ? requestedPerTick / answersPerTick : 0, sum, now);
         return new FleetCapacity(
-                baseline.growthSinceCapacityWindow() * rate,
+                baseline.growthSinceCapacityWindow() * answersPerTick,
                 openCapacity > 0 ? busyCapacity / openCapacity : 0);
     }
 
@@ -109,35 +116,41 @@
                                 Math.max(MIN_WAITING_FRACTION, traffic.updateWaitingFraction()));
     }
 
-    private double updateCapacities(Replica replica, MachineTypeMeans means, long now) {
-        double available =
+    private boolean hasOpenRoute(Replica replica) {
+        return replica.routesInUse().stream().anyMatch(eligibility::isOpen);
+    }
+
+    private double estimatedCapacity(Replica replica, MachineTypeMeans means, long now) {
+        double availableFraction =
                 replica.isEjected() || !replica.acceptsNewWork()
                         ? 0
                         : outlierDetector.recoveryFactor(replica, now)
                                 * slowStart.factor(replica, now);
         double answers = replica.loadEvidence().answers();
-        double whenBusy = answers / loadOf(replica);
+        double answersWhenBusy = answers / loadOf(replica);
         double mean = means.of(replica.machineType());
-        return available * (answers * whenBusy + PRIOR_ANSWERS * mean) / (answers + PRIOR_ANSWERS);
+        return availableFraction
+                * (answers * answersWhenBusy + PRIOR_ANSWERS * mean)
+                / (answers + PRIOR_ANSWERS);
     }
 
     /**
      * Turns capacities into shares of their sum. Where much more is attempted than the fleet can
-     * do, or much of it is cold, cold replicas get no more than their safe load.
+     * do, or much of it is slow-starting, slow-starting replicas get no more than their safe load.
      */
     private void normalize(List<Replica> replicas, double loadRatio, double sum, long now) {
-        double safe = slowStart.safeLoadRatio();
+        double safeLoadRatio = slowStart.safeLoadRatio();
         for (Replica replica : replicas) {
-            double guard =
-                    slowStart.isSlowStarting(replica, now) && loadRatio > safe
-                            ? safe / loadRatio
+            double reduction =
+                    slowStart.isSlowStarting(replica, now) && loadRatio > safeLoadRatio
+                            ? safeLoadRatio / loadRatio
                             : 1;
-            double guarded = replica.capacity() * guard;
-            replica.setCapacity(sum > 0 ? guarded / sum : 0);
+            double reducedCapacity = replica.capacity() * reduction;
+            replica.setCapacity(sum > 0 ? reducedCapacity / sum : 0);
         }
     }
 
-    /** Fraction of its time that a replica is busy, for all who send to it. */
+    /** Fraction of its time that a replica is busy, for all senders. */
     double loadOf(Replica replica) {
         LoadEvidence evidence = replica.loadEvidence();
         return Math.max(MIN_LOAD, evidence.hasLoad() ? evidence.meanLoad() : loadWithoutReport);
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -13,22 +13,22 @@
  * Splits the proxies of each zone into groups, and assigns each group the subset of replicas that
  * its tables have entries for.
  *
- * <p>Inputs: the channel's limit in entries, the number of proxies, and what proxies usually bring
- * in transactions a second. Where tables of the whole fleet fit, each zone has one group, with all
+ * <p>Inputs: the channel's limit in entries, the number of proxies, and the usual transactions a
+ * second of the proxies. Where tables of the whole fleet fit, each zone has one group, with all
  * replicas.
  *
  * <p>Guards against tables that the channel can't carry in time, and whose connections close idle
  * between two transactions. Shows as late drains, and at proxies as a new connection for nearly
  * each transaction. Holds because a table is no longer than both allow, each replica is in several
- * tables so that load can shift, and a group grows while its demand is near what it reaches. What
+ * tables so that load can shift, and a group grows while its demand is near its open capacity. What
  * was assigned stays, and the choice is the same at every controller and after a restart, so that a
  * proxy that moves finds its replicas again.
  */
 final class ReplicaSubsetter {
-    /** Transactions an entry should get before its idle connection closes. */
+    /** Transactions that an entry should get in the time after which an idle connection closes. */
     private static final double TRANSACTIONS_PER_IDLE_TIME = 3.3;
 
-    /** Tables that should have each replica, so that load can shift. */
+    /** Number of tables that should have each replica, so that load can shift. */
     private static final double TABLES_PER_REPLICA = 12;
 
     private static final double MIN_ENTRIES = 8;
@@ -36,23 +36,30 @@
     /** Fraction of a group's subset from its own zone. */
     private static final double OWN_ZONE_FRACTION = 0.75;
 
-    /** Times its demand that a group should reach, as a few proxies may bring most of it. */
+    /**
+     * Least ratio of a group's open capacity to its demand: a few proxies may have most of the
+     * demand.
+     */
     private static final double CAPACITY_RESERVE_RATIO = 1.5;
 
-    /** Times the entries wanted up to which a table has the whole fleet. */
+    /** Ratio of the fleet to the entries wanted up to which a table has the whole fleet. */
     private static final double WHOLE_FLEET_RATIO = 1.5;
 
     /** Fraction of the entries needed below which a group gets more replicas. */
     private static final double REFILL_FRACTION = 0.75;
 
+    private static final double UNBOUNDED = Double.MAX_VALUE;
+
     private final PlannerSettings settings;
     private final int classCount;
     private final List<String> zones;
     private final List<ProxyGroup> groups = new ArrayList<>();
 
-    /** Entries that a table should have; without bound for the whole fleet. */
+    /** Entries that a table should have; {@link #UNBOUNDED} for the whole fleet. */
     private double entriesPerTable;
 
+    private boolean wholeFleet;
+
     ReplicaSubsetter(PlannerSettings settings, int classCount) {
         this.settings = settings;
         this.classCount = classCount;
@@ -66,7 +73,7 @@
 
     /** Whether tables have entries for the whole fleet. */
     boolean coversWholeFleet() {
-        return entriesPerTable == Double.MAX_VALUE;
+        return wholeFleet;
     }
 
     // ---- groups --------------------------------------------------------------------------------
@@ -77,12 +84,12 @@
      * @return whether a planning round must come first, as the group has no tables up to date
      */
     boolean assignToGroup(Proxy proxy) {
-        int perZone = groups.size() / zones.size();
-        if (perZone == 0) {
+        int groupsPerZone = groups.size() / zones.size();
+        if (groupsPerZone == 0) {
             return true;
         }
         if (proxy.group() == null) {
-            int index = proxy.zoneIndex() * perZone + proxy.number() % perZone;
+            int index = proxy.zoneIndex() * groupsPerZone + proxy.number() % groupsPerZone;
             proxy.joinGroup(groups.get(index));
         }
         return !proxy.group().isPublished();
@@ -90,13 +97,14 @@
 
     private void createGroups(int acceptingReplicas, Collection<Proxy> proxies) {
         entriesPerTable = Math.max(MIN_ENTRIES, Math.floor(affordableEntries(proxies)));
-        if (acceptingReplicas <= WHOLE_FLEET_RATIO * entriesPerTable) {
-            entriesPerTable = Double.MAX_VALUE;
+        wholeFleet = acceptingReplicas <= WHOLE_FLEET_RATIO * entriesPerTable;
+        if (wholeFleet) {
+            entriesPerTable = UNBOUNDED;
         }
         double tables = TABLES_PER_REPLICA * acceptingReplicas / entriesPerTable;
-        int perZone = (int) Math.max(1, Math.ceil(tables / zones.size()));
+        int groupsPerZone = (int) Math.max(1, Math.ceil(tables / zones.size()));
         for (String zone : zones) {
-            for (int i = 0; i < perZone; i++) {
+            for (int i = 0; i < groupsPerZone; i++) {
                 groups.add(new ProxyGroup(groups.size(), zone, classCount, strictestClass()));
             }
         }
@@ -110,7 +118,7 @@
                                 .mapToDouble(ClassDemand::ratePerSecond)
                                 .sum()
                         / proxies.size();
-        double keptOpen =
+        double entriesKeptOpen =
                 baselineRatePerSecond
                         * settings.idleCloseTicks()
                         / Ticks.TICKS_PER_SECOND
@@ -118,10 +126,10 @@
         double allProxies = Math.max(proxies.size(), settings.expectedProxies());
         double perProxy =
                 settings.channelQueueLimitEntries() * settings.controllerCount() / allProxies;
-        double carried =
+        double entriesCarried =
                 (perProxy - settings.messageOverheadEntries()) / classCount
                         - ProxyGroup.ENTRIES_PER_BINDING;
-        return Math.min(keptOpen, carried);
+        return Math.min(entriesKeptOpen, entriesCarried);
     }
 
     /** The first class that must stay in its zone, else class 0. */
@@ -158,31 +166,44 @@
         for (ProxyGroup group : groups) {
             refill(group, accepting, proxies.waiting().isEmpty());
         }
-        double perReplica = groups.size() * entriesPerTable / accepting.size();
-        for (Replica replica : accepting) {
-            double ownZone = Math.max(1, Math.floor(perReplica * OWN_ZONE_FRACTION));
-            spreadReplica(replica, true, ownZone - replica.groupCount(true));
-            double otherZones = Math.floor(perReplica * (1 - OWN_ZONE_FRACTION));
-            spreadReplica(replica, false, otherZones - replica.groupCount(false));
+        spreadReplicas(accepting);
+        groups.forEach(ReplicaSubsetter::addRoutes);
+        return creates;
+    }
+
+    /** Adds routes to the replicas of a group's subset to its tables, where there are none yet. */
+    private static void addRoutes(ProxyGroup group) {
+        for (RoutingTable table : group.tables()) {
+            group.subset().forEach(table::addRouteIfAbsent);
         }
-        for (ProxyGroup group : groups) {
-            for (RoutingTable table : group.tables()) {
-                group.subset().forEach(table::addRouteIfAbsent);
-            }
+    }
+
+    /** Adds each replica that too few groups have to some more. */
+    private void spreadReplicas(List<Replica> accepting) {
+        double groupsPerReplica = groups.size() * entriesPerTable / accepting.size();
+        for (Replica replica : accepting) {
+            double wantedInOwnZone = Math.max(1, Math.floor(groupsPerReplica * OWN_ZONE_FRACTION));
+            spreadReplica(
+                    replica,
+                    ZoneRelation.SAME_ZONE,
+                    wantedInOwnZone - replica.groupCount(ZoneRelation.SAME_ZONE));
+            double wantedInOtherZones = Math.floor(groupsPerReplica * (1 - OWN_ZONE_FRACTION));
+            spreadReplica(
+                    replica,
+                    ZoneRelation.OTHER_ZONE,
+                    wantedInOtherZones - replica.groupCount(ZoneRelation.OTHER_ZONE));
         }
-        return creates;
     }
 
     private void removeNotAccepting(ReplicaRegistry replicas) {
         for (Replica replica : replicas.all()) {
-            boolean inGroups = replica.groupCount(true) + replica.groupCount(false) > 0;
-            if (!replica.acceptsNewWork() && inGroups) {
+            if (!replica.acceptsNewWork() && replica.isInGroups()) {
                 groups.forEach(group -> group.remove(replica));
             }
         }
     }
 
-    /** Fills a group that has lost many replicas, or whose demand is near what it reaches. */
+    /** Fills a group that has lost many replicas, or whose demand is near its open capacity. */
     private void refill(ProxyGroup group, List<Replica> accepting, boolean nobodyWaits) {
         double size = group.subsetSize();
         double demand = group.tables().stream().mapToDouble(RoutingTable::demandShare).sum();
@@ -192,28 +213,36 @@
         double needed = Math.max(entriesPerTable, forDemand);
         if (size < REFILL_FRACTION * Math.min(needed, accepting.size())) {
             double missing = needed - size;
-            fillGroup(group, accepting, true, Math.ceil(missing * OWN_ZONE_FRACTION));
-            fillGroup(group, accepting, false, Math.floor(missing * (1 - OWN_ZONE_FRACTION)));
+            fillGroup(
+                    group,
+                    accepting,
+                    ZoneRelation.SAME_ZONE,
+                    Math.ceil(missing * OWN_ZONE_FRACTION));
+            fillGroup(
+                    group,
+                    accepting,
+                    ZoneRelation.OTHER_ZONE,
+                    Math.floor(missing * (1 - OWN_ZONE_FRACTION)));
         }
     }
 
     /** Adds replicas that the fewest groups have, of the group's zone or of the others. */
     private static void fillGroup(
-            ProxyGroup group, List<Replica> accepting, boolean ownZone, double count) {
+            ProxyGroup group, List<Replica> accepting, ZoneRelation relation, double count) {
         accepting.stream()
-                .filter(replica -> group.canAdd(replica, ownZone) && !replica.isEjected())
+                .filter(replica -> group.canAdd(replica, relation) && !replica.isEjected())
                 .sorted(
-                        Comparator.comparingInt((Replica replica) -> replica.groupCount(ownZone))
+                        Comparator.comparingInt((Replica replica) -> replica.groupCount(relation))
                                 .thenComparingLong(replica -> order(group, replica)))
                 .limit((long) Math.max(0, count))
                 .forEach(group::add);
     }
 
     /** Adds a replica that too few groups have to the smallest ones of its zone or the others. */
-    private void spreadReplica(Replica replica, boolean ownZone, double count) {
+    private void spreadReplica(Replica replica, ZoneRelation relation, double count) {
         if (count >= 1) {
             groups.stream()
-                    .filter(group -> group.canAdd(replica, ownZone))
+                    .filter(group -> group.canAdd(replica, relation))
                     .sorted(
                             Comparator.comparingInt(ProxyGroup::subsetSize)
                                     .thenComparingLong(group -> order(group, replica)))
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -18,19 +18,19 @@
     private static final double REMOVAL_PRIORITY = TableChange.LEVEL_PRIORITY + 1;
 
     private final AdmissionController admission;
-    private final TargetWeights targetWeights;
 
-    TableDifferences(AdmissionController admission, TargetWeights targetWeights) {
+    TableDifferences(AdmissionController admission) {
         this.admission = admission;
-        this.targetWeights = targetWeights;
     }
 
-    /** Removals first, then levels and new entries, then changed weights by their size. */
-    List<TableChange> find(List<RoutingTable> tables, TargetWeights.RoundInputs round) {
+    /**
+     * Compares what is published with the present targets, which must be up to date, and levels.
+     * Removals come first, then levels and new entries, then changed weights by their size.
+     */
+    List<TableChange> find(List<RoutingTable> tables) {
         List<TableChange> changes = new ArrayList<>();
         for (RoutingTable table : tables) {
             addLevelChange(changes, table);
-            targetWeights.updateTargets(table, round);
             table.routes().forEach(route -> addEntryChange(changes, route));
         }
         changes.sort(Comparator.comparingDouble(TableChange::priority).reversed());
@@ -49,13 +49,14 @@
         double scale = route.table().weightScale();
         double published = route.publishedWeight();
         double weight = route.isAllowed() ? (float) (route.targetFraction() * scale) : 0;
-        double size = Math.abs(weight - published) / scale;
+        double changedFraction = Math.abs(weight - published) / scale;
         if (weight == 0) {
             if (published > 0) {
                 changes.add(new TableChange.Entry(route, weight, REMOVAL_PRIORITY));
             }
-        } else if (size * scale > MIN_WEIGHT_CHANGE_RATIO * published) {
-            double priority = published == 0 ? TableChange.LEVEL_PRIORITY + size : size;
+        } else if (changedFraction * scale > MIN_WEIGHT_CHANGE_RATIO * published) {
+            double priority =
+                    published == 0 ? TableChange.LEVEL_PRIORITY + changedFraction : changedFraction;
             changes.add(new TableChange.Entry(route, weight, priority));
         }
     }
