--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -11,9 +11,9 @@
 import rockshift.raft.Timing;
 
 /**
- * What a member is told in the block {@code cluster} of the operator's file: who it is, where it
- * listens and keeps its folder, who founded the cluster, and how long it waits. It is what one
- * reading found and never changes.
+ * The block {@code cluster} of the operator's file: who it is, where it listens and keeps its
+ * folder, who founded the cluster, and how long it waits. It is what one reading found and never
+ * changes.
  *
  * @param founders by name: where those are that begin the cluster; empty for one that is added
  *     later
--- a/src/main/java/rockshift/server/ControllerConfiguration.java
+++ b/src/main/java/rockshift/server/ControllerConfiguration.java
@@ -11,7 +11,7 @@
 import rockshift.settings.SettingsParser;
 
 /**
- * What a controller is told in its file, read by {@link ControllerConfigurationReader}. Immutable.
+ * A controller's configuration file, read by {@link ControllerConfigurationReader}. Immutable.
  *
  * @param listen where proxies and collectors connect
  * @param seed for random numbers
--- a/src/main/java/rockshift/server/JoinedProxy.java
+++ b/src/main/java/rockshift/server/JoinedProxy.java
@@ -20,8 +20,8 @@
 
     private final Set<Integer> boundThisTurn = new TreeSet<>();
 
-    /** By replica, whether the proxy was last told to keep off it. */
-    private final Map<Long, Boolean> toldExcluded = new HashMap<>();
+    /** By replica, whether the last word to the proxy was to exclude it. */
+    private final Map<Long, Boolean> announcedExclusions = new HashMap<>();
 
     private final Set<Long> excludedThisTurn = new TreeSet<>();
     private final Set<Long> readmittedThisTurn = new TreeSet<>();
@@ -68,12 +68,12 @@
     }
 
     /**
-     * Tells the proxy whether it may send to a replica, unless it was told so on this channel.
+     * Announces whether the proxy may send to a replica, unless this channel has said so before.
      *
      * @return whether this turn's message grows by that
      */
-    boolean tellExcluded(long replica, boolean excluded) {
-        Boolean before = toldExcluded.put(replica, excluded);
+    boolean announceExclusion(long replica, boolean excluded) {
+        Boolean before = announcedExclusions.put(replica, excluded);
         if (before != null && before == excluded) {
             return false;
         }
@@ -82,7 +82,7 @@
     }
 
     void forgetReplica(long replica) {
-        toldExcluded.remove(replica);
+        announcedExclusions.remove(replica);
     }
 
     void endTurn() {
--- a/src/main/java/rockshift/server/PublishedTables.java
+++ b/src/main/java/rockshift/server/PublishedTables.java
@@ -19,7 +19,7 @@
 /**
  * Carries out the planner's orders: keeps the state of all tables, levels, bindings and exclusions,
  * and sends each joined proxy what a turn changed for it, in one message a turn or as few as the
- * protocol allows. It adds no entry that the planner is not told of, since the planner counts what
+ * protocol allows. It adds no entry without the planner's knowledge, since the planner counts what
  * the channel carries. Used by the event loop's thread.
  */
 final class PublishedTables implements ProxyCommands {
@@ -91,18 +91,18 @@
     @Override
     public int setTableEntry(int table, long replica, double weight) {
         boolean added = tableToChange(table).setWeight(replica, weight);
-        boolean told = false;
+        boolean announced = false;
         for (JoinedProxy proxy : proxies.values()) {
             if (added && proxy.isBoundTo(table)) {
-                told |= tellWhetherExcluded(proxy, replica);
+                announced |= announceExclusion(proxy, replica);
             }
         }
-        return told ? 2 : 1;
+        return announced ? 2 : 1;
     }
 
     /**
      * A proxy keeps off whatever any controller excluded before, and this one may not know of it:
-     * it is told of each replica in its table that may ever have been excluded.
+     * the message says so for each replica in its table that may ever have been excluded.
      */
     @Override
     public int bindProxy(int table, int proxy, ClassSet classes) {
@@ -111,25 +111,25 @@
             return 0;
         }
         joined.bind(table, classes);
-        int told = 0;
+        int announced = 0;
         for (long replica : table(table).replicas()) {
-            told += tellWhetherExcluded(joined, replica) ? 1 : 0;
+            announced += announceExclusion(joined, replica) ? 1 : 0;
         }
-        return told;
+        return announced;
     }
 
     /** Tells a proxy whether it may send to a replica, where it may believe the opposite. */
-    private boolean tellWhetherExcluded(JoinedProxy proxy, long replica) {
+    private boolean announceExclusion(JoinedProxy proxy, long replica) {
         return exclusions.mayBeExcluded(replica)
-                && proxy.tellExcluded(replica, exclusions.isExcluded(replica));
+                && proxy.announceExclusion(replica, exclusions.isExcluded(replica));
     }
 
     @Override
     public int notifyDraining(long replica, boolean out, int proxy) {
         exclusions.setExcluded(replica, out);
         JoinedProxy joined = proxies.get(proxy);
-        boolean concerned = joined != null && (out || exclusions.wasToldExcluded(proxy, replica));
-        return concerned && joined.tellExcluded(replica, out) ? 1 : 0;
+        boolean concerned = joined != null && (out || exclusions.wasSentExcluded(proxy, replica));
+        return concerned && joined.announceExclusion(replica, out) ? 1 : 0;
     }
 
     @Override
@@ -147,7 +147,7 @@
         waker.accept(delay);
     }
 
-    /** A proxy that still excludes it is told otherwise as soon as a table has it again. */
+    /** A proxy that still excludes it learns otherwise as soon as a table has it again. */
     @Override
     public void forgetReplica(long replica) {
         encoder.forgetReplicaName(replica);
--- a/src/main/java/rockshift/server/ReplicaExclusions.java
+++ b/src/main/java/rockshift/server/ReplicaExclusions.java
@@ -8,7 +8,7 @@
 
 /**
  * Which replicas are excluded now, and which ones proxies may still be excluding because some
- * controller told them so: a proxy keeps that across its channels and controllers. A replica that
+ * controller had them do so: a proxy keeps that across its channels and controllers. A replica that
  * no controller can have excluded need not be readmitted, which saves a third of what a join comes
  * to. Used by the event loop's thread.
  */
@@ -20,8 +20,8 @@
     private final Set<Long> maybeExcludedBefore = new TreeSet<>();
     private boolean allMaybeExcludedBefore;
 
-    /** By proxy, what this controller told it to keep off. */
-    private final Map<Integer, Set<Long>> toldByProxy = new HashMap<>();
+    /** By proxy, what this controller has had it exclude. */
+    private final Map<Integer, Set<Long>> sentByProxy = new HashMap<>();
 
     /**
      * Notes a listed replica. Controllers exclude who is listed as leaving; a replica that was
@@ -63,19 +63,19 @@
         }
     }
 
-    boolean wasToldExcluded(int proxy, long replica) {
-        return toldByProxy.getOrDefault(proxy, Set.of()).contains(replica);
+    boolean wasSentExcluded(int proxy, long replica) {
+        return sentByProxy.getOrDefault(proxy, Set.of()).contains(replica);
     }
 
     /** Notes what a proxy has been sent. */
     void sent(int proxy, Set<Long> nowExcluded, Set<Long> nowReadmitted) {
-        Set<Long> told = toldByProxy.computeIfAbsent(proxy, number -> new TreeSet<>());
-        told.addAll(nowExcluded);
-        told.removeAll(nowReadmitted);
+        Set<Long> sent = sentByProxy.computeIfAbsent(proxy, number -> new TreeSet<>());
+        sent.addAll(nowExcluded);
+        sent.removeAll(nowReadmitted);
     }
 
     void forgetReplica(long replica) {
         excluded.remove(replica);
-        toldByProxy.values().forEach(told -> told.remove(replica));
+        sentByProxy.values().forEach(sent -> sent.remove(replica));
     }
 }
--- a/src/main/java/rockshift/wire/ConnectionLog.java
+++ b/src/main/java/rockshift/wire/ConnectionLog.java
@@ -40,7 +40,12 @@
         }
         if (lines < MAX_LINES_PER_SECOND) {
             lines++;
-            log.info("closed {} connection {}: {} {}", kind, peer, code, detail);
+            log.info(
+                    "closed {} connection peer={} reason={} detail=\"{}\"",
+                    kind,
+                    peer,
+                    code,
+                    detail);
         } else {
             unlogged.merge(code, 1, Integer::sum);
         }
@@ -48,7 +53,7 @@
 
     private void logUnlogged() {
         if (!unlogged.isEmpty()) {
-            log.warn("closed {} connections without a line each: {}", kind, unlogged);
+            log.warn("closed {} connections, not logged each: {}", kind, unlogged);
             unlogged.clear();
         }
     }
