--- a/src/main/java/rockshift/cli/ClusterChangeCommands.java
+++ b/src/main/java/rockshift/cli/ClusterChangeCommands.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import rockshift.cluster.Change;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 
 /** The commands that propose changes to the agreed state, and list those that were applied. */
 final class ClusterChangeCommands {
@@ -140,8 +140,9 @@
 
         @Override
         public Integer call() throws Exception {
-            try (Client client = members.client()) {
-                JsonNode answer = client.askLeader(Client.call("log"), members.deadlineMillis());
+            try (ClusterClient client = members.client()) {
+                JsonNode answer =
+                        client.askLeader(ClusterClient.call("log"), members.deadlineMillis());
                 if (members.json()) {
                     members.out().println(answer);
                 } else {
--- a/src/main/java/rockshift/planner/RoutingTable.java
+++ b/src/main/java/rockshift/planner/RoutingTable.java
@@ -117,7 +117,10 @@
         openCapacity = capacity;
     }
 
-    /** The solver's rate of the whole class: y in the paper. */
+    /**
+     * The sum of the link copies z of the routes that are open; stands for the paper's y, the
+     * request's total.
+     */
     double linkCopyTotal() {
         return linkCopyTotal;
     }
--- a/src/main/java/rockshift/testkit/ChangeProposer.java
+++ b/src/main/java/rockshift/testkit/ChangeProposer.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import rockshift.cluster.Change;
-import rockshift.cluster.Client;
+import rockshift.cluster.ClusterClient;
 
 /**
  * A client of a {@link FaultTrial} that proposes one change after the other, each with a reason of
@@ -38,7 +38,7 @@
 
     /** Proposes until it is stopped. */
     void run() {
-        try (Client client = new Client(addresses, random, CALL_TIMEOUT_MILLIS)) {
+        try (ClusterClient client = new ClusterClient(addresses, random, CALL_TIMEOUT_MILLIS)) {
             for (int serial = 0; !stopped; serial++) {
                 propose(client, serial);
                 TimeUnit.MILLISECONDS.sleep(random.nextInt(MAX_PAUSE_MILLIS));
@@ -51,7 +51,7 @@
         }
     }
 
-    private void propose(Client client, int serial) throws InterruptedException {
+    private void propose(ClusterClient client, int serial) throws InterruptedException {
         String reason = "op-" + number + "-" + serial;
         Change change = change(serial, reason);
         long startedNanos = System.nanoTime();
