--- a/src/main/java/rockshift/distribution/InForceReport.java
+++ b/src/main/java/rockshift/distribution/InForceReport.java
@@ -32,8 +32,8 @@
         return inForce;
     }
 
-    /** How many controllers are out of reach once the connection has ended. */
-    int controllers() {
+    /** How many controllers are lost if the connection ends. */
+    int controllersLostIfDisconnected() {
         return received ? summary.subscribers() + summary.unreachable() : Math.max(1, lostBefore);
     }
 
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -196,7 +196,7 @@
             index.remove(subscription);
             transfers.abandon(subscription);
         }
-        subscription.subscribe(message, begins ? summaries.found(message.subscriber()) : 0);
+        subscription.subscribe(message, begins ? summaries.forgetLost(message.subscriber()) : 0);
         byName.put(message.subscriber(), subscription);
         index.add(subscription);
         noticeUnmatched(subscription);
@@ -313,9 +313,9 @@
         byName.remove(subscription.name(), subscription);
         InForceReport report = subscription.report();
         summaries.replace(report.contribution(), SummaryAggregator.Contribution.NOTHING);
-        summaries.lost(
+        summaries.rememberLost(
                 subscription.name(),
-                report.controllers(),
+                report.controllersLostIfDisconnected(),
                 nowMillis + limits.timing().lostSubscriberRetentionMillis());
     }
 }
--- a/src/main/java/rockshift/distribution/Summary.java
+++ b/src/main/java/rockshift/distribution/Summary.java
@@ -4,7 +4,8 @@
  * What is in force at a subscriber and below it, summed up on the way back. A relay sends the sum
  * of its subscribers, so that a member learns of all controllers from a few relays.
  *
- * @param lowestRevision the lowest number that is in force at any of the controllers counted
+ * @param lowestRevision the lowest number in force at any of the controllers counted that have not
+ *     caught up with what concerns them; those that have do not lower it
  * @param subscribers controllers connected; relays are not counted
  * @param behind controllers connected that have not put all in force that concerns them
  * @param unreachable controllers that were connected and are not, for as long as they are
--- a/src/main/java/rockshift/distribution/SummaryAggregator.java
+++ b/src/main/java/rockshift/distribution/SummaryAggregator.java
@@ -59,13 +59,13 @@
      * A subscriber was lost, and controllers with it. Over the bound the one lost longest ago is
      * forgotten early.
      */
-    void lost(String subscriber, int controllers, long untilMillis) {
-        found(subscriber);
+    void rememberLost(String subscriber, int controllers, long untilMillis) {
+        forgetLost(subscriber);
         if (controllers == 0) {
             return;
         }
         if (lost.size() >= maxLost) {
-            found(lost.keySet().iterator().next());
+            forgetLost(lost.keySet().iterator().next());
         }
         lost.put(subscriber, new LostSubscriber(controllers, untilMillis));
         unreachable += controllers;
@@ -75,7 +75,7 @@
      * A subscriber is back, or need not be remembered; returns how many controllers were lost with
      * it.
      */
-    int found(String subscriber) {
+    int forgetLost(String subscriber) {
         LostSubscriber back = lost.remove(subscriber);
         if (back == null) {
             return 0;
--- a/src/main/java/rockshift/distribution/package-info.java
+++ b/src/main/java/rockshift/distribution/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Scoped distribution: hands agreed configuration and the list of replicas from the members,
- * through relays, to every controller as a versioned watch.
+ * Scoped distribution: hands agreed configuration from the members, through relays, to every
+ * controller as a versioned watch.
  *
  * <p>State: {@link rockshift.distribution.ConfigurationStore} owns the state that is served, {@link
  * rockshift.distribution.Publisher} the subscriptions to it, {@link
--- a/src/main/java/rockshift/distribution/wire/DistributionClient.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionClient.java
@@ -37,7 +37,7 @@
      * A client without a state; {@link #start} has it begin.
      *
      * @param name by which publishers know it; no two clients have the same
-     * @param upstreams relays or members, in the order in which they are tried
+     * @param upstreams relays or members, tried in this order from one that is chosen by chance
      */
     public DistributionClient(
             DistributionReactor reactor,
--- a/src/main/java/rockshift/distribution/wire/DistributionSettings.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionSettings.java
@@ -13,7 +13,8 @@
  * The block {@code distribution} of the operator's file, for a controller or relay. Immutable.
  *
  * @param name by which publishers know it; each controller and relay has its own
- * @param upstreams by label, in the order in which they are tried: relays, or members
+ * @param upstreams by label, relays, or members: tried in this order, from one that is chosen by
+ *     chance
  * @param scope what it asks for
  * @param relay what a relay serves; null for a controller
  * @param limits bounds and intervals
--- a/src/main/java/rockshift/server/CloseReason.java
+++ b/src/main/java/rockshift/server/CloseReason.java
@@ -15,6 +15,10 @@
     IDENTIFY_TIMEOUT("identify-timeout"),
     REPLACED("replaced"),
     SEND_BUFFER_FULL("send-buffer-full"),
+    /**
+     * Either of two bounds: the planner's queue is full and this peer has used its quota of it, or
+     * the partial messages of all peers take too much memory and this peer holds one.
+     */
     OVERLOAD("overload"),
     CONNECTION_LIMIT("connection-limit"),
     FAILURE("failure"),
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -25,8 +25,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     /**
-     * Queued events, of some 100 bytes each, from which on a peer that has many of them is refused.
-     * A long pause of the process brings fewer.
+     * Queued events, of some 100 bytes each, from which on the connection of a peer that has many
+     * of them is closed. What comes in during a long pause of the process does not reach this.
      */
     static final int QUEUE_CAPACITY = 20_000;
 
@@ -87,7 +87,7 @@
 
     /**
      * Queues a peer's event. The bound guards against one peer that floods the controller while the
-     * planner stands still: it alone is refused, and closed with {@code reason=overload}.
+     * planner stands still: its connection alone is closed, with {@code reason=overload}.
      *
      * @param pending the peer's count of events that are queued, kept by this loop
      * @return false where the queue is full and the peer has used its quota
--- a/src/main/java/rockshift/server/ProxyConnection.java
+++ b/src/main/java/rockshift/server/ProxyConnection.java
@@ -100,6 +100,7 @@
         }
         closeIfIdentificationTimedOut();
         if (partialMessages.isExceeded() && codec.excessBytes() > 0) {
+            // The other bound that is labelled so is that of the planner's queue.
             close(CloseReason.OVERLOAD, "too many partial messages");
         }
     }
@@ -107,6 +108,7 @@
     private void acceptMessages() throws MalformedStreamException {
         while (closure.get() == null && codec.next()) {
             if (!acceptMessage()) {
+                // The other bound that is labelled so is that of partial messages.
                 close(CloseReason.OVERLOAD, pendingMessages + " messages wait for the planner");
             }
         }
--- a/src/main/java/rockshift/wire/Frames.java
+++ b/src/main/java/rockshift/wire/Frames.java
@@ -27,7 +27,7 @@
     /** A message of Raft. */
     public static final byte MESSAGE = 2;
 
-    /** A command of staff, as JSON. */
+    /** A command of operators, as JSON. */
     public static final byte CALL = 3;
 
     /** The answer to a command. */
@@ -47,7 +47,7 @@
          * A frame that is refused.
          *
          * @param code the reason as the log gives it
-         * @param what more of it, for staff
+         * @param what more of it, for operators
          */
         public InvalidFrameException(String code, String what) {
             super(what);
--- a/src/main/java/rockshift/wire/Hello.java
+++ b/src/main/java/rockshift/wire/Hello.java
@@ -9,7 +9,7 @@
  * @param version the version of the protocol that it speaks
  * @param cluster the cluster that it is part of, 0 if none yet
  * @param id its own id
- * @param name what staff call it
+ * @param name what operators call it
  * @param members the membership that it knows
  */
 public record Hello(long version, long cluster, long id, String name, Membership members) {
