--- a/src/main/java/rockshift/storage/DurableLog.java
+++ b/src/main/java/rockshift/storage/DurableLog.java
@@ -43,13 +43,13 @@
     /**
      * A log that is yet to be opened.
      *
-     * @param events takes lines for the log of staff
+     * @param logLines takes lines for the log for operators
      */
-    public DurableLog(Disk disk, Consumer<String> events) {
+    public DurableLog(Disk disk, Consumer<String> logLines) {
         this.disk = disk;
         identity = new IdentityFile(disk);
-        segments = new SegmentFiles(disk, events);
-        snapshots = new SnapshotFiles(disk, events);
+        segments = new SegmentFiles(disk, logLines);
+        snapshots = new SnapshotFiles(disk, logLines);
     }
 
     // ---- reading --------------------------------------------------------------------------------
--- a/src/main/java/rockshift/storage/SegmentFiles.java
+++ b/src/main/java/rockshift/storage/SegmentFiles.java
@@ -18,7 +18,7 @@
     private static final int HEXADECIMAL = 16;
 
     private final Disk disk;
-    private final Consumer<String> events;
+    private final Consumer<String> logLines;
     private long memberId;
 
     /** By segment number, the highest index that its entries have. */
@@ -30,9 +30,9 @@
     /** Whether a write failed, so that the last segment may hold more than is durable. */
     private boolean hasTornTail;
 
-    SegmentFiles(Disk disk, Consumer<String> events) {
+    SegmentFiles(Disk disk, Consumer<String> logLines) {
         this.disk = disk;
-        this.events = events;
+        this.logLines = logLines;
     }
 
     private static String name(long number) {
@@ -77,7 +77,8 @@
         boolean isLast = number == highestIndexes.lastKey();
         byte[] bytes = disk.read(name(number));
         if (isLast && bytes.length < SegmentHeader.BYTES) {
-            // A crash interrupted its creation, so nothing in it was acknowledged.
+            // Creation syncs the bytes before it renames the file, so a crash alone leaves none as
+            // short as this. What remains is a disk that made the name durable before the bytes.
             disk.delete(name(number));
             highestIndexes.remove(number);
         } else {
@@ -94,7 +95,7 @@
         while (offset < bytes.length) {
             StoredRecord record = StoredRecord.read(bytes, offset);
             if (record == null) {
-                cutTornTail(name, bytes, offset, isLast);
+                cutTornTailOrRefuse(name, bytes, offset, isLast);
                 return offset;
             }
             long index = recovery.replay(name, record);
@@ -104,14 +105,15 @@
         return offset;
     }
 
-    private void cutTornTail(String name, byte[] bytes, int offset, boolean isLast)
+    /** Cuts what an unfinished save left; refuses the file if acknowledged records may be lost. */
+    private void cutTornTailOrRefuse(String name, byte[] bytes, int offset, boolean isLast)
             throws IOException {
         if (!isLast) {
             throw new CorruptRecordException(
                     name, offset, "damaged, and more follows in the next segment");
         }
         refuseIfDurable(name, bytes, offset);
-        events.accept(
+        logLines.accept(
                 name
                         + ": "
                         + (bytes.length - offset)
@@ -121,8 +123,8 @@
     }
 
     /**
-     * Tells damage from a torn tail: a later batch names what was durable when it was begun, and if
-     * that includes this place, an acknowledged write is lost.
+     * Distinguishes damage from a torn tail: a later batch names what was durable when it was
+     * begun, and if that includes this place, an acknowledged write is lost.
      */
     private static void refuseIfDurable(String name, byte[] bytes, int offset) throws IOException {
         for (int later = offset + 1; later + StoredRecord.OVERHEAD_BYTES < bytes.length; later++) {
--- a/src/main/java/rockshift/storage/SnapshotFiles.java
+++ b/src/main/java/rockshift/storage/SnapshotFiles.java
@@ -19,14 +19,14 @@
     private static final int GENERATIONS = 2;
 
     private final Disk disk;
-    private final Consumer<String> events;
+    private final Consumer<String> logLines;
 
     /** The indexes of the snapshots that are kept, ascending. */
     private final List<Long> indexes = new ArrayList<>();
 
-    SnapshotFiles(Disk disk, Consumer<String> events) {
+    SnapshotFiles(Disk disk, Consumer<String> logLines) {
         this.disk = disk;
-        this.events = events;
+        this.logLines = logLines;
     }
 
     /** The file of a snapshot. */
@@ -48,7 +48,7 @@
                 newest = newest == null ? snapshot : newest;
                 indexes.add(0, snapshot.index());
             } catch (CorruptRecordException corrupt) {
-                events.accept(
+                logLines.accept(
                         name + ": " + corrupt.reason() + "; set aside, the one before is used");
                 disk.rename(name, name + DAMAGED_SUFFIX);
             }
