--- a/src/main/java/rockshift/cluster/AppliedChanges.java
+++ b/src/main/java/rockshift/cluster/AppliedChanges.java
@@ -43,7 +43,7 @@
             LOG.info("change applied index={} change={} outcome={}", entry.index(), change, answer);
             history.add(entry.index(), change, answer);
             distribution.applied(cluster, agreed, entry.body());
-            tellController();
+            passToController();
         }
     }
 
@@ -60,11 +60,11 @@
         LOG.info("snapshot restored index={} version={}", index, agreed.version());
         history.clear();
         distribution.restored(cluster, agreed);
-        tellController();
+        passToController();
     }
 
-    /** Tells the controller all that is agreed. */
-    void tellController() {
+    /** Passes to the controller all that is agreed. */
+    void passToController() {
         controller.applyAgreed(
                 agreed.version(),
                 new TreeMap<>(agreed.drains()),
--- a/src/main/java/rockshift/cluster/Change.java
+++ b/src/main/java/rockshift/cluster/Change.java
@@ -23,8 +23,9 @@
         String service,
         String zone) {
     /**
-     * Drain until the replica starts anew, hold out until let back, let back; set a budget or a
-     * setting that may change while running.
+     * Drain until the replica starts anew, hold out until let back, let back; set a budget, or
+     * ({@code TERM}, which has nothing to do with a term of Raft) override a setting that may
+     * change while running. The constants in lower case are the words of the JSON.
      */
     public enum Kind {
         DRAIN,
--- a/src/main/java/rockshift/cluster/ChangeCodec.java
+++ b/src/main/java/rockshift/cluster/ChangeCodec.java
@@ -117,6 +117,7 @@
         }
     }
 
+    /** The words are the names of the constants in lower case: renaming one changes the JSON. */
     private static Kind readKind(String word) throws Change.MalformedChangeException {
         for (Kind kind : Kind.values()) {
             if (kind.name().toLowerCase(Locale.ROOT).equals(word)) {
--- a/src/main/java/rockshift/cluster/ClusterBootstrap.java
+++ b/src/main/java/rockshift/cluster/ClusterBootstrap.java
@@ -31,7 +31,7 @@
     private final Engine engine;
 
     /** The last hello of each member met, by name. */
-    private final Map<String, Hello> met = new TreeMap<>();
+    private final Map<String, Hello> lastHellos = new TreeMap<>();
 
     /** Publishes the cluster that this member is part of to the reactor's thread. */
     private volatile long clusterId;
@@ -60,8 +60,8 @@
     }
 
     /** Notes what another member has said; warns of one that belongs to another cluster. */
-    void met(Hello hello) {
-        met.put(hello.name(), hello);
+    void helloReceived(Hello hello) {
+        lastHellos.put(hello.name(), hello);
         if (isPartOfCluster() && hello.cluster() != NONE && hello.cluster() != clusterId) {
             LOG.warn(
                     "member of another cluster met peer={} cluster={} expected={}",
@@ -72,11 +72,11 @@
     }
 
     /**
-     * Becomes part of a cluster if that is possible now.
+     * Joins a cluster, or founds one with all founders, if that is possible now.
      *
      * @param hello what another member has just said, or null as this one begins
      */
-    void tryJoin(Hello hello) {
+    void tryJoinOrFound(Hello hello) {
         try {
             if (hello == null || hello.cluster() == NONE) {
                 foundWithAllFounders();
@@ -111,7 +111,7 @@
         for (Map.Entry<String, String> founder : new TreeMap<>(settings.founders()).entrySet()) {
             String name = founder.getKey();
             boolean self = name.equals(settings.name());
-            Hello hello = met.get(name);
+            Hello hello = lastHellos.get(name);
             if (!self && (hello == null || hello.cluster() != NONE)) {
                 return;
             }
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -134,7 +134,7 @@
     public void start() throws IOException, InterruptedException {
         port = connections.listen(settings.listen());
         thread.setDaemon(true);
-        appliedChanges.tellController();
+        appliedChanges.passToController();
         distribution.start();
         diskWriter.start();
         thread.start();
@@ -181,7 +181,7 @@
     private void run() {
         List<Runnable> batch = new ArrayList<>();
         if (!bootstrap.isPartOfCluster()) {
-            tryJoin(null);
+            tryJoinOrFound(null);
         }
         while (!closed) {
             try {
@@ -211,12 +211,13 @@
             batch.clear();
         }
         engine.run();
-        tend();
+        updateSurroundings();
     }
 
-    private void tend() {
+    /** Brings the distribution, the hello, the controller and the connections up to date. */
+    private void updateSurroundings() {
         leading = engine.raft().isLeader();
-        distribution.tend(bootstrap.clusterId(), agreed, engine.raft());
+        distribution.handOverAndNoteFreshness(bootstrap.clusterId(), agreed, engine.raft());
         if (!hello.names(engine.raft().membership())) {
             updateHello();
             connections.greet();
@@ -233,21 +234,21 @@
         directory.invalidate();
     }
 
-    private void tryJoin(Hello met) {
-        bootstrap.tryJoin(met);
+    private void tryJoinOrFound(Hello other) {
+        bootstrap.tryJoinOrFound(other);
         if (bootstrap.isPartOfCluster()) {
             updateHello();
             connections.greet();
         }
     }
 
-    private void met(Hello other) {
-        bootstrap.met(other);
+    private void handleHello(Hello other) {
+        bootstrap.helloReceived(other);
         if (other.members().get(bootstrap.memberId()) != null) {
             directory.namedIn(other.members());
         }
         if (!bootstrap.isPartOfCluster()) {
-            tryJoin(other);
+            tryJoinOrFound(other);
         }
     }
 
@@ -260,7 +261,7 @@
 
         @Override
         public void helloReceived(Hello other) {
-            inputs.offer(() -> met(other));
+            inputs.offer(() -> handleHello(other));
         }
 
         @Override
@@ -297,14 +298,20 @@
 
         @Override
         public void save(
-                long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
-            diskWriter.submit(() -> log.save(vote, entries, snapshot), () -> engine.saved(ticket));
+                long writeNumber,
+                TermAndVote vote,
+                long from,
+                List<Entry> entries,
+                Snapshot snapshot) {
+            diskWriter.submit(
+                    () -> log.save(vote, entries, snapshot),
+                    () -> engine.writeCompleted(writeNumber));
         }
 
         @Override
-        public void keepSnapshot(Snapshot snapshot) {
+        public void saveSnapshot(Snapshot snapshot) {
             diskWriter.submit(
-                    () -> log.saveSnapshot(snapshot), () -> engine.snapshotKept(snapshot));
+                    () -> log.saveSnapshot(snapshot), () -> engine.snapshotSaved(snapshot));
         }
 
         @Override
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -32,7 +32,11 @@
         Engine.Compaction compaction,
         Minority minority,
         int subscribers) {
-    /** What a controller still orders without a quorum: all, removals only, or nothing. */
+    /**
+     * The operator's choice of what a controller may still change without a quorum: all, removals
+     * only, or nothing. The constants in lower case are the words of the operator's file. In effect
+     * it becomes a {@link LocalController.Reach}.
+     */
     public enum Minority {
         SERVE,
         WITHDRAW,
--- a/src/main/java/rockshift/cluster/DiskWriter.java
+++ b/src/main/java/rockshift/cluster/DiskWriter.java
@@ -43,7 +43,7 @@
     /** Publishes to the writer's thread that it is to end. */
     private volatile boolean stopping;
 
-    /** Publishes to the member's thread why the disk takes nothing; empty while it does. */
+    /** Publishes to the member's thread why disk writes fail; empty while they work. */
     private volatile String trouble = "";
 
     DiskWriter(Path folder, MemberInputs inputs, StatusListener listener) {
@@ -57,7 +57,7 @@
         thread.start();
     }
 
-    /** Why the disk takes nothing; empty while it does. */
+    /** Why disk writes fail; empty while they work. */
     String trouble() {
         return trouble;
     }
@@ -115,8 +115,8 @@
     private void failed(String cause) throws InterruptedException {
         if (!cause.equals(trouble)) {
             LOG.error(
-                    "disk writes fail, no votes and no entries until they work folder={}"
-                            + " cause=\"{}\"",
+                    "disk writes fail: not voting, not acknowledging or applying new entries"
+                            + " folder={} cause=\"{}\"",
                     folder,
                     cause);
             trouble = cause;
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -70,7 +70,8 @@
     private volatile long freshAt = Long.MIN_VALUE;
 
     /** Publishes from the publisher's thread how publishing stands, for the status. */
-    private volatile Standing standing = new Standing(0, 0, new Summary(0, 0, 0, 0, 0));
+    private volatile PublishingStatus publishingStatus =
+            new PublishingStatus(0, 0, new Summary(0, 0, 0, 0, 0));
 
     // Used by the member's thread alone.
     private final Freshness freshness;
@@ -85,7 +86,7 @@
      * @param revision the number of what is published
      * @param summary what is in force below
      */
-    record Standing(int connections, long revision, Summary summary) {}
+    record PublishingStatus(int connections, long revision, Summary summary) {}
 
     /**
      * A service that holds nothing yet.
@@ -111,8 +112,8 @@
         return port;
     }
 
-    Standing standing() {
-        return standing;
+    PublishingStatus publishingStatus() {
+        return publishingStatus;
     }
 
     private static long now() {
@@ -125,10 +126,10 @@
     }
 
     /**
-     * To be called again and again: hands over what is agreed where it could not be told change by
-     * change.
+     * To be called again and again: hands over all that is agreed where that could not be done
+     * change by change, and notes up to when it is fresh.
      */
-    void tend(long cluster, AgreedState agreed, RaftNode raft) {
+    void handOverAndNoteFreshness(long cluster, AgreedState agreed, RaftNode raft) {
         if (cluster != handedOverAt.cluster() || resendWhole && pendingChanges.get() == 0) {
             restored(cluster, agreed);
         }
@@ -237,8 +238,8 @@
             publisher.freshAt(fresh);
         }
         publisher.tick(now());
-        standing =
-                new Standing(
+        publishingStatus =
+                new PublishingStatus(
                         publisher.connections(), store.current().number(), publisher.summary());
     }
 
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -32,11 +32,16 @@
         /** Sends a message to another member; it may be lost. */
         void send(Message message);
 
-        /** Has a save made durable elsewhere, which ends in {@link Engine#saved}. */
-        void save(long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot);
+        /** Has a save made durable elsewhere, which ends in {@link Engine#writeCompleted}. */
+        void save(
+                long writeNumber,
+                TermAndVote vote,
+                long from,
+                List<Entry> entries,
+                Snapshot snapshot);
 
-        /** Has a snapshot kept elsewhere, which ends in {@link Engine#snapshotKept}. */
-        void keepSnapshot(Snapshot snapshot);
+        /** Has a snapshot saved elsewhere, which ends in {@link Engine#snapshotSaved}. */
+        void saveSnapshot(Snapshot snapshot);
 
         /** Answers a request. */
         void answer(long request, Answer answer);
@@ -81,7 +86,7 @@
     private final PendingProposals pending = new PendingProposals();
 
     /** Whether a snapshot is being kept. */
-    private boolean keepingSnapshot;
+    private boolean savingSnapshot;
 
     /** The entry up to which the last snapshot was taken. */
     private long snapshotIndex;
@@ -146,8 +151,8 @@
     }
 
     /** A save is durable. */
-    public void saved(long ticket) {
-        raft.saved(ticket);
+    public void writeCompleted(long writeNumber) {
+        raft.writeCompleted(writeNumber);
     }
 
     /** Whether the disk takes what it is given. */
@@ -155,11 +160,11 @@
         raft.diskStatusChanged(works);
     }
 
-    /** A snapshot is on the disk, or (null) could not be kept. */
-    public void snapshotKept(Snapshot snapshot) {
-        keepingSnapshot = false;
+    /** A snapshot is on the disk, or (null) could not be saved. */
+    public void snapshotSaved(Snapshot snapshot) {
+        savingSnapshot = false;
         if (snapshot != null) {
-            raft.snapshotTaken(snapshot);
+            raft.snapshotSaved(snapshot);
         }
     }
 
@@ -231,7 +236,7 @@
         if (!raft.isLeader() && !pending.isEmpty()) {
             abandonProposals();
         }
-        if (isSnapshotDue() && !keepingSnapshot) {
+        if (isSnapshotDue() && !savingSnapshot) {
             takeSnapshot();
         }
     }
@@ -255,16 +260,16 @@
 
     /** Takes a snapshot of what is applied; false if one is under way or nothing is new. */
     public boolean takeSnapshot() {
-        if (keepingSnapshot || raft.appliedIndex() <= raft.snapshot().index()) {
+        if (savingSnapshot || raft.appliedIndex() <= raft.snapshot().index()) {
             return false;
         }
         try {
             long index = raft.appliedIndex();
             byte[] image =
                     StateCodec.encodeImage(sessions.sessions(), sessions.stateMachine().snapshot());
-            keepingSnapshot = true;
+            savingSnapshot = true;
             snapshotIndex = index;
-            environment.keepSnapshot(
+            environment.saveSnapshot(
                     new Snapshot(index, raft.log().term(index), raft.membershipAt(index), image));
             return true;
         } catch (IOException failure) {
@@ -274,8 +279,8 @@
 
     @Override
     public void persist(
-            long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
-        environment.save(ticket, vote, from, entries, snapshot);
+            long writeNumber, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
+        environment.save(writeNumber, vote, from, entries, snapshot);
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/LocalController.java
+++ b/src/main/java/rockshift/cluster/LocalController.java
@@ -7,7 +7,12 @@
  * the member's thread and must not wait.
  */
 public interface LocalController {
-    /** How much a controller may order, by whether its member is in touch with a quorum. */
+    /**
+     * How much a controller may change, by whether its member is in touch with a quorum: what the
+     * member passes to its controller. {@link ClusterSettings.Minority} is the operator's choice
+     * that it follows from, {@link rockshift.model.ControlScope} what the planner makes of it. The
+     * constants in lower case are words of {@code cluster status}.
+     */
     enum Reach {
         /** All: the member is in touch, or its file says so. */
         FULL,
@@ -20,7 +25,7 @@
     /** Takes over all that is agreed, anew after each change. */
     void applyAgreed(long version, Map<String, Change> drains, Map<String, Double> overrides);
 
-    /** Takes over how much it may order. */
+    /** Takes over how much it may change. */
     void setReach(Reach reach);
 
     /** Why the controller refuses a change, by what discovery lists now; null if it does not. */
--- a/src/main/java/rockshift/cluster/QuorumContactReporter.java
+++ b/src/main/java/rockshift/cluster/QuorumContactReporter.java
@@ -6,8 +6,8 @@
 import rockshift.raft.RaftNode;
 
 /**
- * Tells the controller how much it may order, by whether this member is in touch with a quorum.
- * Used by the member's thread alone.
+ * Passes to the controller how much it may change, by whether this member is in touch with a
+ * quorum. Used by the member's thread alone.
  */
 final class QuorumContactReporter {
     private static final Logger LOG = LoggerFactory.getLogger(QuorumContactReporter.class);
@@ -16,7 +16,7 @@
     private final LocalController controller;
     private final MemberDirectory directory;
 
-    /** What the controller was told last, or null. */
+    /** What was last reported to the controller, or null. */
     private LocalController.Reach reported;
 
     QuorumContactReporter(
@@ -26,12 +26,12 @@
         this.directory = directory;
     }
 
-    /** What the controller was told last, or null. */
+    /** What was last reported to the controller, or null. */
     LocalController.Reach reported() {
         return reported;
     }
 
-    /** Tells the controller if that has changed. */
+    /** Passes it to the controller if that has changed. */
     void update(RaftNode raft) {
         boolean contact = raft.hasQuorumContact();
         LocalController.Reach reach = contact ? LocalController.Reach.FULL : withoutQuorum();
--- a/src/main/java/rockshift/cluster/StatusWriter.java
+++ b/src/main/java/rockshift/cluster/StatusWriter.java
@@ -81,7 +81,7 @@
     }
 
     private void writeDistribution(JsonGenerator json) throws IOException {
-        DistributionService.Standing standing = distribution.standing();
+        DistributionService.PublishingStatus standing = distribution.publishingStatus();
         json.writeObjectFieldStart("distribution");
         json.writeNumberField("connections", standing.connections());
         json.writeNumberField("subscribers", standing.summary().subscribers());
--- a/src/main/java/rockshift/raft/AppendReceiver.java
+++ b/src/main/java/rockshift/raft/AppendReceiver.java
@@ -32,7 +32,7 @@
         long previousIndex = request.prevLogIndex();
         long previousTerm = request.prevLogTerm();
         int skipped = 0;
-        // Entries that the snapshot includes are committed, and so are the leader's too.
+        // Committed entries are identical on the leader, so they are skipped.
         while (previousIndex < log.baseIndex() && skipped < entries.size()) {
             previousIndex = entries.get(skipped).index();
             previousTerm = entries.get(skipped).term();
--- a/src/main/java/rockshift/raft/DurabilityTracker.java
+++ b/src/main/java/rockshift/raft/DurabilityTracker.java
@@ -6,10 +6,10 @@
  * What of a member's state is durable, what is being written, and what is still to be written. It
  * owns the current term and vote, as these are promises that a crash must not break.
  *
- * <p>The host writes one batch at a time, each under a ticket that rises by one. A message that
- * promises something (a vote, an acknowledged entry) is sent only once the ticket of the write that
- * it rests on is durable; without that, a member that crashes could vote twice in a term, or a
- * leader could count a copy that is gone.
+ * <p>The host writes one batch at a time, each under a write number that rises by one. A message
+ * that promises something (a vote, an acknowledged entry) is sent only once the write that it rests
+ * on is durable; without that, a member that crashes could vote twice in a term, or a leader could
+ * count a copy that is gone.
  */
 final class DurabilityTracker {
     private static final long NO_ENTRY = Long.MAX_VALUE;
@@ -25,7 +25,9 @@
     /** All entries up to here will be durable once the write in progress is. */
     private long writingUpToIndex;
 
-    private boolean hasUnwrittenState;
+    /** Whether a term or vote, entries or a snapshot are yet to be handed to the host. */
+    private boolean hasUnwritten;
+
     private long firstUnwrittenIndex = NO_ENTRY;
     private Snapshot unwrittenSnapshot;
 
@@ -34,12 +36,12 @@
      */
     private Snapshot snapshotToRestore;
 
-    private long lastTicket;
+    private long lastWriteNumber;
 
-    /** The ticket of the write in progress, 0 if there is none. */
-    private long writingTicket;
+    /** The number of the write in progress, 0 if there is none. */
+    private long writeNumberInProgress;
 
-    private long durableTicket;
+    private long durableWriteNumber;
     private boolean diskWorks = true;
 
     DurabilityTracker(SafetyRules rules, TermAndVote recovered, long durableIndex) {
@@ -59,7 +61,7 @@
     }
 
     void setTermAndVote(TermAndVote next) {
-        hasUnwrittenState |= !termAndVote.equals(next);
+        hasUnwritten |= !termAndVote.equals(next);
         termAndVote = next;
     }
 
@@ -67,8 +69,8 @@
         return durableIndex;
     }
 
-    long durableTicket() {
-        return durableTicket;
+    long durableWriteNumber() {
+        return durableWriteNumber;
     }
 
     boolean diskWorks() {
@@ -80,7 +82,7 @@
     }
 
     void entriesAppended(long firstIndex) {
-        hasUnwrittenState = true;
+        hasUnwritten = true;
         firstUnwrittenIndex = Math.min(firstUnwrittenIndex, firstIndex);
     }
 
@@ -88,7 +90,7 @@
         durableIndex = Math.min(durableIndex, firstIndex - 1);
         writingUpToIndex = Math.min(writingUpToIndex, firstIndex - 1);
         firstUnwrittenIndex = Math.min(firstUnwrittenIndex, firstIndex);
-        hasUnwrittenState = true;
+        hasUnwritten = true;
     }
 
     void snapshotInstalled(Snapshot snapshot) {
@@ -96,42 +98,42 @@
         writingUpToIndex = 0;
         firstUnwrittenIndex = NO_ENTRY;
         unwrittenSnapshot = snapshot;
-        hasUnwrittenState = true;
+        hasUnwritten = true;
     }
 
     /**
-     * The ticket that a promise made now must wait for: that of the next write if something is
-     * unwritten, else that of the write in progress; 0 if all is durable.
+     * The number of the write that a promise made now must wait for: that of the next write if
+     * something is unwritten, else that of the write in progress; 0 if all is durable.
      */
-    long ticketOfPromise() {
+    long writeNumberOfPromise() {
         if (!rules.persistsBeforeSending()) {
             return 0;
         }
-        return hasUnwrittenState ? lastTicket + 1 : writingTicket;
+        return hasUnwritten ? lastWriteNumber + 1 : writeNumberInProgress;
     }
 
     /**
      * The same for a promise that rests on the term and vote alone, which a write of entries need
      * not delay.
      */
-    long ticketOfTermPromise() {
+    long writeNumberOfTermPromise() {
         if (!rules.persistsBeforeSending() || termAndVote.equals(durableTermAndVote)) {
             return 0;
         }
-        return ticketOfPromise();
+        return writeNumberOfPromise();
     }
 
     boolean canStartWrite() {
-        return hasUnwrittenState && writingTicket == 0;
+        return hasUnwritten && writeNumberInProgress == 0;
     }
 
     /** Starts a write of all that is unwritten and hands it to the host. */
     void startWrite(Log log, RaftOutput output) {
-        lastTicket++;
-        writingTicket = lastTicket;
+        lastWriteNumber++;
+        writeNumberInProgress = lastWriteNumber;
         writingUpToIndex = log.lastIndex();
         writingTermAndVote = termAndVote;
-        hasUnwrittenState = false;
+        hasUnwritten = false;
         Snapshot snapshot = unwrittenSnapshot;
         unwrittenSnapshot = null;
         if (snapshot != null) {
@@ -144,7 +146,7 @@
                         ? List.of()
                         : log.entriesFrom(firstIndex, Integer.MAX_VALUE, Long.MAX_VALUE);
         output.persist(
-                writingTicket,
+                writeNumberInProgress,
                 termAndVote,
                 firstIndex == NO_ENTRY ? 0 : firstIndex,
                 entries,
@@ -155,28 +157,28 @@
      * The host has made a write durable.
      *
      * @param lastIndex the end of the log: entries truncated since the write began don't count
-     * @return false if the ticket is not that of the write in progress
+     * @return false if the number is not that of the write in progress
      */
-    boolean writeCompleted(long ticket, long lastIndex) {
-        if (ticket != writingTicket) {
+    boolean writeCompleted(long writeNumber, long lastIndex) {
+        if (writeNumber != writeNumberInProgress) {
             return false;
         }
-        writingTicket = 0;
-        durableTicket = ticket;
+        writeNumberInProgress = 0;
+        durableWriteNumber = writeNumber;
         durableIndex = Math.max(durableIndex, Math.min(writingUpToIndex, lastIndex));
         return true;
     }
 
     /** Takes the term and vote of the last write as durable, if no write is in progress. */
     void settleTermAndVote() {
-        if (durableTicket >= lastTicket) {
+        if (durableWriteNumber >= lastWriteNumber) {
             durableTermAndVote = writingTermAndVote;
         }
     }
 
     /** Whether an installed snapshot is durable and the state machine can be given it. */
     boolean canRestoreSnapshot() {
-        return snapshotToRestore != null && writingTicket == 0 && !hasUnwrittenState;
+        return snapshotToRestore != null && writeNumberInProgress == 0 && !hasUnwritten;
     }
 
     Snapshot takeSnapshotToRestore() {
@@ -192,6 +194,6 @@
 
     /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
     String fingerprint() {
-        return durableIndex + "," + writingTicket + hasUnwrittenState;
+        return durableIndex + "," + writeNumberInProgress + hasUnwritten;
     }
 }
--- a/src/main/java/rockshift/raft/Election.java
+++ b/src/main/java/rockshift/raft/Election.java
@@ -155,10 +155,11 @@
     }
 
     /**
-     * Whether a request is left without an answer: its term would depose a leader that this member
-     * is, or is in contact with.
+     * Whether a request is left without an answer: its newer term would depose a leader that this
+     * member is, or is in contact with. A request of this member's own term deposes nobody and is
+     * answered; so is one that a leader asked for by a transfer.
      */
-    boolean ignores(Message.VoteRequest request, long nowTicks) {
+    boolean mustIgnoreToProtectLeader(Message.VoteRequest request, long nowTicks) {
         boolean honorsLeader =
                 !request.leadershipTransfer()
                         && (isLeader()
@@ -190,7 +191,10 @@
                 new Message.VoteResponse(id, request.from(), durability.term(), false, granted));
     }
 
-    /** A vote needs a log as long as this one, and a disk that can keep the promise. */
+    /**
+     * A vote needs a log at least as up to date as this one (last term, then last index), and a
+     * disk that can keep the promise.
+     */
     private boolean isEligible(Message.VoteRequest request) {
         return durability.diskWorks()
                 && rules.isLogUpToDate(
--- a/src/main/java/rockshift/raft/Leadership.java
+++ b/src/main/java/rockshift/raft/Leadership.java
@@ -12,6 +12,13 @@
  * answers that the leader must step down, the caller does so at once.
  */
 final class Leadership {
+    /** Whether a member leads on after a commit. */
+    enum Continuation {
+        STAY_LEADER,
+        /** Its own removal as a voter is committed: it becomes a follower. */
+        STEP_DOWN
+    }
+
     /** Entries and bytes that may wait to be committed; more are rejected, not queued. */
     private static final int MAX_UNCOMMITTED_ENTRIES = 20_000;
 
@@ -27,7 +34,7 @@
     private final CommitTracker commits;
     private final DurabilityTracker durability;
     private final Outbox outbox;
-    private final Consumer<String> events;
+    private final Consumer<String> logLines;
     private final Replication replication;
     private final QuorumReads reads;
     private final LeaderLease lease;
@@ -41,7 +48,7 @@
             CommitTracker commits,
             DurabilityTracker durability,
             Outbox outbox,
-            Consumer<String> events) {
+            Consumer<String> logLines) {
         this.id = id;
         this.timing = timing;
         this.rules = rules;
@@ -49,7 +56,7 @@
         this.commits = commits;
         this.durability = durability;
         this.outbox = outbox;
-        this.events = events;
+        this.logLines = logLines;
         replication = new Replication(id, timing, rules, log, commits, durability, outbox);
         reads = new QuorumReads(rules);
         lease = new LeaderLease(timing, rules);
@@ -120,14 +127,14 @@
     /** Time passes; true if the leader must step down, as no quorum answers it. */
     boolean tick(long nowTicks) {
         if (!hasQuorumContact(nowTicks)) {
-            events.accept(
+            logLines.accept(
                     "term "
                             + durability.term()
                             + ": most members are out of reach, no longer leading");
             return true;
         }
         if (transfer.hasExpired(nowTicks)) {
-            events.accept(
+            logLines.accept(
                     "hand-over to "
                             + log.membership().nameOf(transfer.target())
                             + " was not taken up");
@@ -143,7 +150,8 @@
 
     /** Sends what there is to send now; false if there is nothing. */
     boolean poll(long nowTicks) {
-        if (reads.needsRoundAfter(replication.round()) || replication.hasCommitToAnnounce()) {
+        if (reads.needsRoundAfter(replication.heartbeatRound())
+                || replication.hasCommitToAnnounce()) {
             startRound(nowTicks);
             return true;
         }
@@ -188,40 +196,39 @@
         } else if (leaseHolds(nowTicks)) {
             reads.addConfirmed(token, commits.commitIndex());
         } else {
-            reads.awaitRound(token, replication.round() + 1);
+            reads.awaitRound(token, replication.heartbeatRound() + 1);
         }
     }
 
     private void confirmReads() {
         long quorumRound =
-                replication.quorumValue(replication.round(), FollowerProgress::answeredRound, 0);
+                replication.quorumValue(
+                        replication.heartbeatRound(), FollowerProgress::answeredRound, 0);
         reads.confirm(quorumRound, commits.commitIndex(), knowsCommitIndex());
     }
 
     // ---- answers of followers -------------------------------------------------------------------
 
-    /**
-     * Takes a follower's answer; true if the leader must step down, as its removal is committed.
-     */
-    boolean handleAppendResponse(Message.AppendResponse response, long nowTicks) {
+    /** Takes a follower's answer, and commits what a quorum holds by it. */
+    Continuation handleAppendResponse(Message.AppendResponse response, long nowTicks) {
         FollowerProgress follower = replication.follower(response.from());
         if (follower == null) {
-            return false;
+            return Continuation.STAY_LEADER;
         }
         follower.recordResponse(
                 nowTicks, response.round(), response.sentAtTicks(), response.followerClockTicks());
         checkClockAndReads(follower);
         if (response.success()) {
             follower.recordMatch(response.matchIndex());
-            if (advanceCommitIndex(nowTicks)) {
-                return true;
+            if (advanceCommitIndex(nowTicks) == Continuation.STEP_DOWN) {
+                return Continuation.STEP_DOWN;
             }
             completeTransferTo(follower);
         } else {
             replication.handleRejection(follower, response);
         }
         replication.send(follower, nowTicks);
-        return false;
+        return Continuation.STAY_LEADER;
     }
 
     /** Takes a follower's answer to a snapshot chunk. */
@@ -238,7 +245,7 @@
 
     private void checkClockAndReads(FollowerProgress follower) {
         if (lease.recordDrift(follower.clockDriftRatio())) {
-            events.accept(
+            logLines.accept(
                     "the clock of "
                             + log.membership().nameOf(follower.id())
                             + " runs apart by more than allowed: reads without leases");
@@ -246,29 +253,33 @@
         confirmReads();
     }
 
-    /**
-     * Commits what a quorum holds; true if the leader must step down, as its own removal is among
-     * it.
-     */
-    boolean advanceCommitIndex(long nowTicks) {
+    /** Commits what a quorum holds. */
+    Continuation advanceCommitIndex(long nowTicks) {
         long matched =
                 replication.quorumValue(durability.durableIndex(), FollowerProgress::matchIndex, 0);
         long index = Math.min(matched, log.lastIndex());
         if (index <= commits.commitIndex()
                 || !rules.mayCommitByCounting(log.term(index), durability.term())) {
-            return false;
+            return Continuation.STAY_LEADER;
         }
         commits.advanceTo(index);
-        if (log.membershipIndex() > commits.commitIndex()) {
-            return false;
-        }
+        return log.membershipIndex() > commits.commitIndex()
+                ? Continuation.STAY_LEADER
+                : finishMembershipChange(nowTicks);
+    }
+
+    /**
+     * The newest membership is committed: members that it removed get no more messages. A leader
+     * that is no longer a voter announces the commit and ends.
+     */
+    private Continuation finishMembershipChange(long nowTicks) {
         replication.dropRemovedMembers();
         if (log.membership().isVoter(id)) {
-            return false;
+            return Continuation.STAY_LEADER;
         }
         startRound(nowTicks);
-        events.accept("no longer a voting member, no longer leading");
-        return true;
+        logLines.accept("no longer a voting member, no longer leading");
+        return Continuation.STEP_DOWN;
     }
 
     // ---- membership -----------------------------------------------------------------------------
@@ -307,7 +318,7 @@
                             && MembershipChange.isCaughtUp(follower, commits.commitIndex())
                             && follower.mode() == FollowerProgress.Mode.REPLICATE;
             if (ready && changeMembership(member.as(Member.Role.VOTER), false, nowTicks) == null) {
-                events.accept(member.name() + " has caught up and votes");
+                logLines.accept(member.name() + " has caught up and votes");
                 return;
             }
         }
--- a/src/main/java/rockshift/raft/Member.java
+++ b/src/main/java/rockshift/raft/Member.java
@@ -5,7 +5,7 @@
  *
  * @param id drawn when the member's disk is first used and never used again, so that one whose disk
  *     was wiped is another member
- * @param name what staff call it
+ * @param name what operators call it
  * @param address where the other members reach it
  */
 public record Member(long id, String name, String address, Role role) {
--- a/src/main/java/rockshift/raft/Membership.java
+++ b/src/main/java/rockshift/raft/Membership.java
@@ -27,7 +27,7 @@
         return byId.get(id);
     }
 
-    /** The member that staff call so, null if there is none. */
+    /** The member that operators call so, null if there is none. */
     public Member byName(String name) {
         return byId.values().stream()
                 .filter(member -> member.name().equals(name))
@@ -35,7 +35,7 @@
                 .orElse(null);
     }
 
-    /** What staff call a member, or its number where it is none. */
+    /** What operators call a member, or its number where it is none. */
     String nameOf(long id) {
         Member known = byId.get(id);
         return known == null ? "member " + Long.toHexString(id) : known.name();
--- a/src/main/java/rockshift/raft/Outbox.java
+++ b/src/main/java/rockshift/raft/Outbox.java
@@ -8,7 +8,7 @@
  * rests on; those behind it that need no write, or an earlier one, overtake it.
  */
 final class Outbox {
-    private record DeferredMessage(long ticket, Message message) {}
+    private record DeferredMessage(long writeNumber, Message message) {}
 
     private final DurabilityTracker durability;
     private final ArrayDeque<DeferredMessage> deferred = new ArrayDeque<>();
@@ -22,14 +22,21 @@
         deferred.add(new DeferredMessage(0, message));
     }
 
-    /** Sends a message once all that is known now is durable. */
+    /**
+     * Sends a message once all that is known now (term, vote, entries, snapshot) is durable:
+     * requests of votes and their answers, rejected appends, and the acknowledgement of entries or
+     * a snapshot that are not durable yet.
+     */
     void sendWhenDurable(Message message) {
-        deferred.add(new DeferredMessage(durability.ticketOfPromise(), message));
+        deferred.add(new DeferredMessage(durability.writeNumberOfPromise(), message));
     }
 
-    /** Sends a message once the current term and vote are durable. */
+    /**
+     * Sends a message once the current term and vote are durable, and does not wait for entries:
+     * the acknowledgement of entries that are durable already.
+     */
     void sendWhenTermDurable(Message message) {
-        deferred.add(new DeferredMessage(durability.ticketOfTermPromise(), message));
+        deferred.add(new DeferredMessage(durability.writeNumberOfTermPromise(), message));
     }
 
     /**
@@ -42,7 +49,7 @@
         boolean released = false;
         for (int count = deferred.size(); count > 0; count--) {
             DeferredMessage first = deferred.removeFirst();
-            if (first.ticket > durability.durableTicket()) {
+            if (first.writeNumber > durability.durableWriteNumber()) {
                 deferred.addLast(first);
             } else {
                 released = true;
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -35,7 +35,7 @@
     }
 
     /**
-     * The state of a member, for staff and for checks.
+     * The state of a member, for operators and for checks.
      *
      * @param leader the leader that it knows of, 0 if none
      * @param firstIndex the first entry that it still holds
@@ -67,7 +67,7 @@
     private final SnapshotReceiver snapshotReceiver;
 
     /** Lines for the host's log. */
-    private final ArrayDeque<String> events = new ArrayDeque<>();
+    private final ArrayDeque<String> logLines = new ArrayDeque<>();
 
     private long nowTicks;
 
@@ -96,9 +96,9 @@
         outbox = new Outbox(durability);
         election = new Election(id, timing, rules, random, log, durability, outbox, nowTicks);
         leadership =
-                new Leadership(id, timing, rules, log, commits, durability, outbox, events::add);
+                new Leadership(id, timing, rules, log, commits, durability, outbox, logLines::add);
         appendReceiver = new AppendReceiver(rules, log, commits, durability, outbox);
-        snapshotReceiver = new SnapshotReceiver(log, commits, durability, outbox, events::add);
+        snapshotReceiver = new SnapshotReceiver(log, commits, durability, outbox, logLines::add);
     }
 
     // ---- what is known --------------------------------------------------------------------------
@@ -205,13 +205,9 @@
     }
 
     /** A write is durable, with everything before it. */
-    public void saved(long ticket) {
-        boolean mustStepDown =
-                durability.writeCompleted(ticket, log.lastIndex())
-                        && isLeader()
-                        && leadership.advanceCommitIndex(nowTicks);
-        if (mustStepDown) {
-            becomeFollower(term());
+    public void writeCompleted(long writeNumber) {
+        if (durability.writeCompleted(writeNumber, log.lastIndex()) && isLeader()) {
+            continueOrStepDown(leadership.advanceCommitIndex(nowTicks));
         }
     }
 
@@ -221,10 +217,11 @@
      */
     public void diskStatusChanged(boolean works) {
         if (durability.diskWorks() != works) {
-            events.add(
+            logLines.add(
                     works
                             ? "disk takes entries again"
-                            : "disk takes nothing: no votes, no entries, until it does");
+                            : "disk writes fail: not voting, not acknowledging or applying new"
+                                    + " entries");
         }
         durability.setDiskWorks(works);
         if (isLeader()) {
@@ -233,9 +230,9 @@
     }
 
     /** The host has persisted a snapshot of what is applied: entries below it are dropped. */
-    public void snapshotTaken(Snapshot taken) {
-        if (taken.index() > snapshot().index() && taken.index() <= appliedIndex()) {
-            log.compact(taken);
+    public void snapshotSaved(Snapshot saved) {
+        if (saved.index() > snapshot().index() && saved.index() <= appliedIndex()) {
+            log.compact(saved);
         }
     }
 
@@ -306,9 +303,7 @@
             recordLeader(chunk.from());
             snapshotReceiver.receive(chunk, nowTicks);
         } else if (message instanceof Message.AppendResponse response && isLeader()) {
-            if (leadership.handleAppendResponse(response, nowTicks)) {
-                becomeFollower(term());
-            }
+            continueOrStepDown(leadership.handleAppendResponse(response, nowTicks));
         } else if (message instanceof Message.SnapshotChunkResponse response && isLeader()) {
             leadership.handleChunkResponse(response, nowTicks);
         } else if (message instanceof Message.TimeoutNow && !isLeader() && mayCampaign()) {
@@ -316,6 +311,12 @@
         }
     }
 
+    private void continueOrStepDown(Leadership.Continuation continuation) {
+        if (continuation == Leadership.Continuation.STEP_DOWN) {
+            becomeFollower(term());
+        }
+    }
+
     /** Tells the leader of an older term of this one, so that it ends; answers mean nothing now. */
     private void rejectOldTerm(Message message) {
         if (message instanceof Message.AppendRequest || message instanceof Message.SnapshotChunk) {
@@ -326,7 +327,7 @@
     }
 
     private void handleVoteRequest(Message.VoteRequest request) {
-        if (election.ignores(request, nowTicks)) {
+        if (election.mustIgnoreToProtectLeader(request, nowTicks)) {
             return;
         }
         if (request.preVote()) {
@@ -358,7 +359,7 @@
 
     private void recordLeader(long from) {
         if (election.recordLeader(from, nowTicks)) {
-            events.add("follows " + membership().nameOf(from) + " in term " + term());
+            logLines.add("follows " + membership().nameOf(from) + " in term " + term());
         }
     }
 
@@ -372,7 +373,7 @@
 
     private void becomeLeader() {
         election.becomeLeader();
-        events.add(
+        logLines.add(
                 "leads in term "
                         + term()
                         + " with "
@@ -388,8 +389,8 @@
     /** Carries out one step, if there is one to take now; false if there is none. */
     public boolean poll(RaftOutput output) {
         durability.settleTermAndVote();
-        if (!events.isEmpty()) {
-            output.log(events.remove());
+        if (!logLines.isEmpty()) {
+            output.log(logLines.remove());
             return true;
         }
         return isLeader() && leadership.poll(nowTicks)
--- a/src/main/java/rockshift/raft/RaftOutput.java
+++ b/src/main/java/rockshift/raft/RaftOutput.java
@@ -5,15 +5,15 @@
 /** What a host carries out for one {@link RaftNode}, in the order of the calls. */
 public interface RaftOutput {
     /**
-     * Makes durable what changed, and reports the ticket to {@link RaftNode#saved} once it is. One
-     * write is in progress at a time.
+     * Makes durable what changed, and reports the number of the write to {@link
+     * RaftNode#writeCompleted} once it is. One write is in progress at a time.
      *
      * @param firstIndex the index of the first entry: whatever the log had from there on is void; 0
      *     if no entry changed
      * @param snapshot replaces all entries before the others are written; null if there is none
      */
     void persist(
-            long ticket,
+            long writeNumber,
             TermAndVote termAndVote,
             long firstIndex,
             List<Entry> entries,
@@ -34,6 +34,6 @@
     /** The read of that token can't be answered here: ask the leader. */
     void readRejected(long token);
 
-    /** Writes a line to the log for staff. */
+    /** Writes a line to the log for operators. */
     void log(String line);
 }
--- a/src/main/java/rockshift/raft/Replication.java
+++ b/src/main/java/rockshift/raft/Replication.java
@@ -28,8 +28,8 @@
     /** By id, in the order in which they were added: messages go out in this order. */
     private final Map<Long, FollowerProgress> followers = new LinkedHashMap<>();
 
-    /** Rises with each round and never falls, whatever the term. */
-    private long round;
+    /** The last round of heartbeats; rises with each and never falls, whatever the term. */
+    private long heartbeatRound;
 
     private long roundStartTicks;
 
@@ -122,8 +122,8 @@
 
     // ---- rounds ---------------------------------------------------------------------------------
 
-    long round() {
-        return round;
+    long heartbeatRound() {
+        return heartbeatRound;
     }
 
     boolean isHeartbeatDue(long nowTicks) {
@@ -140,7 +140,7 @@
 
     /** Begins a round: each follower is sent entries, or a heartbeat if there are none to send. */
     void startRound(long nowTicks) {
-        round++;
+        heartbeatRound++;
         roundStartTicks = nowTicks;
         firstUnannouncedCommit = commits.commitIndex() + 1;
         for (FollowerProgress follower : followers.values()) {
@@ -206,7 +206,7 @@
                         previousIndex,
                         log.term(previousIndex),
                         commits.commitIndex(),
-                        round,
+                        heartbeatRound,
                         roundStartTicks,
                         entries));
     }
@@ -223,7 +223,7 @@
                             0,
                             0,
                             0,
-                            round,
+                            heartbeatRound,
                             roundStartTicks,
                             List.of()));
         } else {
@@ -238,7 +238,7 @@
                                 id,
                                 follower.id(),
                                 durability.term(),
-                                round,
+                                heartbeatRound,
                                 roundStartTicks,
                                 nowTicks));
     }
--- a/src/main/java/rockshift/raft/SnapshotReceiver.java
+++ b/src/main/java/rockshift/raft/SnapshotReceiver.java
@@ -16,7 +16,7 @@
     private final CommitTracker commits;
     private final DurabilityTracker durability;
     private final Outbox outbox;
-    private final Consumer<String> events;
+    private final Consumer<String> logLines;
 
     /** The first chunk of the snapshot that is being received; null if there is none. */
     private Message.SnapshotChunk incomingSnapshot;
@@ -28,12 +28,12 @@
             CommitTracker commits,
             DurabilityTracker durability,
             Outbox outbox,
-            Consumer<String> events) {
+            Consumer<String> logLines) {
         this.log = log;
         this.commits = commits;
         this.durability = durability;
         this.outbox = outbox;
-        this.events = events;
+        this.logLines = logLines;
     }
 
     /** Takes a chunk from the leader of the current term. */
@@ -45,7 +45,7 @@
             return;
         }
         if (chunk.totalBytes() > MAX_SNAPSHOT_BYTES) {
-            events.accept("a snapshot of " + chunk.totalBytes() + " bytes is too large, left");
+            logLines.accept("a snapshot of " + chunk.totalBytes() + " bytes is too large, left");
             return;
         }
         store(chunk);
@@ -88,7 +88,7 @@
         incomingSnapshot = null;
         receivedBytes = new ByteArrayOutputStream();
         if (Checksum.of(data) != chunk.checksum()) {
-            events.accept(
+            logLines.accept(
                     "snapshot of entry "
                             + chunk.snapshotIndex()
                             + " came corrupt from "
@@ -101,7 +101,7 @@
                 new Snapshot(chunk.snapshotIndex(), chunk.snapshotTerm(), chunk.membership(), data);
         log.installSnapshot(snapshot);
         commits.snapshotInstalled(snapshot.index());
-        events.accept(
+        logLines.accept(
                 "snapshot of entry "
                         + snapshot.index()
                         + " taken from "
--- a/src/main/java/rockshift/testkit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -369,17 +369,17 @@
 
     @Override
     public void save(
-            long ticket, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
+            long writeNumber, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
         if (!entries.isEmpty()) {
             history.checkWritten(entries, engine.raft().log().term(from - 1));
         }
         TermAndVote kept = injection.persistedVote(vote);
-        enqueueDiskTask(() -> trySave(incarnation, ticket, kept, from, entries, snapshot));
+        enqueueDiskTask(() -> trySave(incarnation, writeNumber, kept, from, entries, snapshot));
     }
 
     private void trySave(
             int startedIncarnation,
-            long ticket,
+            long writeNumber,
             TermAndVote vote,
             long from,
             List<Entry> entries,
@@ -392,7 +392,7 @@
             handle(
                     () -> {
                         engine.diskStatusChanged(true);
-                        engine.saved(ticket);
+                        engine.writeCompleted(writeNumber);
                     });
         } catch (SimulatedDisk.Crashed crashed) {
             // It ends here.
@@ -400,21 +400,21 @@
             cluster.trace("n%d can't save: %s", index, full.getMessage());
             handle(() -> engine.diskStatusChanged(false));
             diskTasks.addFirst(
-                    () -> trySave(startedIncarnation, ticket, vote, from, entries, snapshot));
+                    () -> trySave(startedIncarnation, writeNumber, vote, from, entries, snapshot));
         }
     }
 
     @Override
-    public void keepSnapshot(Snapshot snapshot) {
+    public void saveSnapshot(Snapshot snapshot) {
         enqueueDiskTask(
                 () -> {
                     try {
                         log.saveSnapshot(snapshot);
-                        handle(() -> engine.snapshotKept(snapshot));
+                        handle(() -> engine.snapshotSaved(snapshot));
                     } catch (SimulatedDisk.Crashed crashed) {
                         // It ends here.
                     } catch (IOException full) {
-                        handle(() -> engine.snapshotKept(null));
+                        handle(() -> engine.snapshotSaved(null));
                     }
                 });
     }
