--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedInput.java
@@ -3,13 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import rockshift.cluster.Change;
+import rockshift.model.Ticks;
 import rockshift.server.AgreedChangesReceiver;
 import rockshift.settings.SettingsParser;
 
 /** Hands the agreed state to the planner of a controller, in the planner's units. */
 final class AgreedInput {
-    private static final long TICKS_PER_MILLI = 10;
-
     private AgreedInput() {}
 
     /**
@@ -32,7 +31,9 @@
                         until.put(
                                 name,
                                 change.kind() == Change.Kind.DRAIN && change.started() > 0
-                                        ? change.started() * TICKS_PER_MILLI + TICKS_PER_MILLI - 1
+                                        ? change.started() * Ticks.TICKS_PER_MILLI
+                                                + Ticks.TICKS_PER_MILLI
+                                                - 1
                                         : Long.MAX_VALUE));
         receiver.applyAgreed(version, until, SettingsParser.overrides(terms), inForce);
     }
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -8,6 +8,7 @@
 import rockshift.cluster.LocalController;
 import rockshift.model.ControlScope;
 import rockshift.model.Endpoint;
+import rockshift.model.Ticks;
 import rockshift.server.AgreedChangesReceiver;
 import rockshift.server.AgreedChangesSource;
 
@@ -16,8 +17,6 @@
  * list of replicas comes out. Calls come on the member's thread.
  */
 final class ClusterChangesSource implements AgreedChangesSource, LocalController {
-    private static final long TICKS_PER_MILLI = 10;
-
     private final ClusterSettings settings;
     private AgreedChangesReceiver receiver;
     private ClusterMember member;
@@ -80,7 +79,7 @@
     @Override
     public long startedMillis(String replica) {
         Endpoint entry = receiver.endpoints().get(replica);
-        return entry == null ? 0 : entry.startedAtTicks() / TICKS_PER_MILLI;
+        return entry == null ? 0 : entry.startedAtTicks() / Ticks.TICKS_PER_MILLI;
     }
 
     @Override
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -9,6 +9,7 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rockshift.model.Ticks;
 import rockshift.raft.ClientSessions;
 import rockshift.raft.Entry;
 import rockshift.raft.Message;
@@ -37,7 +38,6 @@
     /** How long the threads may take to end. */
     private static final long STOP_TIMEOUT_MS = 500;
 
-    private static final long NANOS_PER_TICK = 100_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final ClusterSettings settings;
@@ -175,7 +175,7 @@
     }
 
     private static long nowTicks() {
-        return System.nanoTime() / NANOS_PER_TICK;
+        return System.nanoTime() / Ticks.NANOS_PER_TICK;
     }
 
     private void run() {
--- a/src/main/java/rockshift/model/Ticks.java
+++ b/src/main/java/rockshift/model/Ticks.java
@@ -11,5 +11,8 @@
     /** Microseconds in a tick. */
     public static final long MICROS_PER_TICK = 100;
 
+    /** Nanoseconds in a tick. */
+    public static final long NANOS_PER_TICK = 1_000 * MICROS_PER_TICK;
+
     private Ticks() {}
 }
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -39,8 +39,6 @@
     /** How long the thread waits at most for an event. */
     private static final long MAX_WAIT_TICKS = Ticks.TICKS_PER_SECOND;
 
-    private static final long NANOS_PER_TICK = TimeUnit.MICROSECONDS.toNanos(Ticks.MICROS_PER_TICK);
-
     /**
      * An event in the queue.
      *
@@ -77,7 +75,7 @@
 
     /** The planner's clock, in ticks: monotonic, and Unix time as the process starts. */
     long now() {
-        return startedTicks + (System.nanoTime() - startedNanos) / NANOS_PER_TICK;
+        return startedTicks + (System.nanoTime() - startedNanos) / Ticks.NANOS_PER_TICK;
     }
 
     /** Sets who else is handed each list of replicas, on the thread that brings it. */
@@ -126,7 +124,7 @@
                 awaitEvent();
                 if (!closed) {
                     long idleTicks = turn() + turnSpacingTicks - now();
-                    TimeUnit.NANOSECONDS.sleep(Math.max(0, idleTicks) * NANOS_PER_TICK);
+                    TimeUnit.NANOSECONDS.sleep(Math.max(0, idleTicks) * Ticks.NANOS_PER_TICK);
                 }
             }
         } catch (InterruptedException stopped) {
@@ -136,7 +134,7 @@
 
     private void awaitEvent() throws InterruptedException {
         long waitTicks = Math.max(0, Math.min(MAX_WAIT_TICKS, wakeAtTicks - now()));
-        QueuedEvent first = queue.poll(waitTicks * NANOS_PER_TICK, TimeUnit.NANOSECONDS);
+        QueuedEvent first = queue.poll(waitTicks * Ticks.NANOS_PER_TICK, TimeUnit.NANOSECONDS);
         if (first != null) {
             inputs.add(first);
         }
--- a/src/main/java/rockshift/testkit/FaultyNetwork.java
+++ b/src/main/java/rockshift/testkit/FaultyNetwork.java
@@ -3,6 +3,7 @@
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.random.RandomGenerator;
+import rockshift.model.Ticks;
 
 /**
  * What the network of a simulated cluster does to messages: cuts between members, loss, doubles and
@@ -68,6 +69,6 @@
                 "loses %.2f, doubles %.2f, delays up to %.1f ms",
                 lossRatio,
                 duplicateRatio,
-                maxDelayTicks / 10.0);
+                maxDelayTicks / (double) Ticks.TICKS_PER_MILLI);
     }
 }
--- a/src/test/java/rockshift/ArchitectureTest.java
+++ b/src/test/java/rockshift/ArchitectureTest.java
@@ -99,6 +99,7 @@
                 "rockshift.wire");
         mayOnlyImport(
                 "rockshift.cluster",
+                "rockshift.model",
                 "rockshift.raft",
                 "rockshift.wire",
                 "rockshift.storage",
