--- a/src/main/java/rockshift/model/ControlScope.java
+++ b/src/main/java/rockshift/model/ControlScope.java
@@ -1,18 +1,20 @@
 package rockshift.model;
 
 /**
- * How much a controller may change at present: what the planner obeys. A member of a cluster
- * derives it from its contact with a quorum ({@code LocalController.Reach}) and the operator's
- * choice ({@code ClusterSettings.Minority}). The constants are words of the log.
+ * Scope of the changes that a controller may make at present; the planner obeys it. A member of a
+ * cluster derives it from its contact with a quorum ({@code LocalController.Reach}) and the
+ * operator's setting ({@code ClusterSettings.Minority}). The constants are written to the log by
+ * name.
  */
 public enum ControlScope {
-    /** Everything. */
+    /** All changes. */
     FULL,
     /**
-     * Only what safety requires, as the controller is out of touch with most others: replicas that
-     * drain or left come out of the tables, and no table stays empty.
+     * Only changes required for safety, because the controller has no contact with most other
+     * controllers: draining and departed replicas are removed from the tables, and no table is left
+     * empty.
      */
     REMOVALS_ONLY,
-    /** Nothing. */
+    /** No changes. */
     NONE
 }
--- a/src/main/java/rockshift/model/package-info.java
+++ b/src/main/java/rockshift/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Plain values that hosts and the planner share: endpoints, sets of request classes, and how much a
- * controller may order. All are immutable and safe on any thread.
+ * Immutable value types shared by hosts and the planner: endpoints, sets of request classes, and
+ * the scope of the changes that a controller may make. All are thread-safe.
  */
 package rockshift.model;
