--- a/src/main/java/rockshift/planner/AdmissionController.java
+++ b/src/main/java/rockshift/planner/AdmissionController.java
@@ -9,21 +9,22 @@
 import rockshift.settings.ClassSettings;
 
 /**
- * Sets the fraction of each class that proxies admit: no more than the fleet can answer. One class
- * is shed first, the one whose refusal costs the goal least; the others fall together, to one
- * level, where that is not enough. Where no class is cheaper to shed than all, all fall together.
- * In a congestion collapse admission pauses: all levels are at their least until the longest
- * timeout of the classes has passed.
+ * Sets the fraction of each class that proxies admit, so that no more is admitted than the fleet
+ * can serve. The class whose refusal costs the goal least is shed first; if that is not enough, the
+ * other classes are lowered together to one level. If no class is cheaper to shed than all of them,
+ * all are lowered together. In a congestion collapse admission pauses: all levels are at the
+ * minimum until the longest timeout of the classes has passed.
  *
- * <p>Inputs: arrivals and attempts with the ticks that they cover, the fleet's capacity in answers
- * a tick and its load, the median failure ratio. Acts only where levels are fractions.
+ * <p>Inputs: arrivals and attempts with the ticks that they cover, the fleet's capacity in
+ * responses per tick and its load, the median failure ratio. Only active where levels are
+ * fractions.
  *
- * <p>Guards against queues that outgrow the latency objective, whether demand rose or capacity was
- * lost, and against congestion collapse, where servers work on what nobody waits for any more.
- * Shows as levels below 1; {@code admissionPaused reason=congestionCollapse median=...} for the
- * second. Holds because the levels go by capacity over demand, whatever changed either; and a fleet
- * that is not busy refuses nothing, whatever the estimates. It may refuse too much while capacity
- * is underrated.
+ * <p>Guards against queues that exceed the latency objective, whether demand rose or capacity was
+ * lost, and against congestion collapse, where servers work on requests that no client waits for
+ * any more. The symptom is levels below 1, and for a congestion collapse {@code admissionPaused
+ * reason=congestionCollapse median=...}. The guard holds because levels follow the ratio of
+ * capacity to demand, whichever of them changed, and because a fleet that is not busy refuses
+ * nothing, whatever the estimates. It may refuse too much while capacity is underestimated.
  */
 final class AdmissionController {
     /** Fraction of the fleet's capacity that may be admitted. */
@@ -33,39 +34,41 @@
     private static final double MIN_LOAD_TO_SHED = 0.6;
 
     /** Mean load of the fleet from which it counts as overloaded. */
-    private static final double OVERLOAD = 0.8;
+    private static final double OVERLOAD_THRESHOLD = 0.8;
 
-    /** Level gained a round at most: all waiting requests at once would be too many. */
+    /** Maximum increase of a level per round, as all waiting requests at once would be too many. */
     private static final double MAX_INCREASE_PER_ROUND = 0.2;
 
-    /** Least level of any class. */
+    /** Minimum level of any class. */
     private static final double MIN_LEVEL = 0.05;
 
     /**
-     * Median failure ratio below which the fleet counts as healthy, and its answers as its
+     * Median failure ratio below which the fleet counts as healthy, and its response rate as its
      * capacity.
      */
     private static final double HEALTHY_FAILURE_RATIO = 0.05;
 
-    /** Fraction of the difference by which the healthy rate of answers moves a round. */
+    /** Fraction of the difference by which the healthy response rate moves per round. */
     private static final double HEALTHY_RATE_STEP_FRACTION = 0.3;
 
-    /** Fraction of the healthy rate of answers that counts as there in a congestion collapse. */
+    /**
+     * Fraction of the healthy response rate that is assumed as capacity in a congestion collapse.
+     */
     private static final double COLLAPSE_RATE_FRACTION = 0.75;
 
-    /** Median failure ratio that means a congestion collapse. */
+    /** Median failure ratio above which there is a congestion collapse. */
     private static final double COLLAPSE_FAILURE_RATIO = 0.6;
 
-    /** Time until reports show how a pause ended. */
+    /** Time after a pause until reports show its effect. */
     private static final long PAUSE_SETTLING_TICKS = 5 * Ticks.TICKS_PER_SECOND;
 
-    /** Most retries of a refused client. */
+    /** Maximum estimate of the retries of a refused client. */
     private static final double MAX_CLIENT_RETRIES = 3;
 
-    /** Fraction refused from which the client retries can be learned. */
+    /** Refused fraction above which client retries can be estimated. */
     private static final double MIN_REFUSED_FRACTION = 0.15;
 
-    /** Fraction of the difference by which the client retries move a round. */
+    /** Fraction of the difference by which the estimate of client retries moves per round. */
     private static final double CLIENT_RETRIES_STEP_FRACTION = 0.2;
 
     private final boolean enabled;
@@ -75,7 +78,8 @@
     private double clientRetries;
 
     /**
-     * Answers a tick while the fleet was last healthy, per transaction a second of the baseline.
+     * Responses per tick while the fleet was last healthy, per transaction per second of the
+     * baseline rate.
      */
     private double healthyRatePerBaselineRate;
 
@@ -89,12 +93,12 @@
         Arrays.fill(levels, 1);
     }
 
-    /** The fraction of a class that is admitted. */
+    /** Returns the fraction of a class that is admitted. */
     double level(int classNumber) {
         return levels[classNumber];
     }
 
-    /** A copy, by class. */
+    /** Returns a copy of the levels, by class. */
     double[] levels() {
         return levels.clone();
     }
@@ -115,7 +119,7 @@
             return;
         }
         updateClientRetries(traffic);
-        boolean overloaded = !(capacity.load() < OVERLOAD);
+        boolean overloaded = !(capacity.load() < OVERLOAD_THRESHOLD);
         double[] demand = demandPerTick(traffic, baseline, overloaded);
         updateHealthyRate(baseline, capacity, medianFailureRatio);
         double admissible = admissiblePerTick(traffic, baseline, capacity, overloaded);
@@ -124,9 +128,9 @@
     }
 
     /**
-     * Updates how often a refused client retries, learned from what was admitted beyond the
-     * attempts seen; slowly, as attempts end late. Taken for new demand, retries would have ever
-     * more refused.
+     * Updates the estimate of how often a refused client retries, from the admitted arrivals beyond
+     * the observed attempts; slowly, as attempts end late. If retries counted as new demand, more
+     * and more would be refused.
      */
     private void updateClientRetries(TrafficWindows traffic) {
         double admitted = traffic.admittedArrivals();
@@ -140,8 +144,9 @@
     }
 
     /**
-     * First attempts a tick, by class. At a start the conservative time rates arrivals too high, up
-     * to twice: it is only used for an overloaded fleet, where more arrives than is reported yet.
+     * Returns first attempts per tick, by class. At start-up the conservative time gives arrival
+     * rates that are up to twice too high; it is only used for an overloaded fleet, where more
+     * arrives than is reported yet.
      */
     private double[] demandPerTick(
             TrafficWindows traffic, BaselineRates baseline, boolean overloaded) {
@@ -164,31 +169,32 @@
     }
 
     /**
-     * What may be admitted a tick. In a congestion collapse answers fall though the capacity is
-     * there, and refusing by them would refuse nearly all: a part of what was answered while the
-     * fleet was healthy is admitted. That is too much where much capacity is really lost.
+     * Returns the requests that may be admitted per tick. In a congestion collapse responses fall
+     * although the capacity is there, and a limit based on them would refuse nearly all requests,
+     * so a fraction of the response rate of the healthy fleet is admitted. That is too much if much
+     * capacity is really lost.
      */
     private double admissiblePerTick(
             TrafficWindows traffic,
             BaselineRates baseline,
             FleetCapacity capacity,
             boolean overloaded) {
-        double answersPerTick =
+        double responsesPerTick =
                 overloaded
-                        ? capacity.answersPerTick()
-                        : capacity.answersPerTick()
+                        ? capacity.responsesPerTick()
+                        : capacity.responsesPerTick()
                                 * traffic.conservativeCapacityTicks()
                                 / traffic.capacityTicksFromFirstReport();
-        double leastAnswersPerTick =
+        double leastResponsesPerTick =
                 COLLAPSE_RATE_FRACTION * healthyRatePerBaselineRate * baseline.currentPerSecond();
-        return TARGET_UTILIZATION * Math.max(answersPerTick, leastAnswersPerTick);
+        return TARGET_UTILIZATION * Math.max(responsesPerTick, leastResponsesPerTick);
     }
 
-    /** Follows the answers while the fleet is healthy; the first value is taken as it is. */
+    /** Averages the response rate while the fleet is healthy; the first value is taken as it is. */
     private void updateHealthyRate(
             BaselineRates baseline, FleetCapacity capacity, double medianFailureRatio) {
         double baselineRate = Math.max(baseline.currentPerSecond(), Double.MIN_NORMAL);
-        double ratePerBaselineRate = capacity.answersPerTick() / baselineRate;
+        double ratePerBaselineRate = capacity.responsesPerTick() / baselineRate;
         boolean healthy = medianFailureRatio < HEALTHY_FAILURE_RATIO;
         double step = healthy ? HEALTHY_RATE_STEP_FRACTION : 0;
         healthyRatePerBaselineRate +=
@@ -197,13 +203,14 @@
     }
 
     /**
-     * In a full congestion collapse servers work on requests that have timed out, whatever is still
-     * admitted. Admitting next to nothing until the oldest has timed out frees them at once.
+     * Pauses admission in a full congestion collapse: servers work on requests that have timed out,
+     * whatever is still admitted. Admitting almost nothing until the oldest request has timed out
+     * frees them at once.
      */
     private void pauseOnCongestionCollapse(
             FleetCapacity capacity, double medianFailureRatio, long now) {
         if (medianFailureRatio > COLLAPSE_FAILURE_RATIO
-                && capacity.load() > OVERLOAD
+                && capacity.load() > OVERLOAD_THRESHOLD
                 && now > pausedUntilTicks + PAUSE_SETTLING_TICKS) {
             for (ClassSettings each : classes) {
                 pausedUntilTicks = Math.max(pausedUntilTicks, now + each.timeoutTicks());
@@ -218,7 +225,7 @@
 
     /**
      * Lowers the level of the class to shed first as far as needed, and then those of all others to
-     * one common level. While admission is paused, all are at the least level.
+     * one common level. While admission is paused, all levels are at the minimum.
      */
     private void setLevels(
             double[] demandPerTick,
@@ -254,7 +261,10 @@
         return Math.max(MIN_LEVEL, Math.min(1, level));
     }
 
-    /** The class whose refusal costs the goal least a request; empty to shed all alike. */
+    /**
+     * Returns the class whose refusal costs the goal least per request; empty to shed all classes
+     * alike.
+     */
     private OptionalInt firstToShed(double[] demandPerTick, double total, double worstClassWeight) {
         double weightedDemand = 0;
         for (int k = 0; k < classes.size(); k++) {
--- a/src/main/java/rockshift/planner/AlphaFairSolver.java
+++ b/src/main/java/rockshift/planner/AlphaFairSolver.java
@@ -3,33 +3,36 @@
 import java.util.List;
 
 /**
- * Shares the capacity of the replicas among the tables alpha-fairly: FD-ADMM of "Multi-Path
+ * Allocates the capacity of the replicas to the tables alpha-fairly: FD-ADMM of "Multi-Path
  * Alpha-Fair Resource Allocation at Scale in Distributed Software Defined Networks", with the
  * switching cost of its section on reconfiguration.
  *
- * <p>A request r is a {@link RoutingTable} with weight w_r, a link l a {@link Replica} with
- * capacity c_l, a path a {@link Route}; capacities and weights are shares that sum to 1. With one
- * link a path, each path has a request copy x, a link copy z and one dual, as its two duals are
- * opposite.
+ * <p>In the paper's terms a request r is a {@link RoutingTable} with weight w_r, a link l is a
+ * {@link Replica} with capacity c_l, and a path is a {@link Route}; capacities and weights are
+ * shares that sum to 1. With one link per path, each path has a request copy x, a link copy z and a
+ * single dual, as its two duals are opposite.
  *
- * <p>Guards against solutions that no replica can carry between the iterations: only link copies
- * are published, and these are projected onto the capacity each time. It would show as loads above
- * 1 at single replicas right after a change. Holds as copies are scaled with capacity and demand
- * before the iterations, so that they stay feasible when a capacity falls.
+ * <p>Guards against allocations between iterations that exceed the capacity of a replica: only link
+ * copies are published, and each iteration projects these onto the capacity. The symptom would be
+ * loads above 1 at single replicas right after a change. The guard holds because copies are scaled
+ * with capacity and demand before the iterations, so that they stay feasible when a capacity falls.
  */
 final class AlphaFairSolver {
-    /** Exponent of the fairness; 1 is proportional fairness. */
+    /** Fairness exponent; 1 is proportional fairness. */
     private static final double ALPHA = 1;
 
     private static final int ITERATIONS = 5;
 
-    /** Theta, the switching cost, in mean entries: what an entry must be off before it moves. */
+    /**
+     * Theta, the switching cost, in mean entries: an entry only moves if it is off by more than
+     * this.
+     */
     private static final double SWITCHING_COST_ENTRIES = 0.07;
 
-    /** Cost of a path to another zone for a zone-crossing price of 1, in mean entries. */
+    /** Cost of a path to another zone at a zone-crossing price of 1, in mean entries. */
     private static final double CROSSING_COST_ENTRIES = 3;
 
-    /** Cost of a path to another zone if all its answers are late, in mean entries. */
+    /** Cost of a path to another zone if all its responses are late, in mean entries. */
     private static final double LATE_COST_ENTRIES = 0.5;
 
     private final RouteEligibility eligibility;
@@ -38,53 +41,51 @@
         this.eligibility = eligibility;
     }
 
-    // ---- carrying over --------------------------------------------------------------------------
-
-    /** Carries the iterates over to new capacities, demand shares and eligibility. */
-    void carryOver(List<RoutingTable> tables) {
+    /**
+     * Adapts the iterates of the previous round to new capacities, demand shares and eligibility.
+     */
+    void warmStart(List<RoutingTable> tables) {
         for (RoutingTable table : tables) {
             table.setOpenCapacity(table.capacityOf(eligibility::isOpen));
-            table.routes().forEach(this::carryOver);
+            table.routes().forEach(this::warmStart);
         }
     }
 
     /**
-     * Scales a path's copies in proportion to its link's capacity and its request's demand: they
-     * stay feasible, and small requests are not bent by what large ones gain. A new path starts at
-     * the optimum of the undisturbed problem.
+     * Scales a path's copies in proportion to its link's capacity and its request's demand, so that
+     * they stay feasible and small requests are not distorted by what large ones gain. A new path
+     * starts at the optimum of the unperturbed problem.
      */
-    private void carryOver(Route route) {
+    private void warmStart(Route route) {
         RoutingTable table = route.table();
         Replica link = route.replica();
-        boolean known =
+        boolean hasPreviousState =
                 route.isOpen()
                         && table.previousDemandShare() > 0
                         && link.previousCapacity() > 0
                         && link.capacity() > 0;
         route.setEligibility(eligibility.isAllowed(route), eligibility.isOpen(route));
         if (!route.isOpen()) {
-            route.startCopies(0);
-        } else if (known) {
+            route.initializeCopies(0);
+        } else if (hasPreviousState) {
             route.scaleCopies(
                     link.capacity()
                             / link.previousCapacity()
                             * table.demandShare()
                             / table.previousDemandShare());
         } else {
-            route.startCopies(
+            route.initializeCopies(
                     table.demandShare()
                             * link.capacity()
                             / Math.max(table.openCapacity(), Double.MIN_NORMAL));
         }
-        if (!known) {
-            route.startDual(Math.pow(table.demandShare(), 1 - ALPHA));
+        if (!hasPreviousState) {
+            route.initializeDual(Math.pow(table.demandShare(), 1 - ALPHA));
         }
     }
 
-    // ---- iterations ----------------------------------------------------------------------------
-
     /**
-     * Runs a round's iterations.
+     * Runs the iterations of a round.
      *
      * @param zoneCrossingPrice price of sending to another zone, as a fraction of the goal
      */
@@ -104,9 +105,9 @@
     }
 
     /**
-     * The paper's start of the penalty, from the curvature of the utilities at the utopic totals,
-     * where it is least, and at the lower bounds d of the totals, where it is greatest. The weights
-     * sum to 1.
+     * Returns the paper's initial penalty, from the curvature of the utilities at the utopic
+     * totals, where it is least, and at the lower bounds d of the totals, where it is greatest. The
+     * weights sum to 1.
      */
     static double penalty(List<RoutingTable> requests) {
         double lowestUtopicTotal =
@@ -135,7 +136,7 @@
         return greatestCurvature > 0 ? ALPHA / Math.sqrt(leastCurvature * greatestCurvature) : 1;
     }
 
-    /** The link's copies z: the nearest point whose sum stays within the capacity. */
+    /** Projects a link's copies z to the nearest point whose sum stays within the capacity. */
     private static void project(Replica link, double penalty) {
         List<Route> paths = link.routesInUse();
         for (Route path : paths) {
@@ -148,9 +149,9 @@
     }
 
     /**
-     * The request's copies x, by the root search, which begins at the sum of the link copies as of
-     * the iteration before; then that sum anew. It is that sum, and not the root, that the table
-     * keeps: published weights are taken as fractions of it.
+     * Updates a request's copies x by a root search that starts at the sum of the link copies as of
+     * the previous iteration, then updates that sum. The table keeps this sum rather than the root,
+     * because published weights are taken as fractions of it.
      */
     private static void updateRequest(
             RoutingTable request, double penalty, double crossingCost, double meanEntry) {
--- a/src/main/java/rockshift/planner/BaselineRates.java
+++ b/src/main/java/rockshift/planner/BaselineRates.java
@@ -1,15 +1,16 @@
 package rockshift.planner;
 
 /**
- * The baseline rate of the joined proxies, now and as it was while evidence was gathered.
+ * Baseline rate of the joined proxies, at present and on average over the windows in which evidence
+ * was gathered.
  *
- * <p>Guards against estimates for a former part of the fleet: when other controllers stop, the rest
- * get their proxies at once, while reports still cover the time before. It shows as refusals with
- * idle replicas. Holds because rates are scaled by the growth of the joined proxies' baseline rate;
- * it misjudges a proxy whose rate is far from its baseline.
+ * <p>Guards against estimates for an earlier part of the fleet: when other controllers stop, the
+ * rest get their proxies at once, while reports still cover the time before. The symptom is
+ * refusals with idle replicas. The guard holds because rates are scaled by the growth of the joined
+ * proxies' baseline rate; it misjudges a proxy whose rate is far from its baseline.
  */
 final class BaselineRates {
-    /** Reports lag: two periods pass until those of a new proxy are in. */
+    /** Two report periods, after which the reports of a new proxy have arrived. */
     private final double reportLagTicks;
 
     private double currentPerSecond;
@@ -20,31 +21,34 @@
         reportLagTicks = 2.0 * reportPeriodTicks;
     }
 
-    /** Takes in the present sum; until the first reports the windows follow it at once. */
+    /**
+     * Updates the present rate and the averages; until the first reports the averages equal the
+     * present rate.
+     */
     void update(double baselineRatePerSecond, long elapsedTicks, boolean reported) {
-        double capacityMemory = CapacityEstimator.MEMORY_TICKS + reportLagTicks;
-        double trafficMemory = TrafficWindows.MEMORY_TICKS + reportLagTicks;
-        double capacityKept = reported ? Math.exp(-elapsedTicks / capacityMemory) : 0;
-        double trafficKept = reported ? Math.exp(-elapsedTicks / trafficMemory) : 0;
+        double capacityTimeConstant = CapacityEstimator.TIME_CONSTANT_TICKS + reportLagTicks;
+        double trafficTimeConstant = TrafficWindows.TIME_CONSTANT_TICKS + reportLagTicks;
+        double capacityDecay = reported ? Math.exp(-elapsedTicks / capacityTimeConstant) : 0;
+        double trafficDecay = reported ? Math.exp(-elapsedTicks / trafficTimeConstant) : 0;
         currentPerSecond = baselineRatePerSecond;
         perSecondDuringCapacityWindow =
-                perSecondDuringCapacityWindow * capacityKept
-                        + currentPerSecond * (1 - capacityKept);
+                perSecondDuringCapacityWindow * capacityDecay
+                        + currentPerSecond * (1 - capacityDecay);
         perSecondDuringTrafficWindow =
-                perSecondDuringTrafficWindow * trafficKept + currentPerSecond * (1 - trafficKept);
+                perSecondDuringTrafficWindow * trafficDecay + currentPerSecond * (1 - trafficDecay);
     }
 
-    /** Transactions a second that the joined proxies usually receive. */
+    /** Transactions per second that the joined proxies usually receive. */
     double currentPerSecond() {
         return currentPerSecond;
     }
 
-    /** Ratio of the present baseline rate to that in the capacity estimate's window. */
+    /** Ratio of the present baseline rate to its average over the capacity estimate's window. */
     double growthSinceCapacityWindow() {
         return growthSince(perSecondDuringCapacityWindow);
     }
 
-    /** Ratio of the present baseline rate to that in the window of arrivals. */
+    /** Ratio of the present baseline rate to its average over the window of arrivals. */
     double growthSinceTrafficWindow() {
         return growthSince(perSecondDuringTrafficWindow);
     }
--- a/src/main/java/rockshift/planner/CapacityEstimator.java
+++ b/src/main/java/rockshift/planner/CapacityEstimator.java
@@ -7,31 +7,35 @@
 import rockshift.model.Ticks;
 
 /**
- * Estimates capacities: what each replica would answer if it were busy all the time, as a share of
- * the fleet.
+ * Estimates the capacity of each replica, as a share of the fleet: the responses that it would give
+ * if it were busy all the time.
  *
- * <p>Inputs: answers to this controller's proxies, and load as a fraction of time that the replica
- * was busy for everyone. Their quotient is the capacity scaled by this controller's part of it,
- * which needs nothing from other controllers. With few answers the estimate is close to the mean of
- * the machine type.
+ * <p>Inputs: responses to this controller's proxies, and load as the fraction of time that the
+ * replica was busy for all senders. {@code responses / load} is the capacity scaled by this
+ * controller's part of the load, so nothing is needed from other controllers. With few responses
+ * the estimate is close to the mean of the machine type.
  *
- * <p>Guards against weights that feed on themselves: the answered rate alone follows the weight
- * that a replica was given, and one replica draws ever more. It shows as one replica with many
- * times the mean weight. Holds because a higher answered rate comes with a higher load.
+ * <p>Guards against a positive feedback of weights: the response rate alone follows the weight that
+ * a replica was given, so that one replica attracts more and more traffic. The symptom is one
+ * replica with many times the mean weight. The guard holds because a higher response rate comes
+ * with a higher load.
  */
 final class CapacityEstimator {
-    /** Memory of answers and loads. */
-    static final double MEMORY_TICKS = 8 * Ticks.TICKS_PER_SECOND;
+    /** Time constant of the decay of responses and loads. */
+    static final double TIME_CONSTANT_TICKS = 8 * Ticks.TICKS_PER_SECOND;
 
-    /** Weight of the mean of the machine type in an estimate, in answers. */
-    private static final double PRIOR_ANSWERS = 15;
+    /** Weight of the mean of the machine type in an estimate, in responses. */
+    private static final double PRIOR_RESPONSES = 15;
 
-    /** A load report below it is mostly noise, and so would be a rate over it. */
+    /**
+     * Lower bound of the load that responses are divided by; lower reports are mostly noise, and so
+     * would be the quotient.
+     */
     private static final double MIN_LOAD = 0.05;
 
     /**
-     * Answers that wait for a smaller fraction of their time may just as well come from replicas
-     * with less work.
+     * Lower bound of the waiting fraction; a lower one may just as well come from replicas with
+     * less load.
      */
     private static final double MIN_WAITING_FRACTION = 0.25;
 
@@ -47,26 +51,27 @@
         this.outlierDetector = outlierDetector;
     }
 
-    /** The part of the evidence that is left after some time. */
-    static double keptFraction(long elapsedTicks) {
-        return Math.exp(-elapsedTicks / MEMORY_TICKS);
+    /** Returns the fraction of the evidence that remains after a time. */
+    static double decayFactor(long elapsedTicks) {
+        return Math.exp(-elapsedTicks / TIME_CONSTANT_TICKS);
     }
 
     /**
-     * Lets evidence count less; answers of a slow-starting replica say nothing about a started one.
+     * Decays the evidence. Discards that of slow-starting replicas, as it does not apply to started
+     * ones.
      */
     void decay(Collection<Replica> replicas, long elapsedTicks, long now) {
-        double kept = keptFraction(elapsedTicks);
+        double factor = decayFactor(elapsedTicks);
         for (Replica replica : replicas) {
-            replica.loadEvidence().decay(slowStart.isSlowStarting(replica, now) ? 0 : kept);
+            replica.loadEvidence().decay(slowStart.isSlowStarting(replica, now) ? 0 : factor);
         }
     }
 
     /**
-     * Updates the capacities of replicas in use, as shares of their sum, and the load that counts
-     * for a replica without reports.
+     * Updates the capacities of replicas in use, as shares of their sum, and the load that is
+     * assumed for replicas without load reports.
      *
-     * @param expectedPerTick transactions a tick that the joined proxies are expected to receive
+     * @param expectedPerTick transactions per tick that the joined proxies are expected to receive
      */
     FleetCapacity updateCapacities(
             List<Replica> replicas,
@@ -85,27 +90,30 @@
         double openCapacity = 0;
         double busyCapacity = 0;
         for (Replica replica : replicas) {
-            // What no proxy can reach, as behind a cut network, is no capacity to admit by.
+            // Replicas that no proxy can reach, as in a network partition, are no capacity to admit
+            // requests for.
             if (hasOpenRoute(replica)) {
                 openCapacity += replica.capacity();
                 busyCapacity += replica.capacity() * loadOf(replica);
             }
         }
-        double answersPerTick =
+        double responsesPerTick =
                 traffic.conservativeCapacityTicks() > 0
                         ? openCapacity / traffic.conservativeCapacityTicks()
                         : 0;
         double requestedPerTick = Math.max(expectedPerTick, traffic.attemptsPerTick());
-        normalize(replicas, answersPerTick > 0 ? requestedPerTick / answersPerTick : 0, sum, now);
+        normalize(
+                replicas, responsesPerTick > 0 ? requestedPerTick / responsesPerTick : 0, sum, now);
         return new FleetCapacity(
-                baseline.growthSinceCapacityWindow() * answersPerTick,
+                baseline.growthSinceCapacityWindow() * responsesPerTick,
                 openCapacity > 0 ? busyCapacity / openCapacity : 0);
     }
 
     /**
-     * Where no replica reports a load, it is derived from waiting times: with two cores on one
-     * queue the waiting fraction is the square of the load. Were such replicas taken for fully
-     * busy, only a fraction of what they just answered would be admitted, and ever less.
+     * Derives the load from waiting times if no replica reports a load: {@code load =
+     * sqrt(waitingFraction)}, as for two cores that share a queue. If such replicas counted as
+     * fully busy, only a fraction of their recent responses would be admitted, and less in each
+     * round.
      */
     private void updateLoadWithoutReport(List<Replica> replicas, TrafficWindows traffic) {
         boolean reported = replicas.stream().anyMatch(replica -> replica.loadEvidence().hasLoad());
@@ -126,17 +134,18 @@
                         ? 0
                         : outlierDetector.recoveryFactor(replica, now)
                                 * slowStart.factor(replica, now);
-        double answers = replica.loadEvidence().answers();
-        double answersWhenBusy = answers / loadOf(replica);
+        double responses = replica.loadEvidence().responses();
+        double responsesWhenBusy = responses / loadOf(replica);
         double mean = means.of(replica.machineType());
         return availableFraction
-                * (answers * answersWhenBusy + PRIOR_ANSWERS * mean)
-                / (answers + PRIOR_ANSWERS);
+                * (responses * responsesWhenBusy + PRIOR_RESPONSES * mean)
+                / (responses + PRIOR_RESPONSES);
     }
 
     /**
-     * Turns capacities into shares of their sum. Where much more is attempted than the fleet can
-     * do, or much of it is slow-starting, slow-starting replicas get no more than their safe load.
+     * Converts capacities to shares of their sum. Slow-starting replicas are limited to their safe
+     * load if far more is attempted than the fleet can serve, or if much of the fleet is
+     * slow-starting.
      */
     private void normalize(List<Replica> replicas, double loadRatio, double sum, long now) {
         double safeLoadRatio = slowStart.safeLoadRatio();
@@ -150,22 +159,22 @@
         }
     }
 
-    /** Fraction of its time that a replica is busy, for all senders. */
+    /** Returns the fraction of time that a replica is busy, for all senders. */
     double loadOf(Replica replica) {
         LoadEvidence evidence = replica.loadEvidence();
         return Math.max(MIN_LOAD, evidence.hasLoad() ? evidence.meanLoad() : loadWithoutReport);
     }
 
-    /** Mean answers of a busy replica, by machine type. */
+    /** Mean responses of a fully busy replica, by machine type. */
     private final class MachineTypeMeans {
         private final TreeMap<String, DoubleSummaryStatistics> byType = new TreeMap<>();
         private final DoubleSummaryStatistics fleet = new DoubleSummaryStatistics();
 
         MachineTypeMeans(List<Replica> replicas) {
             for (Replica replica : replicas) {
-                double answers = replica.loadEvidence().answers();
-                if (replica.acceptsNewWork() && answers >= 1) {
-                    double whenBusy = answers / loadOf(replica);
+                double responses = replica.loadEvidence().responses();
+                if (replica.acceptsNewWork() && responses >= 1) {
+                    double whenBusy = responses / loadOf(replica);
                     fleet.accept(whenBusy);
                     byType.computeIfAbsent(
                                     replica.machineType(), type -> new DoubleSummaryStatistics())
@@ -174,7 +183,7 @@
             }
         }
 
-        /** The type's mean, or the fleet's where nothing is known of the type. */
+        /** Returns the mean of a type, or of the fleet if nothing is known of the type. */
         double of(String machineType) {
             return fleet.getCount() > 0 ? byType.getOrDefault(machineType, fleet).getAverage() : 1;
         }
--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -7,34 +7,35 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Says how much may still be queued on the way to the proxies, and what a proxy may be sent now.
+ * Limits how much may be queued in the channel to the proxies, and what a proxy may be sent now.
  *
- * <p>The channel's unit of cost is the entry: what one row of a routing table takes. Bindings,
- * levels and notices are counted in it as well.
+ * <p>The unit of cost in the channel is the entry: what one row of a routing table takes. Bindings,
+ * levels and notices are counted in entries as well.
  *
- * <p>Inputs: entries posted for each proxy, acknowledgements, and time in ticks. The queue is what
- * the channel's usual rate has not carried yet, or what no proxy has acknowledged but for what is
- * in transit, whichever is more.
+ * <p>Inputs: entries posted for each proxy, acknowledgements, and time in ticks. The queue length
+ * is the maximum of two estimates: what the channel has not carried yet at its usual rate, and what
+ * no proxy has acknowledged, less what is in transit.
  *
- * <p>Guards against a drain that is queued behind entries that could wait until its grace is over,
- * and against messages above a proxy's quota, which it drops. Shows as late drains with messages in
- * flight. Holds because deferrable entries only ever fill a part of the queue and of the quota, and
- * because unacknowledged entries count where the channel is slower than its usual rate.
+ * <p>Guards against a drain that waits behind deferrable entries until its grace is over, and
+ * against messages above a proxy's quota, which are dropped. The symptom is late drains with
+ * messages in flight. The guard holds because deferrable entries only fill a part of the queue and
+ * of the quota, and because unacknowledged entries count if the channel is slower than its usual
+ * rate.
  */
 final class ChannelPacer {
-    /** What a proxy's quota leaves at present. */
+    /** Changes that a proxy's quota allows at present. */
     enum Allowance {
         /** Any change. */
         ANY,
         /** Changes of the priority budget, see {@link ChangeUrgency#usesPriorityBudget}. */
         PRIORITY_ONLY,
-        /** No change until older messages leave the window, or the spacing has passed. */
+        /** No change until older messages leave the quota window or the spacing has passed. */
         NONE
     }
 
     /**
-     * Fraction of the quota open to deferrable changes; messages with priority are spaced over the
-     * rest.
+     * Fraction of the quota that is open to deferrable changes; priority messages are spaced over
+     * the rest.
      */
     static final double DEFERRABLE_QUOTA_FRACTION = 0.6;
 
@@ -42,15 +43,18 @@
     private static final double DEFERRABLE_QUEUE_FRACTION = 0.5;
 
     /**
-     * Fraction of the queue limit that priority entries may fill; the rest is for a slow channel.
+     * Fraction of the queue limit that priority entries may fill; the rest is a reserve for a slow
+     * channel.
      */
     private static final double PRIORITY_QUEUE_FRACTION = 0.6;
 
-    /** Fraction of the drain grace that deferrable entries may take of the channel. */
+    /**
+     * Time for which deferrable entries may occupy the channel, as a fraction of the drain grace.
+     */
     private static final double DEFERRABLE_GRACE_FRACTION = 0.2;
 
-    /** For how long a message without an acknowledgement counts as in flight. */
-    private static final long IN_FLIGHT_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
+    /** Time after which a message without an acknowledgement no longer counts as in flight. */
+    private static final long IN_FLIGHT_TIMEOUT_TICKS = 60 * Ticks.TICKS_PER_SECOND;
 
     private static final int LAST_SERIAL = 65_535;
 
@@ -69,9 +73,9 @@
     private int serial;
 
     /**
-     * An empty channel.
+     * Creates a pacer for an empty channel.
      *
-     * @param proxies a live view of the proxies that it leads to
+     * @param proxies live view of the proxies that the channel leads to
      */
     ChannelPacer(PlannerSettings settings, Collection<Proxy> proxies, long now) {
         messageOverheadEntries = settings.messageOverheadEntries();
@@ -85,23 +89,25 @@
         queueUpdatedAtTicks = now;
     }
 
-    /** Turns in which a proxy may be sent something, as one turn may take several messages. */
+    /**
+     * Returns the number of turns in which a proxy may be sent something, as one turn may take
+     * several messages; 0 if there is no quota.
+     */
     private static double turnQuota(PlannerSettings settings) {
         int classCount = settings.sharded() ? 0 : settings.classes().size();
-        int furtherMessages = Math.max(0, classCount - 1) / ProxyCommands.MAX_PARTS_PER_MESSAGE;
+        int extraMessages = Math.max(0, classCount - 1) / ProxyCommands.MAX_PARTS_PER_MESSAGE;
         double quota = settings.messageQuota();
-        return quota > 0 ? Math.max(1, quota - furtherMessages) : 0;
+        return quota > 0 ? Math.max(1, quota - extraMessages) : 0;
     }
 
-    // ---- the queue -----------------------------------------------------------------------------
-
     /**
-     * Advances the queue to the present, once for each tick, and answers how many entries wait.
-     * Takes off what the channel has carried since, and forgets unacknowledged messages that are
-     * too old to count as in flight.
+     * Advances the queue to the present, once per tick: subtracts what the channel has carried
+     * since, and discards unacknowledged messages that are too old to count as in flight.
+     *
+     * <p>Messages leave in the order in which they were written. So a message written before one
+     * that any proxy acknowledged is no longer queued, even if its own proxy acknowledges nothing.
      *
-     * <p>Messages leave in the order in which they were written, so none written before one that
-     * any proxy acknowledged still waits, however silent its own proxy is.
+     * @return number of queued entries
      */
     double advanceQueue(long now) {
         if (now != queueUpdatedAtTicks) {
@@ -115,19 +121,21 @@
 
     private void countUnacknowledged(long now) {
         unacknowledgedEntries = 0;
-        long leftUntil =
+        long lastAcknowledgedWriteTicks =
                 proxies.stream()
                         .mapToLong(proxy -> proxy.sendState().acknowledgedWriteTicks())
                         .max()
                         .orElse(0);
         for (Proxy proxy : proxies) {
-            proxy.sendState().expireInFlight(now - IN_FLIGHT_MEMORY_TICKS);
-            unacknowledgedEntries += proxy.sendState().entriesInFlightSince(leftUntil);
+            proxy.sendState().expireInFlight(now - IN_FLIGHT_TIMEOUT_TICKS);
+            unacknowledgedEntries +=
+                    proxy.sendState().entriesInFlightSince(lastAcknowledgedWriteTicks);
         }
     }
 
     /**
-     * Entries that may wait before deferrable ones; one message to each proxy may always be sent.
+     * Returns the queue length up to which deferrable entries may be added; one message to each
+     * proxy may always be sent.
      */
     double deferrableBacklog() {
         double usual =
@@ -137,12 +145,12 @@
         return Math.min(deferrableQueueLimit(), usual);
     }
 
-    /** The most that may wait once deferrable entries are added. */
+    /** Maximum queue length with deferrable entries added. */
     double deferrableQueueLimit() {
         return queueLimitEntries * DEFERRABLE_QUEUE_FRACTION;
     }
 
-    /** The most that may wait once priority entries are added. */
+    /** Maximum queue length with priority entries added. */
     double priorityQueueLimit() {
         return queueLimitEntries * PRIORITY_QUEUE_FRACTION;
     }
@@ -151,24 +159,25 @@
         return entriesPerTick;
     }
 
-    /** Entries that a message takes beside its own; a turn's first one also has a serial number. */
+    /**
+     * Entries of a message besides its content; the first message of a turn also has a serial
+     * number.
+     */
     double messageOverheadEntries() {
         return messageOverheadEntries;
     }
 
-    /** Entries that a message of one table entry takes, with overhead and serial number. */
+    /** Entries of a message with one table entry, including overhead and serial number. */
     double shortestMessageEntries() {
         return messageOverheadEntries + 2;
     }
 
-    // ---- quota ---------------------------------------------------------------------------------
-
-    /** Whether a proxy has had a fraction of the messages that it may be sent in a window. */
+    /** Whether a proxy has been sent a fraction of its message quota. */
     boolean isQuotaSpent(Proxy proxy, double fraction) {
         return messageQuota > 0 && proxy.sendState().messageCount() >= messageQuota * fraction;
     }
 
-    /** Forgets messages that the quota's window has passed. */
+    /** Discards messages that have left the quota window. */
     void expireMessages(long now) {
         for (Proxy proxy : proxies) {
             proxy.sendState().expireMessages(now - quotaWindowTicks);
@@ -176,8 +185,8 @@
     }
 
     /**
-     * What a proxy may be sent now. Deferrable changes use the first part of the quota; messages
-     * with priority are spaced evenly over the rest.
+     * Returns what a proxy may be sent now. Deferrable changes use the first part of the quota;
+     * priority messages are spaced evenly over the rest.
      */
     Allowance allowance(Proxy proxy, long now) {
         ProxySendState sendState = proxy.sendState();
@@ -192,10 +201,9 @@
                 : Allowance.PRIORITY_ONLY;
     }
 
-    // ---- messages ------------------------------------------------------------------------------
-
     /**
-     * Counts entries of this turn's message to a proxy; the first ones add the message overhead.
+     * Adds entries to this turn's message to a proxy; the first entries also add the message
+     * overhead.
      */
     void post(Proxy proxy, double entries, long now) {
         ProxySendState sendState = proxy.sendState();
@@ -205,10 +213,14 @@
             writtenThisTurn.add(proxy);
             withOverhead = entries + (messageOverheadEntries + 1);
         }
-        count(sendState, withOverhead);
+        countEntries(sendState, withOverhead);
     }
 
-    /** Closes the turn's messages under one serial number; false where there is none. */
+    /**
+     * Closes the turn's messages under one serial number.
+     *
+     * @return whether there were any
+     */
     boolean closeTurn(ProxyCommands commands, long now) {
         if (writtenThisTurn.isEmpty()) {
             return false;
@@ -216,9 +228,9 @@
         serial = serial % LAST_SERIAL + 1;
         for (Proxy proxy : writtenThisTurn) {
             ProxySendState sendState = proxy.sendState();
-            for (int further = commands.messageCount(proxy.number()) - 1; further > 0; further--) {
+            for (int extra = commands.messageCount(proxy.number()) - 1; extra > 0; extra--) {
                 sendState.countMessage(now);
-                count(sendState, messageOverheadEntries);
+                countEntries(sendState, messageOverheadEntries);
             }
             sendState.closeMessage(serial, now);
         }
@@ -227,7 +239,7 @@
         return true;
     }
 
-    private void count(ProxySendState sendState, double entries) {
+    private void countEntries(ProxySendState sendState, double entries) {
         sendState.addEntries(entries);
         uncarriedEntries += entries;
         unacknowledgedEntries += entries;
--- a/src/main/java/rockshift/planner/ClassDemand.java
+++ b/src/main/java/rockshift/planner/ClassDemand.java
@@ -2,7 +2,10 @@
 
 import rockshift.model.Ticks;
 
-/** The demand of one proxy for one class: an estimated rate, and what was reported since. */
+/**
+ * Demand of one proxy for one class: an estimated rate, and the arrivals reported since the last
+ * estimate.
+ */
 final class ClassDemand {
     private double ratePerSecond;
     private double arrivals;
@@ -10,9 +13,9 @@
     private long reportedUntilTicks;
 
     /**
-     * Starts with the proxy's baseline rate.
+     * Creates the demand at the proxy's baseline rate.
      *
-     * @param reportedUntilTicks until when its arrivals count as known
+     * @param reportedUntilTicks time until which its arrivals count as known
      */
     ClassDemand(double baselineRatePerSecond, long reportedUntilTicks) {
         ratePerSecond = baselineRatePerSecond;
@@ -29,8 +32,8 @@
     }
 
     /**
-     * Takes in a report of the arrivals in a span. Proxies report nothing of a span without
-     * arrivals, so the next report covers the quiet spans before it as well.
+     * Adds a report of the arrivals in a span. Proxies do not report spans without arrivals, so a
+     * report also covers such spans before it.
      */
     void addReport(int count, long spanTicks, long now) {
         double elapsedSpans = (now - reportedUntilTicks) / (double) spanTicks;
@@ -40,8 +43,10 @@
         reportedUntilTicks += newlyCoveredTicks;
     }
 
-    /** Where nothing was reported for two periods, the first of them had no arrivals. */
-    void expireSilence(long reportPeriodTicks, long now) {
+    /**
+     * If nothing was reported for two periods, counts the first of them as one without arrivals.
+     */
+    void recordMissedReport(long reportPeriodTicks, long now) {
         if (now - reportedUntilTicks > 2 * reportPeriodTicks) {
             coveredTicks += reportPeriodTicks;
             reportedUntilTicks += reportPeriodTicks;
@@ -49,7 +54,8 @@
     }
 
     /**
-     * Moves the rate towards the reported one by a fraction of the difference; starts a new span.
+     * Moves the rate towards the reported one by a fraction of the difference, and starts a new
+     * span.
      */
     void updateRate(double stepFraction) {
         double reportedPerSecond = arrivals * Ticks.TICKS_PER_SECOND / Math.max(1, coveredTicks);
--- a/src/main/java/rockshift/planner/OutlierDetector.java
+++ b/src/main/java/rockshift/planner/OutlierDetector.java
@@ -9,51 +9,56 @@
 import rockshift.model.Ticks;
 
 /**
- * Ejects replicas whose failure ratio stands out from the fleet's median, and lets them recover.
+ * Ejects replicas whose failure ratio is far above the fleet's median, and lets them recover.
  *
- * <p>Inputs: attempts, failures and loads that proxies report, of the replica's own zone and of the
- * others apart. A replica ejected for all proxies has no capacity for some seconds and keeps the
- * floor weight; after that it recovers along a ramp. One ejected for other zones keeps its
- * capacity, has the floor weight in their tables, and returns without a ramp. An ejection that
- * follows soon after another takes twice as long.
+ * <p>Inputs: attempts, failures and loads that proxies report, separately for the replica's own
+ * zone and for the other zones. A replica that is ejected for all proxies has no capacity for some
+ * seconds and keeps the floor weight; then it recovers along a ramp. A replica that is ejected for
+ * other zones keeps its capacity, has the floor weight in their tables, and returns without a ramp.
+ * An ejection soon after another lasts twice as long.
  *
- * <p>Guards against one replica that fails fast and so draws more traffic. Shows as {@code ejected
- * replica=... scope=... failureRatio=... median=... load=...}, later {@code ejectionEnded}. Holds
- * because a trouble common to all raises the median, a busy replica is left to the capacity
- * estimate, and at most a quarter of the replicas in use, rounded up, is ejected for all proxies,
- * as the rest must do all of the work. It may keep a dead replica where many fail.
+ * <p>Guards against one replica that fails fast and so attracts more traffic. The log shows {@code
+ * ejected replica=... scope=... failureRatio=... median=... load=...}, later {@code ejectionEnded}.
+ * The guard holds because a failure common to all replicas raises the median, a busy replica is
+ * left to the capacity estimate, and at most a quarter of the replicas in use, rounded up, is
+ * ejected for all proxies, as the rest must serve all requests. If many replicas fail, a dead one
+ * may stay in use.
  */
 final class OutlierDetector {
-    /** An outlier's ratio exceeds this multiple of the median by {@link #EXCESS_FAILURE_RATIO}. */
+    /**
+     * The failure ratio of an outlier exceeds {@code MEDIAN_MULTIPLE * median +
+     * EXCESS_FAILURE_RATIO}.
+     */
     private static final double MEDIAN_MULTIPLE = 2;
 
     private static final double EXCESS_FAILURE_RATIO = 0.35;
 
-    /** Fewer attempts say nothing about a replica. */
+    /** Minimum number of attempts; fewer say nothing about a replica. */
     private static final double MIN_ATTEMPTS_TO_JUDGE = 3;
 
     /**
-     * Load above which failures are put down to too much work; a replica that hangs reports none.
+     * Load above which failures are attributed to overload; a replica that hangs reports no load.
      */
-    private static final double OVERLOAD = 0.8;
+    private static final double MAX_LOAD_TO_JUDGE = 0.8;
 
     /**
-     * Fraction of the replicas in use that may be ejected for all proxies at a time, rounded up.
+     * Maximum fraction of the replicas in use that is ejected for all proxies at a time, rounded
+     * up.
      */
     private static final double MAX_EJECTED_FRACTION = 0.25;
 
-    /** Memory of failures: short, as a failing replica does harm at once. */
-    private static final double MEMORY_TICKS = 5 * Ticks.TICKS_PER_SECOND;
+    /** Time constant of the decay of failures: short, as a failing replica does harm at once. */
+    private static final double TIME_CONSTANT_TICKS = 5 * Ticks.TICKS_PER_SECOND;
 
     private static final long FIRST_EJECTION_TICKS = 6 * Ticks.TICKS_PER_SECOND;
 
-    /** An ejection's time doubles up to this. */
+    /** Maximum up to which the duration of repeated ejections doubles. */
     private static final long LONGEST_EJECTION_TICKS = 15 * Ticks.TICKS_PER_SECOND;
 
-    /** Random extension of an ejection, at most, so that not all end together. */
+    /** Maximum random extension of an ejection, so that not all end together. */
     private static final long JITTER_TICKS = Ticks.TICKS_PER_SECOND;
 
-    /** Time after an ejection over which the capacity grows to what was estimated. */
+    /** Time after an ejection during which the capacity grows to the estimate. */
     private static final long RECOVERY_TICKS = 5 * Ticks.TICKS_PER_SECOND;
 
     private static final double INITIAL_RECOVERY_FRACTION = 0.15;
@@ -69,19 +74,19 @@
         this.log = log;
     }
 
-    /** Lets observations count less. */
+    /** Decays the observations by the time passed. */
     void decay(Collection<Replica> replicas, long elapsedTicks) {
-        double kept = Math.exp(-elapsedTicks / MEMORY_TICKS);
+        double factor = Math.exp(-elapsedTicks / TIME_CONSTANT_TICKS);
         for (Replica replica : replicas) {
-            replica.ownZoneObservations().decay(kept);
-            replica.otherZoneObservations().decay(kept);
+            replica.ownZoneObservations().decay(factor);
+            replica.otherZoneObservations().decay(factor);
         }
     }
 
     /**
-     * Ejects the outliers among the replicas in use, those with most failures first.
+     * Ejects the outliers among the replicas in use, those with the most failures first.
      *
-     * @param loadOf the load of a replica, for the log
+     * @param loadOf load of a replica, for the log
      */
     void detectOutliers(
             Collection<Replica> replicas,
@@ -98,8 +103,8 @@
             if (!replica.acceptsNewWork()) {
                 continue;
             }
-            // A cut between zones looks like death from one side only: while its own zone does well
-            // with a replica, it is ejected for the others alone.
+            // In a network partition between zones, a replica fails for one side only. If its own
+            // zone has no trouble with it, it is ejected for the other zones only.
             ReplicaObservations ownZone = replica.ownZoneObservations();
             if (ownZone.attempts() >= MIN_ATTEMPTS_TO_JUDGE && !isOutlier(ownZone)) {
                 if (isOutlier(replica.otherZoneObservations())) {
@@ -126,15 +131,15 @@
 
     private boolean isOutlier(ReplicaObservations observations) {
         return observations.attempts() >= MIN_ATTEMPTS_TO_JUDGE
-                && observations.isLoadAtMost(OVERLOAD)
+                && observations.isLoadAtMost(MAX_LOAD_TO_JUDGE)
                 && observations.failureRatio()
                         > MEDIAN_MULTIPLE * medianFailureRatio + EXCESS_FAILURE_RATIO;
     }
 
     /**
-     * Begins an ejection unless it is active. The log line shows the failure ratio of all zones,
-     * for either scope, and the load that {@code loadOf} estimates, which is not the one that
-     * {@link #isOutlier} tested: that counts an attempt without a reported load as 0.
+     * Begins an ejection unless one is active. The log line shows the failure ratio over all zones,
+     * for either scope. Its load is the estimate of {@code loadOf}, not the one that {@link
+     * #isOutlier} tested: that counts an attempt without a reported load as 0.
      */
     private void eject(
             Replica replica, EjectionScope scope, ToDoubleFunction<Replica> loadOf, long now) {
@@ -142,9 +147,9 @@
         if (ejection.isActive()) {
             return;
         }
-        boolean relapse = now - ejection.endedAtTicks() <= RECOVERY_TICKS + JITTER_TICKS;
+        boolean isRepeated = now - ejection.endedAtTicks() <= RECOVERY_TICKS + JITTER_TICKS;
         ejection.begin(
-                relapse
+                isRepeated
                         ? Math.min(LONGEST_EJECTION_TICKS, 2 * ejection.durationTicks())
                         : FIRST_EJECTION_TICKS);
         long endsAt = now + ejection.durationTicks() + random.nextLong(JITTER_TICKS);
@@ -161,9 +166,9 @@
     }
 
     /**
-     * Ends an ejection whose time is over; the replica starts over without observations. That also
-     * cancels its ejection for the other scope. The call is not tied to one ejection: if that was
-     * cancelled and another began since, the other ends early.
+     * Ends an ejection whose time is over and discards the replica's observations, which also
+     * cancels its ejection for the other scope. The call is not tied to one ejection: if that one
+     * was cancelled and another began since, the other ends early.
      */
     void endEjection(Replica replica, EjectionScope scope, long now) {
         Ejection ejection = replica == null ? null : ejectionOf(replica, scope);
@@ -180,7 +185,10 @@
                 : replica.otherZoneObservations().ejection();
     }
 
-    /** The fraction of its capacity that a replica may use after an ejection for all proxies. */
+    /**
+     * Returns the fraction of its capacity that a replica may use after an ejection for all
+     * proxies.
+     */
     double recoveryFactor(Replica replica, long now) {
         long sinceTicks = now - replica.ownZoneObservations().ejection().endedAtTicks();
         return Math.min(
@@ -189,7 +197,7 @@
                         + (1 - INITIAL_RECOVERY_FRACTION) * sinceTicks / RECOVERY_TICKS);
     }
 
-    /** The median failure ratio of the fleet as of the last round. */
+    /** Median failure ratio of the fleet as of the last round. */
     double medianFailureRatio() {
         return medianFailureRatio;
     }
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -12,21 +12,22 @@
 import rockshift.settings.SettingOverrides;
 
 /**
- * All decisions of one controller. The host calls an input method for each thing that it learns,
- * then {@link #decideNext} until that answers false; what is decided comes out through {@link
- * ProxyCommands}. Inputs only update what is known. Times are ticks of 100 microseconds on the
- * host's clock. docs/design.md explains the mechanism and its exceptions.
+ * Makes all decisions of one controller. The host calls an input method for each event that it
+ * learns of, then calls {@link #decideNext} until that returns false; these calls are one turn. The
+ * planner passes its decisions to {@link ProxyCommands}. Input methods only update what is known.
+ * Times are ticks of 100 microseconds on the host's clock. docs/design.md explains the mechanism
+ * and its exceptions.
  *
- * <p>An instance belongs to one thread of its host.
+ * <p>Not thread-safe: an instance belongs to one thread of its host.
  */
 public final class Planner {
-    /** A tenth of the time between regular rounds, so that nothing that falls due waits long. */
+    /** A tenth of the interval between regular rounds, so that due tasks do not wait long. */
     private static final long TIMER_TICKS = 100 * Ticks.TICKS_PER_MILLI;
 
-    /** Time between two regular rounds, in which differences are gathered. */
+    /** Interval between two regular rounds, during which table changes are batched. */
     private static final long ROUND_INTERVAL_TICKS = Ticks.TICKS_PER_SECOND;
 
-    private final PlannerSettings configured;
+    private final PlannerSettings configuredSettings;
     private final ClassNames classNames;
     private final int classCount;
     private final double shortestObjectiveTicks;
@@ -58,22 +59,22 @@
     private long lastRoundTicks;
     private boolean timerSet;
     private boolean roundRequested = true;
-    private boolean proxiesUnassigned;
-    private boolean requiredIsDeferred;
+    private boolean hasUnassignedProxies;
+    private boolean requiredChangeDeferred;
 
     /**
-     * A planner that knows no replicas and no proxies.
+     * Creates a planner that knows no replicas and no proxies.
      *
-     * @param now the time on the host's clock, in ticks
-     * @param seed of the random choices
+     * @param now time on the host's clock, in ticks
+     * @param seed seed of the random choices
      */
     public Planner(long now, long seed, PlannerSettings settings) {
         this.now = now;
         this.settings = settings;
-        configured = settings;
+        configuredSettings = settings;
         classNames = settings.classNames();
         lastRoundTicks = now;
-        // Shards have tables of their own: the planner then plans for no class.
+        // Shards keep their own tables, so the planner plans for no class.
         List<ClassSettings> classes = settings.sharded() ? List.of() : settings.classes();
         classCount = classes.size();
         shortestObjectiveTicks =
@@ -109,18 +110,21 @@
         schedule.add(ScheduledTask.regularRound(now));
     }
 
-    // ---- inputs --------------------------------------------------------------------------------
-
-    /** Discovery listed endpoints: only changed ones, or all. */
+    /**
+     * Applies endpoints listed by discovery.
+     *
+     * @param changesOnly whether the list contains only changed endpoints rather than all
+     */
     public void updateEndpoints(long now, List<Endpoint> endpoints, boolean changesOnly) {
         this.now = now;
         roundRequested |= replicas.update(now, endpoints, changesOnly);
     }
 
     /**
-     * Operators agreed on drains and settings. What is older than what is known means nothing.
+     * Applies drains and settings that operators agreed on. Ignores a version that is not newer
+     * than the last one.
      *
-     * @param drains by replica, the last start that its drain applies to
+     * @param drains by replica, the last start time in ticks that its drain applies to
      */
     public void applyAgreedChanges(
             long now, long version, Map<Long, Long> drains, SettingOverrides overrides) {
@@ -128,12 +132,12 @@
         if (version > agreedVersion) {
             agreedVersion = version;
             operatorDrains.replace(drains);
-            settings = configured.withOverrides(overrides);
+            settings = configuredSettings.withOverrides(overrides);
             roundRequested = true;
         }
     }
 
-    /** The host is, or is no longer, in touch with most other controllers. */
+    /** Sets the scope when the host loses or regains contact with most other controllers. */
     public void setControlScope(long now, ControlScope newScope) {
         this.now = now;
         roundRequested |= newScope != scope;
@@ -142,59 +146,59 @@
     }
 
     /**
-     * A proxy's stream came up; the proxy keeps the tables that it had.
+     * Adds a proxy whose stream came up; the proxy keeps the tables that it had.
      *
-     * @param baselineRate transactions a second that it usually receives
+     * @param baselineRate usual rate of the proxy, in transactions per second
      */
     public void proxyJoined(long now, int number, String zone, double baselineRate) {
         this.now = now;
         proxies.join(now, number, zone, baselineRate);
-        proxiesUnassigned = true;
+        hasUnassignedProxies = true;
     }
 
-    /** A proxy's stream ended. */
+    /** Removes a proxy whose stream ended. */
     public void proxyLeft(long now, int number) {
         this.now = now;
         proxies.leave(number);
     }
 
     /**
-     * Proxies of a zone reported their attempts at a replica.
+     * Records the attempts at a replica that proxies of a zone reported.
      *
-     * @param meanAnswerTicks mean time of the answers
+     * @param meanResponseTicks mean response time
      * @param spanTicks time that the report covers
-     * @param load fraction of its time that the replica was busy, or null if it reported none
+     * @param load fraction of time that the replica was busy, or null if it reported none
      */
     public void recordLoadReport(
             long now,
             String zone,
-            long id,
-            int count,
-            int failed,
-            long meanAnswerTicks,
+            long replicaId,
+            int attempts,
+            int failures,
+            long meanResponseTicks,
             long spanTicks,
             Double load) {
         this.now = now;
-        Replica replica = replicas.get(id);
+        Replica replica = replicas.get(replicaId);
         if (replica != null) {
-            traffic.addAttempts(count, failed, meanAnswerTicks, spanTicks);
-            int late = meanAnswerTicks > shortestObjectiveTicks ? count - failed : 0;
-            replica.recordReport(zone, count, failed, late, load);
+            traffic.addAttempts(attempts, failures, meanResponseTicks, spanTicks);
+            int late = meanResponseTicks > shortestObjectiveTicks ? attempts - failures : 0;
+            replica.recordReport(zone, attempts, failures, late, load);
         }
     }
 
-    /** A proxy reported its arrivals of a class over a span. */
-    public void recordUsage(long now, int number, String className, int count, long spanTicks) {
+    /** Records the arrivals of a class that a proxy reported for a span. */
+    public void recordUsage(long now, int number, String className, int arrivals, long spanTicks) {
         this.now = now;
         Proxy proxy = proxies.get(number);
         int classNumber = classNames.number(className);
         if (proxy != null && spanTicks > 0 && classNumber >= 0 && classNumber < classCount) {
-            traffic.addArrivals(classNumber, count);
-            proxy.demands().get(classNumber).addReport(count, spanTicks, now);
+            traffic.addArrivals(classNumber, arrivals);
+            proxy.demands().get(classNumber).addReport(arrivals, spanTicks, now);
         }
     }
 
-    /** A proxy has applied the messages up to a serial number. */
+    /** Records that a proxy has applied the messages up to a serial number. */
     public void proxyAcknowledged(long now, int number, int serial) {
         this.now = now;
         Proxy proxy = proxies.get(number);
@@ -203,23 +207,22 @@
         }
     }
 
-    /** The timer that {@link ProxyCommands#wakeAfter} asked for fired. */
+    /** Handles the timer that {@link ProxyCommands#wakeAfter} requested. */
     public void timerFired(long now) {
         this.now = now;
         timerSet = false;
-        proxies.expireSilence(now);
+        proxies.recordMissedReports(now);
     }
 
-    // ---- decisions -----------------------------------------------------------------------------
-
     /**
-     * Takes the first of these steps that there is something to do for, and answers whether there
-     * was one: assign joined proxies to groups; arm the timer; write one line of the log; run a
-     * planning round; end one ejection; send or withdraw drain notices; bind one proxy; replace the
-     * tables of one proxy; close the turn's messages.
+     * Performs the first of these steps that has something to do: assign joined proxies to groups;
+     * arm the timer; write one log line; run a planning round; end one ejection; send or withdraw
+     * drain notices; bind one proxy; replace the tables of one proxy; close the turn's messages.
+     *
+     * @return whether a step was performed
      */
     public boolean decideNext(ProxyCommands commands) {
-        if (proxiesUnassigned) {
+        if (hasUnassignedProxies) {
             assignWaitingProxies();
         } else if (!timerSet) {
             armTimer(commands);
@@ -241,13 +244,13 @@
         for (Proxy proxy : proxies.waiting()) {
             roundRequested |= subsetter.assignToGroup(proxy);
         }
-        proxiesUnassigned = false;
+        hasUnassignedProxies = false;
     }
 
-    /** Arms the timer; requests a round while something required could not be sent. */
+    /** Arms the timer, and requests a round if a required change could not be sent. */
     private void armTimer(ProxyCommands commands) {
         timerSet = true;
-        roundRequested |= requiredIsDeferred;
+        roundRequested |= requiredChangeDeferred;
         commands.wakeAfter(TIMER_TICKS);
     }
 
@@ -256,7 +259,7 @@
         outlierDetector.endEjection(replicas.get(task.replicaId()), task.scope(), now);
     }
 
-    /** One round: what is known, what should be, and what is sent of the difference. */
+    /** Runs one round: updates the estimates, determines the targets, and sends the differences. */
     private void runPlanningRound(ProxyCommands commands) {
         boolean regular = schedule.takeDueRegularRound(now);
         operatorDrains.applyOperatorDrains(replicas, now);
@@ -266,17 +269,17 @@
         updateDemand();
         FleetCapacity capacity = updateCapacities();
         updateAdmissionLevels(capacity);
-        solver.carryOver(activeRoutes.tables());
+        solver.warmStart(activeRoutes.tables());
         if (regular) {
             solver.solve(activeRoutes, settings.zoneCrossingPrice());
-            // Only a regular round sets the next one: often changing lists must not put it off. A
-            // round that throws before this schedules none.
+            // Only a regular round schedules the next one, so that frequent endpoint updates cannot
+            // postpone it. A round that throws before this line schedules none.
             schedule.add(ScheduledTask.regularRound(now + ROUND_INTERVAL_TICKS));
         }
         publish(commands, regular);
     }
 
-    /** Old evidence counts less, by the time passed and not by the number of reports. */
+    /** Decays old evidence by the time passed, not by the number of reports. */
     private void decayEvidence() {
         long elapsedTicks = now - lastRoundTicks;
         lastRoundTicks = now;
@@ -317,7 +320,7 @@
         TargetWeights.RoundInputs round =
                 targetWeights.roundInputs(
                         demand, proxies.all().size(), subsetter.coversWholeFleet(), now);
-        requiredIsDeferred =
+        requiredChangeDeferred =
                 publisher.publish(
                         commands,
                         subsetter.groups(),
--- a/src/main/java/rockshift/planner/Proxy.java
+++ b/src/main/java/rockshift/planner/Proxy.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A proxy whose stream is up: its group and tables, its demand, and what it was sent. */
+/** Proxy whose stream is up, with its group, tables, demand and sent messages. */
 final class Proxy {
     /**
-     * The binding cost where there are no tables to bind: above any budget. It is a number, as
-     * {@link DrainNotifier} adds up the costs of the proxies that are bound before another.
+     * Binding cost if there are no tables to bind: above any budget. It is a number because {@link
+     * DrainNotifier} adds up the costs of the proxies that are bound before another.
      */
     static final double NOT_BINDABLE = Double.MAX_VALUE;
 
@@ -25,10 +25,10 @@
     private boolean provisional;
 
     /**
-     * A proxy without a group.
+     * Creates a proxy without a group.
      *
-     * @param baselineRatePerSecond transactions that it usually receives, of all classes together
-     * @param reportedUntilTicks until when its arrivals count as known
+     * @param baselineRatePerSecond usual rate in transactions per second, all classes together
+     * @param reportedUntilTicks time until which its arrivals count as known
      */
     Proxy(
             int number,
@@ -67,12 +67,12 @@
         return demands;
     }
 
-    /** What it was sent; {@link ChannelPacer} keeps it. */
+    /** Messages sent to it; maintained by {@link ChannelPacer}. */
     ProxySendState sendState() {
         return sendState;
     }
 
-    /** When it was last sent notices of all replicas that left. */
+    /** When it was last sent notices of all departed replicas. */
     long drainNoticesSentAtTicks() {
         return drainNoticesSentAtTicks;
     }
@@ -81,8 +81,6 @@
         drainNoticesSentAtTicks = now;
     }
 
-    // ---- group and tables ----------------------------------------------------------------------
-
     /** Null until groups exist. */
     ProxyGroup group() {
         return group;
@@ -99,7 +97,7 @@
         }
     }
 
-    /** Whether it has tables of this controller. */
+    /** Whether it is bound to tables of this controller. */
     boolean isBound() {
         return bound;
     }
@@ -109,14 +107,12 @@
         return provisional;
     }
 
-    /** Notes that it was bound to the provisional table of its group. */
-    void boundToProvisionalTable() {
+    void recordBoundToProvisionalTable() {
         setBound();
         provisional = true;
     }
 
-    /** Notes that it was bound to all tables of its group. */
-    void boundToTables() {
+    void recordBoundToTables() {
         setBound();
         provisional = false;
     }
@@ -133,12 +129,18 @@
         return group != null && group.isBindable();
     }
 
-    /** Entries that binding its tables takes; {@link #NOT_BINDABLE} where there are none yet. */
+    /**
+     * Returns the entries that binding it to its tables takes; {@link #NOT_BINDABLE} if there are
+     * none yet.
+     */
     double bindingCost() {
         return isBindable() ? group.bindingCost() : NOT_BINDABLE;
     }
 
-    /** The same for the provisional table. */
+    /**
+     * Returns the entries that binding it to the provisional table takes; {@link #NOT_BINDABLE} if
+     * it cannot be bound yet.
+     */
     double provisionalBindingCost() {
         return isBindable() ? group.provisionalBindingCost() : NOT_BINDABLE;
     }
--- a/src/main/java/rockshift/planner/ProxyRegistry.java
+++ b/src/main/java/rockshift/planner/ProxyRegistry.java
@@ -6,14 +6,14 @@
 import java.util.TreeMap;
 import rockshift.settings.PlannerSettings;
 
-/** The proxies whose streams are up, and those of them that wait for their first tables. */
+/** Proxies whose streams are up, and those of them that wait for their first tables. */
 final class ProxyRegistry {
     private final List<String> zones;
     private final int classCount;
     private final long reportPeriodTicks;
     private final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
 
-    /** In the order of joining. */
+    /** Waiting proxies in the order of joining. */
     private final LinkedHashMap<Integer, Proxy> waiting = new LinkedHashMap<>();
 
     ProxyRegistry(PlannerSettings settings, int classCount) {
@@ -22,7 +22,7 @@
         reportPeriodTicks = settings.reportPeriodTicks();
     }
 
-    /** In the order of their numbers; a live view. */
+    /** All proxies in the order of their numbers; a live view. */
     Collection<Proxy> all() {
         return proxies.values();
     }
@@ -32,12 +32,12 @@
         return waiting.values();
     }
 
-    /** The proxy with a number, or null. */
+    /** Returns the proxy with a number, or null. */
     Proxy get(int number) {
         return proxies.get(number);
     }
 
-    /** A stream came up. It replaces an older one of the same proxy. */
+    /** Adds a proxy whose stream came up; this replaces an older stream of the same proxy. */
     void join(long now, int number, String zone, double baselineRatePerSecond) {
         leave(number);
         Proxy proxy =
@@ -60,22 +60,22 @@
         }
     }
 
-    /** The proxy gets its first tables. */
+    /** Removes a proxy from those that wait, as it gets its first tables. */
     void stopWaiting(Proxy proxy) {
         waiting.remove(proxy.number());
     }
 
     /** Counts periods without a report as periods without arrivals. */
-    void expireSilence(long now) {
+    void recordMissedReports(long now) {
         if (reportPeriodTicks <= 0) {
             return;
         }
         for (Proxy proxy : proxies.values()) {
-            proxy.demands().forEach(demand -> demand.expireSilence(reportPeriodTicks, now));
+            proxy.demands().forEach(demand -> demand.recordMissedReport(reportPeriodTicks, now));
         }
     }
 
-    /** Transactions a second that all joined proxies usually receive. */
+    /** Transactions per second that all joined proxies usually receive. */
     double baselineRatePerSecond() {
         return proxies.values().stream().mapToDouble(Proxy::baselineRatePerSecond).sum();
     }
--- a/src/main/java/rockshift/planner/Replica.java
+++ b/src/main/java/rockshift/planner/Replica.java
@@ -5,10 +5,10 @@
 import rockshift.model.Endpoint;
 
 /**
- * A replica as the planner knows it; in the paper's terms a link, shared by all routes that lead to
- * it. Each part has one writer: {@link ReplicaRegistry} the endpoint, {@link OperatorDrains} and
- * {@link DrainNotifier} their marks, {@link CapacityEstimator} the capacity, {@link ProxyGroup} the
- * membership counts, {@link ActiveRoutes} the routes in use.
+ * Replica as the planner knows it; in the paper's terms (see {@link AlphaFairSolver}) a link,
+ * shared by all routes that lead to it. Each part has one writer: {@link ReplicaRegistry} the
+ * endpoint, {@link OperatorDrains} and {@link DrainNotifier} their flags, {@link CapacityEstimator}
+ * the capacity, {@link ProxyGroup} the membership counts, {@link ActiveRoutes} the routes in use.
  */
 final class Replica {
     private final long id;
@@ -37,8 +37,6 @@
         return id;
     }
 
-    // ---- endpoint -------------------------------------------------------------------------------
-
     String zone() {
         return zone;
     }
@@ -51,7 +49,7 @@
         return health;
     }
 
-    /** When it last started; 0 for long past. */
+    /** When it last started; 0 if that is long past. */
     long startedAtTicks() {
         return startedAtTicks;
     }
@@ -61,7 +59,10 @@
         return changedAtTicks;
     }
 
-    /** Takes zone, machine type and start from discovery; a restart drops earlier evidence. */
+    /**
+     * Updates zone, machine type and start time from discovery; a restart discards earlier
+     * evidence.
+     */
     void updateEndpoint(Endpoint endpoint) {
         if (endpoint.startedAtTicks() > startedAtTicks) {
             startedAtTicks = endpoint.startedAtTicks();
@@ -77,8 +78,6 @@
         changedAtTicks = now;
     }
 
-    // ---- drains ---------------------------------------------------------------------------------
-
     /** Whether it may get new work: listed as ready, and not drained by an operator. */
     boolean acceptsNewWork() {
         return health == Endpoint.Health.READY && !drainedByOperator;
@@ -92,7 +91,9 @@
         drainedByOperator = drained;
     }
 
-    /** Whether a proxy was sent a drain notice for it, which overrides its tables. */
+    /**
+     * Whether a proxy was sent a drain notice about it; the notice overrides the proxy's tables.
+     */
     boolean hasDrainNotice() {
         return drainNotice;
     }
@@ -101,14 +102,12 @@
         drainNotice = notice;
     }
 
-    // ---- evidence and capacity ------------------------------------------------------------------
-
-    /** Takes in a report of proxies in a zone; the load is null if the replica reported none. */
-    void recordReport(String fromZone, int attempts, int failures, int lateAnswers, Double load) {
+    /** Records a report of proxies in a zone; the load is null if the replica reported none. */
+    void recordReport(String fromZone, int attempts, int failures, int lateResponses, Double load) {
         boolean ownZone = fromZone.equals(zone);
         ReplicaObservations observations = ownZone ? ownZoneObservations : otherZoneObservations;
         double loadSum = load == null ? 0 : attempts * load;
-        observations.add(attempts, failures, ownZone ? 0 : lateAnswers, loadSum);
+        observations.add(attempts, failures, ownZone ? 0 : lateResponses, loadSum);
         loadEvidence.add(attempts, failures, load);
     }
 
@@ -137,22 +136,22 @@
         otherZoneObservations.reset();
     }
 
-    /** Ejected for all proxies. */
+    /** Whether it is ejected for all proxies. */
     boolean isEjected() {
         return ownZoneObservations.ejection().isActive();
     }
 
-    /** Ejected for proxies of other zones, while those of its own still use it. */
+    /** Whether it is ejected for proxies of other zones, while those of its own still use it. */
     boolean isEjectedForOtherZones() {
         return otherZoneObservations.ejection().isActive();
     }
 
-    /** Fraction of the capacity of all replicas in use. */
+    /** Capacity as a fraction of that of all replicas in use. */
     double capacity() {
         return capacity;
     }
 
-    /** The capacity of the round before. */
+    /** Capacity of the previous round. */
     double previousCapacity() {
         return previousCapacity;
     }
@@ -165,13 +164,15 @@
         capacity = value;
     }
 
-    // ---- routes and groups ----------------------------------------------------------------------
-
     void attach(Route route) {
         routes.add(route);
     }
 
-    /** Forgets a route; whether it was there. */
+    /**
+     * Removes a route.
+     *
+     * @return whether it was present
+     */
     boolean detach(Route route) {
         return routes.remove(route);
     }
@@ -181,7 +182,7 @@
         return routes.stream().anyMatch(route -> route.publishedWeight() > 0);
     }
 
-    /** Its routes from tables that have proxies now. */
+    /** Routes to it from tables that have proxies now. */
     List<Route> routesInUse() {
         return routesInUse;
     }
@@ -194,7 +195,7 @@
         routesInUse.add(route);
     }
 
-    /** How many groups of its own zone, or of the others, have it in their subset. */
+    /** Number of groups of its own zone, or of the others, that have it in their subset. */
     int groupCount(ZoneRelation relation) {
         return relation == ZoneRelation.SAME_ZONE ? ownZoneGroups : otherZoneGroups;
     }
--- a/src/main/java/rockshift/planner/ReplicaObservations.java
+++ b/src/main/java/rockshift/planner/ReplicaObservations.java
@@ -1,33 +1,36 @@
 package rockshift.planner;
 
 /**
- * What proxies of a replica's own zone, or those of all others, lately reported of it. All counts
- * decay with time.
+ * Recent reports about a replica, either from proxies of its own zone or from those of all other
+ * zones. All counts decay over time.
  */
 final class ReplicaObservations {
     private final Ejection ejection = new Ejection();
     private double attempts;
     private double failures;
-    private double lateAnswers;
+    private double lateResponses;
 
-    /** Sum over attempts of the load that the replica reported; none reported counts as 0. */
+    /**
+     * Sum over attempts of the load that the replica reported; an attempt without a load counts as
+     * 0.
+     */
     private double loadSum;
 
-    /** What two groups of proxies reported together. */
+    /** Returns the sum of two sets of observations. */
     static ReplicaObservations combined(ReplicaObservations first, ReplicaObservations second) {
-        ReplicaObservations both = new ReplicaObservations();
-        both.add(
+        ReplicaObservations sum = new ReplicaObservations();
+        sum.add(
                 first.attempts + second.attempts,
                 first.failures + second.failures,
-                first.lateAnswers + second.lateAnswers,
+                first.lateResponses + second.lateResponses,
                 first.loadSum + second.loadSum);
-        return both;
+        return sum;
     }
 
-    void add(double newAttempts, double newFailures, double newLateAnswers, double newLoadSum) {
+    void add(double newAttempts, double newFailures, double newLateResponses, double newLoadSum) {
         attempts += newAttempts;
         failures += newFailures;
-        lateAnswers += newLateAnswers;
+        lateResponses += newLateResponses;
         loadSum += newLoadSum;
     }
 
@@ -48,28 +51,28 @@
         return loadSum <= load * attempts;
     }
 
-    /** A cost times the fraction of attempts that were answered late; 0 without attempts. */
+    /** Returns a cost times the fraction of attempts with a late response; 0 without attempts. */
     double lateCost(double cost) {
-        return attempts > 0 ? cost * lateAnswers / attempts : 0;
+        return attempts > 0 ? cost * lateResponses / attempts : 0;
     }
 
     Ejection ejection() {
         return ejection;
     }
 
-    /** Starts over, without observations; cancels an ejection that is active. */
+    /** Discards all observations and cancels an active ejection. */
     void reset() {
         attempts = 0;
         failures = 0;
-        lateAnswers = 0;
+        lateResponses = 0;
         loadSum = 0;
         ejection.cancel();
     }
 
-    void decay(double keptFraction) {
-        attempts *= keptFraction;
-        failures *= keptFraction;
-        lateAnswers *= keptFraction;
-        loadSum *= keptFraction;
+    void decay(double factor) {
+        attempts *= factor;
+        failures *= factor;
+        lateResponses *= factor;
+        loadSum *= factor;
     }
 }
--- a/src/main/java/rockshift/planner/Route.java
+++ b/src/main/java/rockshift/planner/Route.java
@@ -1,9 +1,9 @@
 package rockshift.planner;
 
 /**
- * The path from a routing table to a replica; the paper's path, with that replica as its only link.
- * {@link AlphaFairSolver} owns the iterates, {@link TargetWeights} the target, {@link
- * TablePublisher} what is published.
+ * Path from a routing table to a replica; in the paper's terms (see {@link AlphaFairSolver}), a
+ * path whose only link is that replica. {@link AlphaFairSolver} owns the iterates, {@link
+ * TargetWeights} the target fraction, and {@link TablePublisher} the published weight.
  */
 final class Route {
     private final RoutingTable table;
@@ -38,14 +38,18 @@
         return ownZone;
     }
 
-    // ---- eligibility, as of the last planning round --------------------------------------------
-
-    /** Whether the table may have an entry for it, see {@link RouteEligibility}. */
+    /**
+     * Whether the table may have an entry for it, as of the last planning round; see {@link
+     * RouteEligibility}.
+     */
     boolean isAllowed() {
         return allowed;
     }
 
-    /** Whether it is allowed and the replica is not ejected for the table's proxies. */
+    /**
+     * Whether it is allowed and the replica is not ejected for the table's proxies, as of the last
+     * planning round.
+     */
     boolean isOpen() {
         return open;
     }
@@ -55,8 +59,6 @@
         open = nowOpen;
     }
 
-    // ---- iterates of the solver ----------------------------------------------------------------
-
     /** The link's copy of the rate: z in the paper. */
     double linkCopy() {
         return linkCopy;
@@ -81,31 +83,28 @@
         linkCopy = rate;
     }
 
-    /** The consensus step: the mean of both copies, and the dual that follows it. */
+    /** Consensus step: sets the consensus to the mean of both copies and updates the dual by it. */
     void averageCopies(double penalty) {
         consensus = (requestCopy + linkCopy) / 2;
         dual += (requestCopy - consensus) / penalty;
     }
 
-    /** Scales both copies. */
     void scaleCopies(double factor) {
         requestCopy = requestCopy * factor;
         linkCopy = linkCopy * factor;
     }
 
-    /** Starts both copies at a rate. */
-    void startCopies(double rate) {
+    /** Sets both copies to an initial rate. */
+    void initializeCopies(double rate) {
         requestCopy = rate;
         linkCopy = rate;
     }
 
-    void startDual(double value) {
+    void initializeDual(double value) {
         dual = value;
     }
 
-    // ---- weights -------------------------------------------------------------------------------
-
-    /** The part of its table that it should have. */
+    /** Target fraction of the table's weights. */
     double targetFraction() {
         return targetFraction;
     }
--- a/src/main/java/rockshift/planner/TablePublisher.java
+++ b/src/main/java/rockshift/planner/TablePublisher.java
@@ -9,30 +9,30 @@
 import rockshift.settings.AdmissionMode;
 
 /**
- * Sends what differs enough between the published tables and their targets, in the order of
- * priority and within a budget of entries.
+ * Sends the differences between the published tables and their targets that are large enough, in
+ * the order of priority and within a budget of entries.
  *
- * <p>Inputs: target fractions, levels, entries that wait in the channel and its rate in entries a
- * tick. Differences are gathered for a regular round; what safety requires is sent at once: removal
- * of a replica that left, and an entry for a table without an allowed one. Other changes of the
- * priority budget are a slow-starting replica's cut, and an entry that more than doubles in a
- * message that is sent anyway.
+ * <p>Inputs: target fractions, levels, entries queued in the channel and its rate in entries per
+ * tick. Differences are batched for a regular round. What safety requires is sent at once: the
+ * removal of a departed replica, and an entry for a table without an allowed one. Other changes of
+ * the priority budget are the cut of a slow-starting replica, and an entry that more than doubles
+ * in a message that is sent anyway.
  *
- * <p>Guards against a channel filled by changes that are worth little while drains wait. Shows as
- * messages in flight and late drains. Holds because each kind of change has a budget, and nothing
- * deferrable is sent while a proxy waits that could be bound.
+ * <p>Guards against a channel filled with changes of little value while drains wait. The symptom is
+ * messages in flight and late drains. The guard holds because each kind of change has a budget, and
+ * nothing deferrable is sent while a proxy waits that could be bound.
  */
 final class TablePublisher {
-    /** Proxies retry only after proof that the attempt never ran: safe for every class. */
+    /** Proxies retry only after proof that the attempt never ran, which is safe for every class. */
     static final int RETRY_MODE = 1;
 
-    /** Fraction of the channel's rate that changed weights may take in a round. */
+    /** Maximum fraction of the channel's rate that changed weights take in a round. */
     private static final double MAX_WEIGHT_RATE_FRACTION = 0.5;
 
-    /** Fraction of the goal that changed weights may cost in commands. */
-    private static final double WEIGHT_CHANGES_WORTH_FRACTION = 0.03;
+    /** Maximum cost of the commands for changed weights, as a fraction of the goal. */
+    private static final double MAX_WEIGHT_COST_FRACTION = 0.03;
 
-    /** Transactions a second at a proxy: the level that refuses none, where levels are rates. */
+    /** Level that refuses nothing where levels are rates, in transactions per second at a proxy. */
     private static final double UNLIMITED_PER_SECOND = 1e6;
 
     private final double levelUnit;
@@ -61,9 +61,9 @@
      * Sends a batch.
      *
      * @param round inputs of the target weights, which are updated here
-     * @param regular whether it is a regular round, in which gathered changes are sent
+     * @param regular whether this is a regular round, in which batched changes are sent
      * @param commandPrice price of a fully used channel, as a fraction of the goal
-     * @return whether something required could not be sent
+     * @return whether a required change could not be sent
      */
     boolean publish(
             ProxyCommands commands,
@@ -74,28 +74,28 @@
             boolean regular,
             double commandPrice) {
         long now = round.now();
-        boolean joinsFirst = hasBindableWaiting(now);
+        boolean joinsPrecede = hasBindableWaiting(now);
         PublishBudget budget =
-                openBudget(joinsFirst, regular ? weightEntriesPerRound(commandPrice) : 0, now);
+                openBudget(joinsPrecede, regular ? weightEntriesPerRound(commandPrice) : 0, now);
         List<GroupBatch> batches = openBatches(groups, now);
         Set<RoutingTable> withoutAllowedEntry =
                 tables.stream().filter(RoutingTable::hasNoAllowedEntry).collect(Collectors.toSet());
-        boolean requiredIsDeferred = false;
+        boolean requiredChangeDeferred = false;
         tables.forEach(table -> targetWeights.updateTargets(table, round));
         for (TableChange change : differences.find(tables)) {
             GroupBatch batch = batches.get(change.table().group().number());
             ChangeUrgency urgency =
                     isRequired(change, withoutAllowedEntry)
                             ? ChangeUrgency.REQUIRED
-                            : urgency(change, batch, joinsFirst, now);
+                            : urgency(change, batch, joinsPrecede, now);
             boolean due = regular || urgency.isInEveryRound();
             if (due && isInScope(urgency, scope)) {
                 boolean sent = send(commands, change, urgency, batch, budget);
-                requiredIsDeferred |= !sent && urgency == ChangeUrgency.REQUIRED;
+                requiredChangeDeferred |= !sent && urgency == ChangeUrgency.REQUIRED;
             }
         }
         postMessages(batches, now);
-        return requiredIsDeferred;
+        return requiredChangeDeferred;
     }
 
     private static boolean isInScope(ChangeUrgency urgency, ControlScope scope) {
@@ -103,16 +103,17 @@
                 || scope == ControlScope.REMOVALS_ONLY && urgency == ChangeUrgency.REQUIRED;
     }
 
-    private PublishBudget openBudget(boolean joinsFirst, double weightEntries, long now) {
+    private PublishBudget openBudget(boolean joinsPrecede, double weightEntries, long now) {
         double queue = pacer.advanceQueue(now);
         return new PublishBudget(
                 pacer.priorityQueueLimit() - queue,
-                joinsFirst ? 0 : pacer.deferrableBacklog() - queue,
+                joinsPrecede ? 0 : pacer.deferrableBacklog() - queue,
                 weightEntries);
     }
 
     /**
-     * Whether a proxy has waited for more than a turn, and could be bound: it may hold old entries.
+     * Returns whether a proxy has waited for more than a turn and could be bound; it may hold old
+     * entries.
      */
     private boolean hasBindableWaiting(long now) {
         return proxies.waiting().stream()
@@ -121,30 +122,28 @@
 
     private double weightEntriesPerRound(double commandPrice) {
         double rateFraction =
-                Math.min(MAX_WEIGHT_RATE_FRACTION, WEIGHT_CHANGES_WORTH_FRACTION / commandPrice);
+                Math.min(MAX_WEIGHT_RATE_FRACTION, MAX_WEIGHT_COST_FRACTION / commandPrice);
         return rateFraction * pacer.entriesPerTick() * Ticks.TICKS_PER_SECOND;
     }
 
-    // ---- urgency of a change --------------------------------------------------------------
-
     private static boolean isRequired(TableChange change, Set<RoutingTable> withoutAllowedEntry) {
         return change instanceof TableChange.Entry entry
                 && (entry.isRemoval() || withoutAllowedEntry.contains(entry.table()));
     }
 
     private ChangeUrgency urgency(
-            TableChange change, GroupBatch batch, boolean joinsFirst, long now) {
+            TableChange change, GroupBatch batch, boolean joinsPrecede, long now) {
         boolean inEveryRound = batch.boundProxies() == 0;
         if (change instanceof TableChange.Entry entry) {
             boolean slowStartingIsCut =
                     entry.isDecrease() && slowStart.isSlowStarting(entry.route().replica(), now);
-            // After the largest entry left, a slow-starting one would be most of the rest for a
-            // round.
+            // After the largest entry is removed, a slow-starting one would be most of the table
+            // for a round.
             boolean doublesInMessage = batch.isStarted() && entry.isMoreThanDoubled();
             if (doublesInMessage || slowStartingIsCut && entry.isMoreThanHalved()) {
                 return ChangeUrgency.IMMEDIATE;
             }
-            if (slowStartingIsCut && !joinsFirst) {
+            if (slowStartingIsCut && !joinsPrecede) {
                 return inEveryRound ? ChangeUrgency.IMMEDIATE : ChangeUrgency.PRIORITIZED;
             }
             inEveryRound |= entry.isNew() && batch.isStarted();
@@ -152,8 +151,6 @@
         return inEveryRound ? ChangeUrgency.PIGGYBACKED : ChangeUrgency.BATCHED;
     }
 
-    // ---- messages ------------------------------------------------------------------------------
-
     private List<GroupBatch> openBatches(List<ProxyGroup> groups, long now) {
         List<GroupBatch> batches = new ArrayList<>();
         for (ProxyGroup group : groups) {
@@ -168,7 +165,11 @@
         return batches;
     }
 
-    /** Sends a change if there is room for it; whether it did. */
+    /**
+     * Sends a change if there is room for it.
+     *
+     * @return whether it was sent
+     */
     private boolean send(
             ProxyCommands commands,
             TableChange change,
@@ -186,7 +187,11 @@
         return true;
     }
 
-    /** Sends a change; answers how many entries each bound proxy is sent for it. */
+    /**
+     * Sends a change.
+     *
+     * @return number of entries sent to each bound proxy for it
+     */
     private int send(ProxyCommands commands, TableChange change) {
         RoutingTable table = change.table();
         if (change instanceof TableChange.Entry entry) {
--- a/src/main/java/rockshift/planner/TableScheduler.java
+++ b/src/main/java/rockshift/planner/TableScheduler.java
@@ -6,16 +6,18 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Binds proxies to the tables of their group, never to an empty table: those that wait in the order
- * of joining, those with a provisional table in the order of their numbers.
+ * Binds proxies to the tables of their group, unless all of these are empty. Waiting proxies are
+ * bound in the order of joining, those with a provisional table in the order of their numbers.
  *
- * <p>Inputs: entries that wait in the channel, and how long a proxy has waited in ticks. While much
- * waits, a proxy gets one provisional table for all classes, and its own tables once nobody waits.
+ * <p>Inputs: entries queued in the channel, and the time in ticks that a proxy has waited. While
+ * the queue is long, a proxy gets one provisional table for all classes, and its own tables once no
+ * proxy waits.
  *
  * <p>Guards against drains that are queued behind the tables of many joining proxies, and against
- * the last of these getting its tables too late. Shows as messages in flight for seconds after a
- * wave of joins. Holds because joins fill a part of the queue only, more the longer one has waited;
- * and the provisional table is that of the strictest class, so that no class leaves its zone.
+ * the last of these getting its tables too late. The symptom is messages in flight for seconds
+ * after many joins. The guard holds because joins only fill a part of the queue, which grows with
+ * the time that a proxy has waited. The provisional table is that of the strictest class, so that
+ * no class leaves its zone.
  */
 final class TableScheduler {
     /** Fraction of the drain grace after which a waiting proxy is as urgent as a drain. */
@@ -31,20 +33,25 @@
 
     TableScheduler(PlannerSettings settings, ChannelPacer pacer, ProxyRegistry proxies) {
         bindingDeadlineTicks = bindingDeadlineTicks(settings);
-        // A provisional table sets the retries of one class only: the others retry by default.
+        // A provisional table sets the retry mode of one class only; the others use the default.
         provisionalIsSafe = settings.defaultRetryMode() <= TablePublisher.RETRY_MODE;
         this.pacer = pacer;
         this.proxies = proxies;
     }
 
-    /** Time after joining by which a proxy should have tables; the rest is for a slower channel. */
+    /**
+     * Returns the time after joining by which a proxy should have tables; the rest of the grace is
+     * a reserve for a slower channel.
+     */
     static double bindingDeadlineTicks(PlannerSettings settings) {
         return BINDING_DEADLINE_FRACTION * settings.drainGraceTicks();
     }
 
     /**
      * Binds the first waiting proxy that can be bound, in the order of joining, if the channel has
-     * room for it; whether it did.
+     * room for it.
+     *
+     * @return whether a proxy was bound
      */
     boolean bindNextWaiting(ProxyCommands commands, ControlScope scope, long now) {
         for (Proxy proxy : proxies.waiting()) {
@@ -73,7 +80,10 @@
                 && provisionalIsSafe;
     }
 
-    /** The longer a proxy waits, the longer the queue may be; at the deadline it has priority. */
+    /**
+     * Returns whether the queue has room for a proxy. The longer the proxy waits, the longer the
+     * queue may be; at the deadline the proxy has priority.
+     */
     private boolean hasRoom(Proxy proxy, double cost, long now) {
         double deferrable = pacer.deferrableBacklog();
         double waitedFraction = Math.min(1, (now - proxy.joinedAtTicks()) / bindingDeadlineTicks);
@@ -86,8 +96,10 @@
     }
 
     /**
-     * Replaces the provisional table of one proxy by the tables of its group, while nobody waits
-     * and little is queued; whether it did. The proxy with the lowest number is first.
+     * Replaces the provisional table of one proxy by the tables of its group, if no proxy waits and
+     * the queue is short. The proxy with the lowest number is first.
+     *
+     * @return whether a table was replaced
      */
     boolean upgradeNextProvisional(ProxyCommands commands, ControlScope scope, long now) {
         boolean mayUpgrade =
@@ -113,7 +125,7 @@
         double cost = proxy.provisionalBindingCost();
         int table = proxy.group().provisionalTable().number();
         double extra = commands.bindProxy(table, proxy.number(), ClassSet.all());
-        proxy.boundToProvisionalTable();
+        proxy.recordBoundToProvisionalTable();
         pacer.post(proxy, cost + extra, now);
     }
 
@@ -123,7 +135,7 @@
         for (RoutingTable table : proxy.group().tables()) {
             extra += commands.bindProxy(table.number(), proxy.number(), table.classes());
         }
-        proxy.boundToTables();
+        proxy.recordBoundToTables();
         pacer.post(proxy, cost + extra, now);
     }
 }
--- a/src/main/java/rockshift/planner/TrafficWindows.java
+++ b/src/main/java/rockshift/planner/TrafficWindows.java
@@ -5,19 +5,19 @@
 import rockshift.model.Ticks;
 
 /**
- * Recent arrivals and attempts at the proxies, and the time that they cover. Everything decays
- * alike, counts and time, so that their quotient is a rate.
+ * Recent arrivals and attempts at the proxies, and the time that they cover. Counts and time decay
+ * alike, so that their quotient is a rate.
  *
- * <p>Each time is kept twice, as the first reports arrive late. One starts with the span of the
- * first report. The conservative one errs towards overload at a start: for arrivals it is too
- * short, so that their rate comes out too high, and for capacities too long, so that they come out
- * too low. The two approach each other.
+ * <p>Each time is kept twice, because the first reports arrive late. One starts with the span of
+ * the first report. The conservative one errs towards overload at start-up: for arrivals it is too
+ * short, so that their rate is too high, and for capacities it is too long, so that they are too
+ * low. The two converge.
  */
 final class TrafficWindows {
-    /** Memory of arrivals and attempts: two to four report periods. */
-    static final double MEMORY_TICKS = 4 * Ticks.TICKS_PER_SECOND;
+    /** Time constant of the decay of arrivals and attempts: two to four report periods. */
+    static final double TIME_CONSTANT_TICKS = 4 * Ticks.TICKS_PER_SECOND;
 
-    /** One class: its arrivals, and the fraction of them that was admitted. */
+    /** Arrivals of one class, and the fraction of them that was admitted. */
     private static final class ClassTraffic {
         private double arrivals;
         private double admittedFraction = 1;
@@ -25,9 +25,9 @@
 
     private final List<ClassTraffic> classes = new ArrayList<>();
     private double attempts;
-    private double answers;
-    private double answerTicks;
-    private double shortestMeanAnswerTicks = Double.MAX_VALUE;
+    private double responses;
+    private double responseTicks;
+    private double shortestMeanResponseTicks = Double.MAX_VALUE;
     private double conservativeCoveredTicks;
     private double coveredTicksFromFirstReport;
     private double conservativeCapacityTicks;
@@ -39,12 +39,12 @@
         }
     }
 
-    /** Adds the attempts of a report, their failures, and the mean time of its answers. */
-    void addAttempts(int count, int failed, long meanAnswerTicks, long spanTicks) {
-        int answered = Math.max(0, count - failed);
+    /** Adds the attempts of a report, their failures, and the mean response time. */
+    void addAttempts(int count, int failed, long meanResponseTicks, long spanTicks) {
+        int newResponses = Math.max(0, count - failed);
         attempts += count;
-        answers += answered;
-        answerTicks += answered * (double) meanAnswerTicks;
+        responses += newResponses;
+        responseTicks += newResponses * (double) meanResponseTicks;
         conservativeCapacityTicks =
                 conservativeCapacityTicks == 0 ? spanTicks : conservativeCapacityTicks;
     }
@@ -54,36 +54,37 @@
     }
 
     /**
-     * Lets what was reported count less. Does nothing before the first report.
+     * Decays counts and times. Does nothing before the first report.
      *
-     * @param admittedFractions by class, what was admitted since the last call
+     * @param admittedFractions by class, the fraction admitted since the last call
      */
     void decay(long elapsedTicks, double[] admittedFractions) {
         if (conservativeCapacityTicks <= 0) {
             return;
         }
-        double kept = Math.exp(-elapsedTicks / MEMORY_TICKS);
-        double capacityKept = CapacityEstimator.keptFraction(elapsedTicks);
+        double factor = Math.exp(-elapsedTicks / TIME_CONSTANT_TICKS);
+        double capacityFactor = CapacityEstimator.decayFactor(elapsedTicks);
         boolean isFirstReport = conservativeCoveredTicks == 0;
         coveredTicksFromFirstReport =
                 isFirstReport
-                        ? conservativeCapacityTicks * kept
-                        : coveredTicksFromFirstReport * kept + MEMORY_TICKS * (1 - kept);
-        double capacityGained = CapacityEstimator.MEMORY_TICKS * (1 - capacityKept);
+                        ? conservativeCapacityTicks * factor
+                        : coveredTicksFromFirstReport * factor + TIME_CONSTANT_TICKS * (1 - factor);
+        double capacityGained = CapacityEstimator.TIME_CONSTANT_TICKS * (1 - capacityFactor);
         capacityTicksFromFirstReport =
                 (isFirstReport ? conservativeCapacityTicks : capacityTicksFromFirstReport)
-                                * capacityKept
+                                * capacityFactor
                         + (isFirstReport ? 0 : capacityGained);
-        conservativeCapacityTicks = conservativeCapacityTicks * capacityKept + capacityGained;
-        conservativeCoveredTicks = conservativeCoveredTicks * kept + MEMORY_TICKS * (1 - kept);
-        attempts *= kept;
-        answers *= kept;
-        answerTicks *= kept;
+        conservativeCapacityTicks = conservativeCapacityTicks * capacityFactor + capacityGained;
+        conservativeCoveredTicks =
+                conservativeCoveredTicks * factor + TIME_CONSTANT_TICKS * (1 - factor);
+        attempts *= factor;
+        responses *= factor;
+        responseTicks *= factor;
         for (int k = 0; k < classes.size(); k++) {
             ClassTraffic traffic = classes.get(k);
-            traffic.arrivals *= kept;
+            traffic.arrivals *= factor;
             traffic.admittedFraction =
-                    traffic.admittedFraction * kept + admittedFractions[k] * (1 - kept);
+                    traffic.admittedFraction * factor + admittedFractions[k] * (1 - factor);
         }
     }
 
@@ -92,8 +93,6 @@
         return conservativeCoveredTicks == 0;
     }
 
-    // ---- attempts ------------------------------------------------------------------------------
-
     double attempts() {
         return attempts;
     }
@@ -103,17 +102,15 @@
     }
 
     /**
-     * The fraction of their time that answers lately waited: what they take beyond the shortest
-     * mean so far, which this call may lower.
+     * Returns the fraction of recent response times that was spent waiting: {@code 1 - shortest
+     * mean / current mean}. May lower the shortest mean so far.
      */
     double updateWaitingFraction() {
-        double meanTicks = answers > 0 ? answerTicks / answers : Double.MAX_VALUE;
-        shortestMeanAnswerTicks = Math.min(shortestMeanAnswerTicks, meanTicks);
-        return meanTicks > 0 ? 1 - shortestMeanAnswerTicks / meanTicks : 0;
+        double meanTicks = responses > 0 ? responseTicks / responses : Double.MAX_VALUE;
+        shortestMeanResponseTicks = Math.min(shortestMeanResponseTicks, meanTicks);
+        return meanTicks > 0 ? 1 - shortestMeanResponseTicks / meanTicks : 0;
     }
 
-    // ---- arrivals ------------------------------------------------------------------------------
-
     double arrivals(int classNumber) {
         return classes.get(classNumber).arrivals;
     }
@@ -133,9 +130,7 @@
         return classes.get(classNumber).admittedFraction;
     }
 
-    // ---- time covered --------------------------------------------------------------------------
-
-    /** Time that attempts and arrivals cover; too short at a start, so that rates are too high. */
+    /** Time that attempts and arrivals cover; too short at start-up, so that rates are too high. */
     double conservativeCoveredTicks() {
         return conservativeCoveredTicks;
     }
@@ -145,7 +140,7 @@
     }
 
     /**
-     * Time that the evidence of capacities covers; too long at a start, so that capacities are too
+     * Time that the evidence of capacities covers; too long at start-up, so that capacities are too
      * low. 0 before the first report.
      */
     double conservativeCapacityTicks() {
--- a/src/test/java/rockshift/planner/OutlierDetectorScenarioTest.java
+++ b/src/test/java/rockshift/planner/OutlierDetectorScenarioTest.java
@@ -48,7 +48,7 @@
 
     /**
      * Overloaded replicas failed, were ejected one after the other, and each left more load for the
-     * rest. A hung replica, though, answers nothing and so reports no load.
+     * rest. A hung replica, though, responses nothing and so reports no load.
      */
     @Test
     void doesNotEjectReplicaWhoseLoadExplainsItsFailures() {
