--- a/src/main/java/rockshift/planner/ActiveRoutes.java
+++ b/src/main/java/rockshift/planner/ActiveRoutes.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * What a planning round is about: the tables that have proxies now, and the replicas that routes of
+ * Scope of a planning round: the tables that have proxies now, and the replicas that routes of
  * these tables lead to.
  */
 record ActiveRoutes(List<RoutingTable> tables, List<Replica> replicas) {
     static final ActiveRoutes NONE = new ActiveRoutes(List.of(), List.of());
 
-    /** The tables of all groups that have proxies. */
+    /** Returns the tables of all groups that have proxies. */
     static List<RoutingTable> tablesInUse(List<ProxyGroup> groups) {
         return groups.stream()
                 .filter(ProxyGroup::hasProxies)
@@ -18,7 +18,7 @@
                 .toList();
     }
 
-    /** Notes at each replica its routes from these tables. */
+    /** Collects the routes of these tables, and sets the routes in use of each replica. */
     static ActiveRoutes collect(List<RoutingTable> tables, Collection<Replica> replicas) {
         replicas.forEach(Replica::clearRoutesInUse);
         for (RoutingTable table : tables) {
--- a/src/main/java/rockshift/planner/Ejection.java
+++ b/src/main/java/rockshift/planner/Ejection.java
@@ -1,8 +1,8 @@
 package rockshift.planner;
 
 /**
- * Whether a replica is ejected for one {@link EjectionScope}, and when it last was. Only {@link
- * OutlierDetector} begins and ends it; a restart of the replica cancels it.
+ * Ejection state of a replica for one {@link EjectionScope}. Only {@link OutlierDetector} begins
+ * and ends it; a restart of the replica cancels it.
  */
 final class Ejection {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -15,12 +15,12 @@
         return active;
     }
 
-    /** How long the present or last ejection is meant to take. */
+    /** Planned duration of the present or last ejection. */
     long durationTicks() {
         return durationTicks;
     }
 
-    /** When the last one ran its full time; far in the past if none did. */
+    /** When the last ejection that was not cancelled ended; far in the past if there was none. */
     long endedAtTicks() {
         return endedAtTicks;
     }
@@ -35,7 +35,7 @@
         endedAtTicks = now;
     }
 
-    /** Ends it without a recovery ramp. */
+    /** Ends the ejection without a recovery ramp. */
     void cancel() {
         active = false;
     }
--- a/src/main/java/rockshift/planner/EjectionScope.java
+++ b/src/main/java/rockshift/planner/EjectionScope.java
@@ -1,6 +1,6 @@
 package rockshift.planner;
 
-/** For which proxies a replica is ejected. */
+/** Proxies for which a replica is ejected. */
 enum EjectionScope {
     ALL_PROXIES("all"),
     /** Proxies in zones other than the replica's. */
--- a/src/main/java/rockshift/planner/OperatorDrains.java
+++ b/src/main/java/rockshift/planner/OperatorDrains.java
@@ -8,18 +8,18 @@
 /**
  * Drains replicas that operators agreed to take out of service.
  *
- * <p>Inputs: the agreed drains, each with the last start that it applies to in ticks, so that a
- * drain ends with the process that it meant.
+ * <p>Inputs: the agreed drains, each with the last start time in ticks that it applies to, so that
+ * a drain ends with the process that it was meant for.
  *
- * <p>Guards against an operator who drains the last replica that could answer: proxies would have
- * none. Shows as a replica that keeps its entries though a drain is agreed. Holds because a drain
- * is only applied while another replica accepts new work; in each zone, where a class must stay in
- * its zone.
+ * <p>Guards against an operator who drains the last replica that could respond: proxies would have
+ * none. In that case a replica keeps its entries although a drain is agreed. The guard holds
+ * because a drain is only applied while another replica accepts new work; if a class must stay in
+ * its zone, another replica in the same zone.
  */
 final class OperatorDrains {
     private final boolean oneReplicaPerZone;
 
-    /** By replica, the last start that a drain applies to. */
+    /** By replica, the last start time in ticks that a drain applies to. */
     private final TreeMap<Long, Long> agreed = new TreeMap<>();
 
     OperatorDrains(List<ClassSettings> classes) {
@@ -33,7 +33,8 @@
     }
 
     /**
-     * Marks which replicas are drained now. With any agreed drain, each call records a departure.
+     * Marks the replicas that are drained now. If any drain is agreed, each call records a
+     * departure.
      */
     void applyOperatorDrains(ReplicaRegistry replicas, long now) {
         for (Replica replica : replicas.all()) {
--- a/src/main/java/rockshift/planner/ProxyGroup.java
+++ b/src/main/java/rockshift/planner/ProxyGroup.java
@@ -6,12 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * Proxies of one zone that share routing tables, and the subset of replicas in these tables. Where
- * tables of the whole fleet fit, a zone has one group and the subset is the fleet.
+ * Proxies of one zone that share routing tables, and the subset of replicas in these tables. If
+ * tables of the whole fleet fit the channel, a zone has one group whose subset is the fleet.
  */
 final class ProxyGroup {
     /**
-     * Entries that the binding to a table takes beside those of the table: itself and the level.
+     * Entries that a binding takes in addition to those of the table: the binding itself and the
+     * level.
      */
     static final int ENTRIES_PER_BINDING = 2;
 
@@ -27,9 +28,9 @@
     private int entryCount;
 
     /**
-     * A group without replicas.
+     * Creates a group without replicas.
      *
-     * @param provisionalClass the class whose table can serve all classes
+     * @param provisionalClass class whose table can serve all classes
      */
     ProxyGroup(int number, String zone, int classCount, int provisionalClass) {
         this.number = number;
@@ -44,7 +45,7 @@
         return number;
     }
 
-    /** One table a class, in the order of the classes. */
+    /** One table per class, in the order of the classes. */
     List<RoutingTable> tables() {
         return tables;
     }
@@ -54,8 +55,6 @@
         return provisionalTable;
     }
 
-    // ---- subset --------------------------------------------------------------------------------
-
     boolean isInZoneOf(Replica replica) {
         return zone.equals(replica.zone());
     }
@@ -64,7 +63,7 @@
         return isInZoneOf(replica) ? ZoneRelation.SAME_ZONE : ZoneRelation.OTHER_ZONE;
     }
 
-    /** Whether a replica is of the wanted zones, and not in the subset yet. */
+    /** Whether a replica has the wanted zone relation and is not in the subset yet. */
     boolean canAdd(Replica replica, ZoneRelation wanted) {
         return relationTo(replica) == wanted && !contains(replica);
     }
@@ -92,8 +91,6 @@
         }
     }
 
-    // ---- proxies -------------------------------------------------------------------------------
-
     void proxyJoined() {
         joinedProxies++;
     }
@@ -102,7 +99,7 @@
         boundProxies++;
     }
 
-    /** A proxy left. Without any, the tables are no longer kept up to date. */
+    /** Removes a proxy. Without proxies the tables are no longer kept up to date. */
     void proxyLeft(boolean wasBound) {
         joinedProxies--;
         boundProxies -= wasBound ? 1 : 0;
@@ -117,8 +114,6 @@
         return boundProxies;
     }
 
-    // ---- demand --------------------------------------------------------------------------------
-
     /** The highest rate of one class at one of its proxies. */
     double busiestProxyRatePerSecond() {
         return busiestProxyRatePerSecond;
@@ -134,9 +129,7 @@
         busiestProxyRatePerSecond = Math.max(busiestProxyRatePerSecond, ratePerSecond);
     }
 
-    // ---- publication ---------------------------------------------------------------------------
-
-    /** Whether the tables have proxies and are up to the last batch. */
+    /** Whether the group has proxies and its tables are up to date with the last batch. */
     boolean isPublished() {
         return published;
     }
@@ -146,19 +139,25 @@
         return published && entryCount != 0;
     }
 
-    /** Entries that a proxy is sent beside the message overhead as it is bound to these tables. */
+    /**
+     * Returns the entries that a proxy is sent, besides the message overhead, when it is bound to
+     * these tables.
+     */
     int bindingCost() {
         return entryCount + ENTRIES_PER_BINDING * tables.size();
     }
 
-    /** The same for the provisional table. */
+    /**
+     * Returns the entries that a proxy is sent, besides the message overhead, when it is bound to
+     * the provisional table.
+     */
     int provisionalBindingCost() {
         return provisionalTable.entryCount() + ENTRIES_PER_BINDING;
     }
 
     /**
-     * Ends a batch. A group without proxies keeps no entries, as no batch would remove replicas
-     * that leave from its tables; they are published anew for the next proxy.
+     * Ends a batch. Clears the tables of a group without proxies, as no batch would remove departed
+     * replicas from them; they are published again for the next proxy.
      */
     void endBatch(ProxyCommands commands) {
         published = joinedProxies > 0;
--- a/src/main/java/rockshift/planner/ReplicaRegistry.java
+++ b/src/main/java/rockshift/planner/ReplicaRegistry.java
@@ -8,12 +8,12 @@
 import rockshift.model.Ticks;
 
 /**
- * The replicas that discovery listed, those gone for less than a minute among them. Logs each
- * change as {@code endpoint replica=... health=...}.
+ * Replicas listed by discovery, including those that have been gone for less than a minute. Logs
+ * each change as {@code endpoint replica=... health=...}.
  */
 final class ReplicaRegistry {
-    /** For how long a gone replica is known, as proxies may join with old tables. */
-    private static final long GONE_MEMORY_TICKS = 60 * Ticks.TICKS_PER_SECOND;
+    /** Time for which a gone replica is kept, as proxies may join with old tables. */
+    private static final long GONE_RETENTION_TICKS = 60 * Ticks.TICKS_PER_SECOND;
 
     private final DecisionLog log;
     private final TreeMap<Long, Replica> replicas = new TreeMap<>();
@@ -23,17 +23,17 @@
         this.log = log;
     }
 
-    /** In the order of their ids; a live view. */
+    /** All replicas in the order of their ids; a live view. */
     Collection<Replica> all() {
         return replicas.values();
     }
 
-    /** Those that may get new work, in the order of their ids. */
+    /** Replicas that may get new work, in the order of their ids. */
     List<Replica> acceptingNewWork() {
         return replicas.values().stream().filter(Replica::acceptsNewWork).toList();
     }
 
-    /** The replica with an id, or null. */
+    /** Returns the replica with an id, or null. */
     Replica get(long id) {
         return replicas.get(id);
     }
@@ -48,8 +48,9 @@
     }
 
     /**
-     * Applies a list of endpoints: only changed ones, or all.
+     * Applies endpoints listed by discovery.
      *
+     * @param changesOnly whether the list contains only changed endpoints rather than all
      * @return whether a replica changed that has an entry in a published table
      */
     boolean update(long now, List<Endpoint> endpoints, boolean changesOnly) {
@@ -86,12 +87,12 @@
         return replica.isInTables();
     }
 
-    /** Forgets replicas that left long ago and are in no table, here and at the host. */
+    /** Discards replicas that left long ago and are in no table, here and at the host. */
     void forgetGone(ProxyCommands commands, long now) {
         for (Replica replica : List.copyOf(replicas.values())) {
             if (replica.health() == Endpoint.Health.GONE
                     && !replica.isInTables()
-                    && now > replica.changedAtTicks() + GONE_MEMORY_TICKS) {
+                    && now > replica.changedAtTicks() + GONE_RETENTION_TICKS) {
                 replicas.remove(replica.id());
                 commands.forgetReplica(replica.id());
             }
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -10,39 +10,43 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Splits the proxies of each zone into groups, and assigns each group the subset of replicas that
- * its tables have entries for.
+ * Splits the proxies of each zone into groups, and assigns to each group the subset of replicas
+ * that its tables have entries for.
  *
- * <p>Inputs: the channel's limit in entries, the number of proxies, and the usual transactions a
- * second of the proxies. Where tables of the whole fleet fit, each zone has one group, with all
- * replicas.
+ * <p>Inputs: the channel's limit in entries, the number of proxies, and the usual rate of the
+ * proxies in transactions per second. If tables of the whole fleet fit, each zone has one group
+ * with all replicas.
  *
- * <p>Guards against tables that the channel can't carry in time, and whose connections close idle
- * between two transactions. Shows as late drains, and at proxies as a new connection for nearly
- * each transaction. Holds because a table is no longer than both allow, each replica is in several
- * tables so that load can shift, and a group grows while its demand is near its open capacity. What
- * was assigned stays, and the choice is the same at every controller and after a restart, so that a
- * proxy that moves finds its replicas again.
+ * <p>Guards against tables that the channel cannot carry in time, and against entries whose
+ * connections close idle between two transactions. The symptom is late drains, and at proxies a new
+ * connection for nearly every transaction. The guard holds because a table is no longer than both
+ * allow, each replica is in several tables so that load can shift, and a group grows while its
+ * demand is near its open capacity. Assignments are kept, and the choice is the same at every
+ * controller and after a restart, so that a proxy that changes its controller finds its replicas
+ * again.
  */
 final class ReplicaSubsetter {
-    /** Transactions that an entry should get in the time after which an idle connection closes. */
-    private static final double TRANSACTIONS_PER_IDLE_TIME = 3.3;
+    /** Transactions that an entry should get within the timeout of an idle connection. */
+    private static final double TRANSACTIONS_PER_IDLE_TIMEOUT = 3.3;
 
-    /** Number of tables that should have each replica, so that load can shift. */
+    /** Number of tables that should contain each replica, so that load can shift. */
     private static final double TABLES_PER_REPLICA = 12;
 
     private static final double MIN_ENTRIES = 8;
 
-    /** Fraction of a group's subset from its own zone. */
+    /** Fraction of a group's subset that comes from its own zone. */
     private static final double OWN_ZONE_FRACTION = 0.75;
 
     /**
-     * Least ratio of a group's open capacity to its demand: a few proxies may have most of the
+     * Minimum ratio of a group's open capacity to its demand, as a few proxies may have most of the
      * demand.
      */
     private static final double CAPACITY_RESERVE_RATIO = 1.5;
 
-    /** Ratio of the fleet to the entries wanted up to which a table has the whole fleet. */
+    /**
+     * Maximum ratio of the fleet size to the target table length at which tables contain the whole
+     * fleet.
+     */
     private static final double WHOLE_FLEET_RATIO = 1.5;
 
     /** Fraction of the entries needed below which a group gets more replicas. */
@@ -55,7 +59,7 @@
     private final List<String> zones;
     private final List<ProxyGroup> groups = new ArrayList<>();
 
-    /** Entries that a table should have; {@link #UNBOUNDED} for the whole fleet. */
+    /** Target number of entries per table; {@link #UNBOUNDED} for the whole fleet. */
     private double entriesPerTable;
 
     private boolean wholeFleet;
@@ -66,7 +70,7 @@
         zones = settings.zones();
     }
 
-    /** All groups, numbered in this order; none until replicas and proxies are known. */
+    /** All groups in the order of their numbers; none until replicas and proxies are known. */
     List<ProxyGroup> groups() {
         return groups;
     }
@@ -76,12 +80,10 @@
         return wholeFleet;
     }
 
-    // ---- groups --------------------------------------------------------------------------------
-
     /**
-     * Puts a proxy into its group, if there are groups.
+     * Assigns a proxy to its group, if there are groups.
      *
-     * @return whether a planning round must come first, as the group has no tables up to date
+     * @return whether a planning round must come first, as the group's tables are not up to date
      */
     boolean assignToGroup(Proxy proxy) {
         int groupsPerZone = groups.size() / zones.size();
@@ -110,7 +112,10 @@
         }
     }
 
-    /** Entries that keep their connections open, and that the channel carries for all proxies. */
+    /**
+     * Returns the table length at which connections stay open and the channel can carry the tables
+     * of all proxies.
+     */
     private double affordableEntries(Collection<Proxy> proxies) {
         double baselineRatePerSecond =
                 proxies.stream()
@@ -122,7 +127,7 @@
                 baselineRatePerSecond
                         * settings.idleCloseTicks()
                         / Ticks.TICKS_PER_SECOND
-                        / TRANSACTIONS_PER_IDLE_TIME;
+                        / TRANSACTIONS_PER_IDLE_TIMEOUT;
         double allProxies = Math.max(proxies.size(), settings.expectedProxies());
         double perProxy =
                 settings.channelQueueLimitEntries() * settings.controllerCount() / allProxies;
@@ -132,7 +137,7 @@
         return Math.min(entriesKeptOpen, entriesCarried);
     }
 
-    /** The first class that must stay in its zone, else class 0. */
+    /** Returns the first class that must stay in its zone, or class 0. */
     private int strictestClass() {
         List<ClassSettings> classes = settings.classes();
         for (int k = 0; k < classes.size(); k++) {
@@ -143,22 +148,19 @@
         return 0;
     }
 
-    // ---- subsets -------------------------------------------------------------------------------
-
     /**
-     * Brings the groups' subsets up to date; creates the groups with the first proxies and
-     * replicas.
+     * Updates the subsets of the groups; creates the groups with the first proxies and replicas.
      *
-     * @return whether groups were created: their tables take a further round
+     * @return whether groups were created, as their tables take a further round
      */
     boolean assignSubsets(ReplicaRegistry replicas, ProxyRegistry proxies) {
         List<Replica> accepting = replicas.acceptingNewWork();
-        boolean creates =
+        boolean createsGroups =
                 groups.isEmpty()
                         && !accepting.isEmpty()
                         && !proxies.all().isEmpty()
                         && classCount > 0;
-        if (creates) {
+        if (createsGroups) {
             createGroups(accepting.size(), proxies.all());
             proxies.all().forEach(this::assignToGroup);
         }
@@ -168,17 +170,17 @@
         }
         spreadReplicas(accepting);
         groups.forEach(ReplicaSubsetter::addRoutes);
-        return creates;
+        return createsGroups;
     }
 
-    /** Adds routes to the replicas of a group's subset to its tables, where there are none yet. */
+    /** Adds missing routes from a group's tables to the replicas of its subset. */
     private static void addRoutes(ProxyGroup group) {
         for (RoutingTable table : group.tables()) {
             group.subset().forEach(table::addRouteIfAbsent);
         }
     }
 
-    /** Adds each replica that too few groups have to some more. */
+    /** Adds each replica that is in too few groups to more of them. */
     private void spreadReplicas(List<Replica> accepting) {
         double groupsPerReplica = groups.size() * entriesPerTable / accepting.size();
         for (Replica replica : accepting) {
@@ -203,11 +205,11 @@
         }
     }
 
-    /** Fills a group that has lost many replicas, or whose demand is near its open capacity. */
-    private void refill(ProxyGroup group, List<Replica> accepting, boolean nobodyWaits) {
+    /** Adds replicas to a group that has lost many, or whose demand is near its open capacity. */
+    private void refill(ProxyGroup group, List<Replica> accepting, boolean noProxyWaits) {
         double size = group.subsetSize();
         double demand = group.tables().stream().mapToDouble(RoutingTable::demandShare).sum();
-        double openCapacity = nobodyWaits ? group.tables().get(0).openCapacity() : 0;
+        double openCapacity = noProxyWaits ? group.tables().get(0).openCapacity() : 0;
         double forDemand =
                 openCapacity > 0 ? size * CAPACITY_RESERVE_RATIO * demand / openCapacity : 0;
         double needed = Math.max(entriesPerTable, forDemand);
@@ -226,33 +228,35 @@
         }
     }
 
-    /** Adds replicas that the fewest groups have, of the group's zone or of the others. */
+    /**
+     * Adds the replicas that are in the fewest groups, from the group's zone or from the others.
+     */
     private static void fillGroup(
             ProxyGroup group, List<Replica> accepting, ZoneRelation relation, double count) {
         accepting.stream()
                 .filter(replica -> group.canAdd(replica, relation) && !replica.isEjected())
                 .sorted(
                         Comparator.comparingInt((Replica replica) -> replica.groupCount(relation))
-                                .thenComparingLong(replica -> order(group, replica)))
+                                .thenComparingLong(replica -> tieBreaker(group, replica)))
                 .limit((long) Math.max(0, count))
                 .forEach(group::add);
     }
 
-    /** Adds a replica that too few groups have to the smallest ones of its zone or the others. */
+    /** Adds a replica to the smallest groups of its zone or of the others. */
     private void spreadReplica(Replica replica, ZoneRelation relation, double count) {
         if (count >= 1) {
             groups.stream()
                     .filter(group -> group.canAdd(replica, relation))
                     .sorted(
                             Comparator.comparingInt(ProxyGroup::subsetSize)
-                                    .thenComparingLong(group -> order(group, replica)))
+                                    .thenComparingLong(group -> tieBreaker(group, replica)))
                     .limit((long) count)
                     .forEach(group -> group.add(replica));
         }
     }
 
-    /** A pseudo-random order that depends on nothing but the group and the replica. */
-    private static long order(ProxyGroup group, Replica replica) {
+    /** Returns a pseudo-random order that depends only on the group and the replica. */
+    private static long tieBreaker(ProxyGroup group, Replica replica) {
         return new SplittableRandom(replica.id() * Short.MAX_VALUE + group.number()).nextLong();
     }
 }
--- a/src/main/java/rockshift/planner/RootSearch.java
+++ b/src/main/java/rockshift/planner/RootSearch.java
@@ -6,14 +6,15 @@
  *
  * <pre>  x_p(y) = c_p + shrink(m_p + penalty * w / y^alpha, theta)</pre>
  *
- * with its current rate c_p, what the duals and costs alone would move it by m_p, and soft
- * thresholding: a path moves only by what exceeds the switching cost theta.
+ * Here c_p is the current rate of the path, m_p is the move that the duals and costs alone would
+ * make, and shrink is soft thresholding: a path moves only by what exceeds the switching cost
+ * theta.
  */
 final class RootSearch {
     private static final int MAX_STEPS = 40;
     private static final double PRECISION = 1e-12;
 
-    /** Demand shares sum to 1, so a class's total stays well below. */
+    /** Upper bound of the search: demand shares sum to 1, so the total of a class is well below. */
     private static final double MAX_TOTAL = 2;
 
     private final double alpha;
@@ -23,7 +24,7 @@
     private final double[] moves;
 
     /**
-     * One search.
+     * Creates a search.
      *
      * @param weightedPenalty penalty times the request's weight w
      * @param switchingCost theta
@@ -44,11 +45,11 @@
     }
 
     /**
-     * The marginal utility {@code penalty * w / y^alpha} at the root. Steps by the slope where that
-     * stays between the bounds, else by halves, which takes a third of the steps of halving alone.
+     * Returns the marginal utility {@code penalty * w / y^alpha} at the root. Uses Newton steps
+     * that stay within the bounds and bisection otherwise, which takes a third of the steps of
+     * bisection alone.
      *
-     * @param lastTotal the sum of the link copies as of the iteration before, where the search
-     *     begins
+     * @param lastTotal sum of the link copies as of the previous iteration, where the search starts
      */
     double marginalUtility(double lastTotal) {
         double high = MAX_TOTAL;
@@ -73,7 +74,7 @@
         return marginal;
     }
 
-    /** The rate of a path at a marginal utility. */
+    /** Returns the rate of a path at a marginal utility. */
     double rate(int path, double marginal) {
         return current[path] + shrink(moves[path] + marginal);
     }
--- a/src/main/java/rockshift/planner/RouteEligibility.java
+++ b/src/main/java/rockshift/planner/RouteEligibility.java
@@ -4,8 +4,9 @@
 import rockshift.settings.ClassSettings;
 
 /**
- * Says which routes of a table may carry new work. A replica accepts new work or not; a route to it
- * is allowed if the table may have an entry for it, and open if that may exceed the floor weight.
+ * Determines which routes of a table may carry new requests. A replica accepts new work or not; a
+ * route to it is allowed if the table may have an entry for it, and open if that entry may exceed
+ * the floor weight.
  */
 final class RouteEligibility {
     private final List<ClassSettings> classes;
@@ -15,8 +16,9 @@
     }
 
     /**
-     * Whether a table may have an entry: the replica may get new work, is in the subset of the
-     * table's group, and in its zone where the class must stay in it.
+     * Returns whether a table may have an entry for a route: its replica may get new work, is in
+     * the subset of the table's group, and is in the group's zone if the class must stay in its
+     * zone.
      */
     boolean isAllowed(Route route) {
         RoutingTable table = route.table();
@@ -25,7 +27,10 @@
                 && table.group().contains(route.replica());
     }
 
-    /** Whether a route may be given more than the floor: allowed, and its replica not ejected. */
+    /**
+     * Returns whether an entry may exceed the floor weight: its route is allowed and its replica is
+     * not ejected for the table's proxies.
+     */
     boolean isOpen(Route route) {
         Replica replica = route.replica();
         return isAllowed(route)
--- a/src/main/java/rockshift/planner/RoutingTable.java
+++ b/src/main/java/rockshift/planner/RoutingTable.java
@@ -6,8 +6,8 @@
 import rockshift.model.ClassSet;
 
 /**
- * The table of one class at one {@link ProxyGroup}; in the paper's terms a request, with the routes
- * to the group's replicas as its paths.
+ * Routing table of one class at one {@link ProxyGroup}; in the paper's terms (see {@link
+ * AlphaFairSolver}) a request whose paths are the routes to the group's replicas.
  */
 final class RoutingTable {
     private final ProxyGroup group;
@@ -38,19 +38,17 @@
         return classNumber;
     }
 
-    /** The number by which the host knows the table. */
+    /** Number by which the host knows the table. */
     int number() {
         return number;
     }
 
-    /** The one class that it is for. */
+    /** The class of the table, as a set. */
     ClassSet classes() {
         return classes;
     }
 
-    // ---- routes --------------------------------------------------------------------------------
-
-    /** In the order of the replicas' ids. */
+    /** All routes, in the order of the replicas' ids. */
     Collection<Route> routes() {
         return routes.values();
     }
@@ -59,7 +57,7 @@
         routes.computeIfAbsent(replica.id(), id -> new Route(this, replica));
     }
 
-    /** Forgets the routes that are neither published nor allowed any more. */
+    /** Removes the routes that are neither published nor allowed any more. */
     void removeUnusedRoutes() {
         routes.values()
                 .removeIf(
@@ -75,7 +73,7 @@
                 .noneMatch(route -> route.publishedWeight() > 0 && route.isAllowed());
     }
 
-    /** The capacity of the replicas at the end of some routes. */
+    /** Returns the total capacity of the replicas of the included routes. */
     double capacityOf(Predicate<Route> included) {
         return routes.values().stream()
                 .filter(included)
@@ -83,14 +81,12 @@
                 .sum();
     }
 
-    // ---- demand and solution -------------------------------------------------------------------
-
     /** The table's share of all demand: the weight of the request in the paper. */
     double demandShare() {
         return demandShare;
     }
 
-    /** The share of the round before; 0 for a table that was not in use. */
+    /** Demand share of the previous round; 0 if the table was not in use. */
     double previousDemandShare() {
         return previousDemandShare;
     }
@@ -117,10 +113,7 @@
         openCapacity = capacity;
     }
 
-    /**
-     * The sum of the link copies z of the routes that are open; stands for the paper's y, the
-     * request's total.
-     */
+    /** Sum of the link copies z of the open routes; used for the paper's y, the request's total. */
     double linkCopyTotal() {
         return linkCopyTotal;
     }
@@ -129,8 +122,6 @@
         linkCopyTotal = total;
     }
 
-    // ---- publication ---------------------------------------------------------------------------
-
     double publishedLevel() {
         return publishedLevel;
     }
@@ -139,7 +130,7 @@
         publishedLevel = level;
     }
 
-    /** Entries that the published table has since the last batch. */
+    /** Number of entries in the published table as of the last batch. */
     int entryCount() {
         return entryCount;
     }
@@ -149,7 +140,7 @@
                 (int) routes.values().stream().filter(route -> route.publishedWeight() > 0).count();
     }
 
-    /** Withdraws all entries: the table has no proxies that would need them. */
+    /** Removes all published entries, as the table has no proxies that would need them. */
     void clear(ProxyCommands commands) {
         entryCount = 0;
         for (Route route : routes.values()) {
@@ -160,7 +151,7 @@
         }
     }
 
-    /** What the published weights sum to where the target fractions sum to 1. */
+    /** Sum that the published weights have where the target fractions sum to 1. */
     double weightScale() {
         return weightScale;
     }
--- a/src/main/java/rockshift/planner/SimplexProjection.java
+++ b/src/main/java/rockshift/planner/SimplexProjection.java
@@ -3,13 +3,16 @@
 import java.util.Arrays;
 
 /**
- * Projection onto the points of values above zero whose sum stays within a limit: the nearest one
- * has the same amount less of each value, and zero where that would be negative.
+ * Projection of values onto the nearest non-negative point whose sum stays within a limit: the same
+ * amount is subtracted from each value, and a value that would become negative is zero.
  */
 final class SimplexProjection {
     private SimplexProjection() {}
 
-    /** The amount to take off each value; 0 where the sum is within the limit. Sorts the values. */
+    /**
+     * Returns the amount to subtract from each value; 0 if the sum is within the limit. Sorts the
+     * values in place.
+     */
     static double excess(double[] values, double limit) {
         Arrays.sort(values);
         double prefixSum = 0;
--- a/src/main/java/rockshift/planner/SlowStart.java
+++ b/src/main/java/rockshift/planner/SlowStart.java
@@ -1,16 +1,17 @@
 package rockshift.planner;
 
 /**
- * Says whether a replica is slow-starting, and how much of its capacity it has until it has
- * started.
+ * Determines whether a replica is slow-starting, and which fraction of its capacity is available
+ * until it has started.
  *
- * <p>Inputs: when the replica started and the time now, in ticks. The factor grows evenly from the
- * initial fraction to 1.
+ * <p>Inputs: the start time of the replica and the current time, in ticks. The factor grows
+ * linearly from the initial fraction to 1.
  *
- * <p>Guards against overload of a replica that has just started: caches are empty, and it fails
- * above a multiple of its present capacity, the overload point. Shows as failures soon after {@code
- * endpoint replica=... started=true}. Holds because every weight and every capacity depends on the
- * factor, and the factor on the replica's own start and not on when it was first listed.
+ * <p>Guards against overload of a replica that has just started: its caches are empty, and it fails
+ * above a multiple of its present capacity, the overload point. The symptom is failures soon after
+ * {@code endpoint replica=... started=true}. The guard holds because every weight and every
+ * capacity depends on the factor, and the factor depends on the replica's own start time, not on
+ * when it was first listed.
  */
 final class SlowStart {
     /** Fraction of the overload point that a slow-starting replica may be sent. */
@@ -21,7 +22,7 @@
     private final double safeLoadRatio;
 
     /**
-     * The settings of a deployment.
+     * Creates a slow start with the settings of a deployment.
      *
      * @param initialFraction factor at the start
      * @param durationTicks time after which the factor is 1
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Scales a rate that is to be compared with a safe one, so that it exceeds that only beyond the
-     * overload point itself.
+     * Scales a rate for a comparison with a safe rate, so that it exceeds the safe rate only above
+     * the overload point itself.
      */
     static double withoutSafetyMargin(double rate) {
         return SAFE_OVERLOAD_FRACTION * rate;
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -5,31 +5,35 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Turns the solver's rates into the target of each table entry, as a fraction of its table.
+ * Computes the target of each table entry, as a fraction of its table, from the solver's rates.
  *
  * <p>Inputs: the link copies of a table's routes, capacities as shares of the fleet, and the rates
- * of the busiest proxies in transactions a second. Started replicas get their part of the rates,
- * and a floor; slow-starting ones are limited.
+ * of the busiest proxies in transactions per second. Started replicas get their fraction of the
+ * rates, and at least a floor; slow-starting replicas are limited.
  *
- * <p>Guards against a slow-starting replica that gets the work of others: proxies leave out entries
- * where attempts failed, and the rest of the table gets their part. In a short table all started
- * entries may be left out. Shows as failures at replicas that have just started, while one proxy is
- * busy. Holds because no table gives slow-starting replicas more than a bounded multiple of their
- * part of the fleet, and each is left out of tables through which one proxy alone could overload
- * it.
+ * <p>Guards against a slow-starting replica that gets the traffic of others: proxies skip entries
+ * where attempts failed, and the rest of the table takes over their part. In a short table all
+ * started entries may be skipped. The symptom is failures at replicas that have just started, while
+ * one proxy is busy. The guard holds because no table gives slow-starting replicas more than a
+ * bounded multiple of their part of the fleet, and no table through which one proxy alone could
+ * overload such a replica has an entry for it.
  */
 final class TargetWeights {
-    /** Fraction of an even entry that every entry keeps, so that reports of the replica go on. */
+    /**
+     * Minimum weight of an entry, as a fraction of an equal share, so that reports about the
+     * replica continue.
+     */
     private static final double FLOOR_FRACTION = 0.02;
 
     /**
-     * Most that a slow-starting entry may have of a whole-fleet table, in its replica's fair
-     * shares.
+     * Maximum share of a slow-starting entry in a whole-fleet table, as a multiple of its replica's
+     * fair share.
      */
     private static final double MAX_SLOW_STARTING_SHARE_RATIO = 1.5;
 
     /**
-     * Most that a proxy with a whole-fleet table may receive, in a slow-starting replica's parts.
+     * Maximum rate of a proxy whose whole-fleet table has a slow-starting entry, as a multiple of
+     * that replica's part of the expected rate.
      */
     private static final double MAX_PROXY_RATE_RATIO = 40;
 
@@ -37,12 +41,13 @@
     private static final int REBALANCE_PASSES = 5;
 
     /**
-     * What is the same for all tables of a planning round.
+     * Inputs that are the same for all tables of a planning round.
      *
-     * @param expectedPerTick transactions a tick that this controller's proxies are expected to
+     * @param expectedPerTick transactions per tick that this controller's proxies are expected to
      *     receive
-     * @param fleetRatePerSecond an estimate for the proxies of all controllers
-     * @param busiestProxyRatePerSecond the highest recent rate of one class at one proxy
+     * @param fleetRatePerSecond estimate of the transactions per second at the proxies of all
+     *     controllers
+     * @param busiestProxyRatePerSecond highest recent rate of one class at one proxy
      * @param wholeFleet whether tables have entries for the whole fleet
      */
     record RoundInputs(
@@ -53,14 +58,14 @@
             long now) {}
 
     /**
-     * What limits the slow-starting entries of one table.
+     * Limits of the slow-starting entries of one table.
      *
-     * @param floor least fraction of an entry
+     * @param floor minimum fraction of an entry
      * @param shareWithoutLargest fraction of the table that is left without its largest started
      *     entry
-     * @param hasStarted whether started entries can take the work instead
-     * @param busiestProxyRate transactions a second of one class that one proxy may receive
-     * @param safeSlowStartingRate transactions a second that are safe for the slow-starting
+     * @param hasStarted whether started entries can take over the traffic
+     * @param busiestProxyRate transactions per second of one class that one proxy may receive
+     * @param safeSlowStartingRate transactions per second that are safe for the slow-starting
      *     replicas together
      */
     private record SlowStartLimits(
@@ -80,7 +85,11 @@
         classCount = settings.classes().size();
     }
 
-    /** The round's inputs, with a number of proxies joined to this controller. */
+    /**
+     * Returns the inputs of a round.
+     *
+     * @param joinedProxies number of proxies joined to this controller
+     */
     RoundInputs roundInputs(
             DemandEstimator demand, int joinedProxies, boolean wholeFleet, long now) {
         double expectedPerTick = demand.expectedPerTick();
@@ -108,7 +117,7 @@
         for (int i = 0; i < fractions.length; i++) {
             fractions[i] = solvedFraction(routes.get(i), rateSum, floor, fractions.length);
         }
-        // Proxies leave out the largest entry after failures there: the rest takes its part.
+        // After failures proxies skip the largest entry, and the rest takes over its part.
         double shareWithoutLargest = rateSum > 0 ? 1 - largestStartedRate / rateSum : 1;
         setTargets(
                 routes,
@@ -123,7 +132,10 @@
         table.setWeightScale(weightScale(table, routes));
     }
 
-    /** The part of the rates; before there are any, the published part, or an even one. */
+    /**
+     * Returns a route's fraction of the rates; without rates, its published fraction or else an
+     * equal share.
+     */
     private static double solvedFraction(Route route, double rateSum, double floor, int count) {
         if (rateSum > 0) {
             return Math.max(floor, route.linkCopy() / rateSum);
@@ -133,7 +145,10 @@
                 : 1.0 / count;
     }
 
-    /** Limits slow-starting entries by what the sum of the table was in the pass before. */
+    /**
+     * Sets the target fractions. Slow-starting entries are limited relative to the sum of the table
+     * in the previous pass.
+     */
     private void setTargets(
             List<Route> routes,
             double[] solvedFractions,
@@ -157,8 +172,8 @@
     }
 
     /**
-     * The share of a slow-starting entry: 0 where one proxy could overload the replica through it,
-     * else limited by its replica's share of the open capacity.
+     * Returns the share of a slow-starting entry: 0 if one proxy could overload the replica through
+     * it, else limited by the replica's share of the open capacity.
      */
     private static double slowStartingTarget(
             Route route,
@@ -184,16 +199,21 @@
         return Math.max(limits.floor, maxShare);
     }
 
-    /** The highest rate of one class at one proxy with this table, now or soon. */
+    /**
+     * Returns the highest rate of one class that one proxy with this table has, or may soon have.
+     */
     private static double busiestProxyRatePerSecond(RoutingTable table, RoundInputs round) {
-        double elsewhere =
+        double atAnyProxy =
                 round.wholeFleet
                         ? 0
                         : SlowStart.withoutSafetyMargin(round.busiestProxyRatePerSecond);
-        return Math.max(table.group().busiestProxyRatePerSecond(), elsewhere);
+        return Math.max(table.group().busiestProxyRatePerSecond(), atAnyProxy);
     }
 
-    /** The rate of one class that is safe for all slow-starting replicas of a table together. */
+    /**
+     * Returns the rate of one class that is safe for all slow-starting replicas of a table
+     * together.
+     */
     private double safeSlowStartingRatePerSecond(RoutingTable table, RoundInputs round) {
         double slowStartingCapacity =
                 table.capacityOf(route -> route.isAllowed() && isSlowStarting(route, round));
@@ -203,7 +223,10 @@
                 / classCount;
     }
 
-    /** The rate of one class up to which a proxy may have a slow-starting route in its table. */
+    /**
+     * Returns the rate of one class up to which a proxy may have a slow-starting entry in its
+     * table.
+     */
     private static double safeProxyRate(
             Route route, double safeSlowStartingRate, RoundInputs round) {
         return round.wholeFleet
@@ -215,8 +238,8 @@
     }
 
     /**
-     * What remains of a table after removals keeps its scale, so that a removal alone makes no
-     * other entry be sent anew.
+     * Returns the factor from target fractions to weights. Entries that remain after removals keep
+     * their scale, so that a removal alone does not cause other entries to be sent again.
      */
     private static double weightScale(RoutingTable table, List<Route> routes) {
         double publishedSum = routes.stream().mapToDouble(Route::publishedWeight).sum();
--- a/src/main/java/rockshift/planner/ZoneRelation.java
+++ b/src/main/java/rockshift/planner/ZoneRelation.java
@@ -1,9 +1,9 @@
 package rockshift.planner;
 
-/** Where a replica is, seen from a group of proxies. */
+/** Location of a replica relative to a proxy group. */
 enum ZoneRelation {
-    /** It is in the zone of the group's proxies. */
+    /** In the zone of the group's proxies. */
     SAME_ZONE,
-    /** It is in any other zone. */
+    /** In any other zone. */
     OTHER_ZONE
 }
