--- a/src/main/java/rockshift/planner/ChangeUrgency.java
+++ b/src/main/java/rockshift/planner/ChangeUrgency.java
@@ -1,27 +1,26 @@
 package rockshift.planner;
 
 /**
- * How urgent a {@link TableChange} is: from which budget it is paid, and in which rounds it is
- * sent.
+ * Urgency of a {@link TableChange}: the budget that it uses, and the rounds in which it is sent.
  *
- * <p>There are two budgets, priority and deferrable, see {@link PublishBudget}. There are two kinds
- * of planning round: regular ones, once a second, and interim ones, which the planner requests as
- * soon as something changes that may not wait.
+ * <p>The budgets are priority and deferrable, see {@link PublishBudget}. Planning rounds are
+ * regular, once a second, or interim: the planner requests an interim round as soon as something
+ * changes that may not wait.
  */
 enum ChangeUrgency {
     /**
-     * Safety requires it: priority budget, all rounds. The only one that is also sent while the
-     * controller may make removals only.
+     * Required for safety: priority budget, all rounds. The only urgency that is also sent under
+     * {@link rockshift.model.ControlScope#REMOVALS_ONLY}.
      */
     REQUIRED(true, true),
     /**
-     * It prevents an overload: a slow-starting replica's weight more than halves, or an entry more
+     * Prevents an overload, as a slow-starting replica's weight more than halves or an entry more
      * than doubles in a message that is sent anyway. Priority budget, all rounds.
      */
     IMMEDIATE(true, true),
     /**
-     * It lowers the weight of a slow-starting replica, by half at most: priority budget, regular
-     * rounds only.
+     * Lowers the weight of a slow-starting replica by at most half: priority budget, regular rounds
+     * only.
      */
     PRIORITIZED(true, false),
     /** A message is sent anyway, or no proxy is bound yet: deferrable budget, all rounds. */
@@ -37,7 +36,7 @@
         this.inEveryRound = inEveryRound;
     }
 
-    /** Whether it is paid from the priority budget, and not from the deferrable one. */
+    /** Whether it uses the priority budget rather than the deferrable one. */
     boolean usesPriorityBudget() {
         return priorityBudget;
     }
--- a/src/main/java/rockshift/planner/DecisionLog.java
+++ b/src/main/java/rockshift/planner/DecisionLog.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Log lines of decisions, in the order in which these were taken, until the host has them. Each
- * line is one event: its name, then {@code key=value} fields.
+ * Queue of log lines about decisions, in the order of the decisions, until the host takes them.
+ * Each line is one event: its name, then {@code key=value} fields.
  */
 final class DecisionLog {
     private final ArrayDeque<String> lines = new ArrayDeque<>();
@@ -17,7 +17,7 @@
         return lines.isEmpty();
     }
 
-    /** Takes the oldest line. */
+    /** Removes and returns the oldest line. */
     String remove() {
         return lines.remove();
     }
--- a/src/main/java/rockshift/planner/DrainNotifier.java
+++ b/src/main/java/rockshift/planner/DrainNotifier.java
@@ -5,18 +5,18 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * Sends drain notices of drained and gone replicas to proxies that wait for their tables, and later
- * withdraws them: the replicas may be used again.
+ * Sends drain notices about drained and gone replicas to proxies that wait for their tables, and
+ * withdraws them later, so that the replicas may be used again.
  *
- * <p>Inputs: entries that wait in the channel and the rate at which it carries them, the drain
- * grace in ticks.
+ * <p>Inputs: entries queued in the channel and the rate at which it carries them, the drain grace
+ * in ticks.
  *
- * <p>Guards against work for drained replicas from proxies that still have the tables they joined
- * with, where the channel is too slow to bind them within the grace. Shows as attempts at replicas
- * that are listed as draining. Holds because a notice is only sent where it is shorter than the
- * tables, while the queue and the proxy's quota have room for it. Notices are withdrawn only when
- * nobody waits, so that no slow-starting replica meets old weights; until then it goes without some
- * of its work. Withdrawals check neither queue nor quota.
+ * <p>Guards against requests to drained replicas from proxies that still have the tables they
+ * joined with, if the channel is too slow to bind them within the grace. The symptom is attempts at
+ * replicas that are listed as draining. The guard holds because a notice is only sent if it is
+ * shorter than the tables, while the queue and the proxy's quota have room for it. Notices are
+ * withdrawn only when no proxy waits, so that no slow-starting replica is used with old weights;
+ * until then a replica misses some of its traffic. Withdrawals check neither queue nor quota.
  */
 final class DrainNotifier {
     private final double longestTransitTicks;
@@ -38,12 +38,16 @@
         this.proxies = proxies;
     }
 
-    /** Sends or withdraws notices, if any are due; whether it did. */
+    /**
+     * Sends or withdraws notices, if any are due.
+     *
+     * @return whether it did
+     */
     boolean sendOrWithdrawNotices(ProxyCommands commands, ControlScope scope, long now) {
         if (proxies.waiting().isEmpty()) {
             return scope == ControlScope.FULL && withdrawNextNotice(commands, now);
         }
-        // Once a turn: later changes are for the next one.
+        // Once per turn: later changes wait for the next one.
         if (noticesCheckedAtTicks == now || scope == ControlScope.NONE) {
             return false;
         }
@@ -51,7 +55,11 @@
         return sendNotices(commands, now);
     }
 
-    /** Withdraws the notice of one replica that accepts new work again, at all proxies. */
+    /**
+     * Withdraws the notice about one replica that accepts new work again, at all proxies.
+     *
+     * @return whether there was one
+     */
     private boolean withdrawNextNotice(ProxyCommands commands, long now) {
         for (Replica replica : replicas.all()) {
             if (replica.acceptsNewWork() && replica.hasDrainNotice()) {
@@ -66,10 +74,13 @@
     }
 
     /**
-     * Sends notices of all replicas that left to the proxies that would get their tables too late.
+     * Sends notices about all departed replicas to the proxies that would get their tables too
+     * late.
+     *
+     * @return whether any were sent
      */
     private boolean sendNotices(ProxyCommands commands, long now) {
-        List<Replica> left =
+        List<Replica> departed =
                 replicas.all().stream().filter(replica -> !replica.acceptsNewWork()).toList();
         double overhead = pacer.messageOverheadEntries();
         double entriesAhead = pacer.advanceQueue(now);
@@ -79,12 +90,12 @@
             entriesAhead += cost + overhead + 1;
             if (isTooLate(proxy, entriesAhead, now)
                     && proxy.drainNoticesSentAtTicks() < replicas.lastDepartureTicks()
-                    && left.size() < cost
-                    && pacer.advanceQueue(now) + left.size() + overhead + 1
+                    && departed.size() < cost
+                    && pacer.advanceQueue(now) + departed.size() + overhead + 1
                             <= pacer.priorityQueueLimit()
                     && !pacer.isQuotaSpent(proxy, 1)) {
                 proxy.setDrainNoticesSentAtTicks(now);
-                send(commands, proxy, left, true, now);
+                send(commands, proxy, departed, true, now);
                 sent = true;
             }
         }
@@ -92,17 +103,21 @@
     }
 
     private boolean isTooLate(Proxy proxy, double entriesAhead, long now) {
-        long waitsSince = Math.max(proxy.joinedAtTicks(), proxy.drainNoticesSentAtTicks());
+        long waitingSince = Math.max(proxy.joinedAtTicks(), proxy.drainNoticesSentAtTicks());
         double boundAfterTicks =
-                now - waitsSince + entriesAhead / pacer.entriesPerTick() + longestTransitTicks;
+                now - waitingSince + entriesAhead / pacer.entriesPerTick() + longestTransitTicks;
         return boundAfterTicks > bindingDeadlineTicks;
     }
 
-    /** Sends a proxy notices of some replicas, or withdraws these, as one message. */
+    /** Sends a proxy notices about some replicas, or withdraws them, as one message. */
     private void send(
-            ProxyCommands commands, Proxy proxy, List<Replica> about, boolean draining, long now) {
+            ProxyCommands commands,
+            Proxy proxy,
+            List<Replica> subjects,
+            boolean draining,
+            long now) {
         int cost = 0;
-        for (Replica replica : about) {
+        for (Replica replica : subjects) {
             replica.setDrainNotice(draining);
             cost += commands.notifyDraining(replica.id(), draining, proxy.number());
         }
--- a/src/main/java/rockshift/planner/GroupBatch.java
+++ b/src/main/java/rockshift/planner/GroupBatch.java
@@ -1,6 +1,9 @@
 package rockshift.planner;
 
-/** What a batch of changes sends to each bound proxy of one group, and what it may still send. */
+/**
+ * Entries that a batch of changes sends to each bound proxy of one group, and the changes that it
+ * may still send.
+ */
 final class GroupBatch {
     private final ProxyGroup group;
     private final double shortestMessageEntries;
@@ -14,7 +17,7 @@
         this.shortestMessageEntries = shortestMessageEntries;
     }
 
-    /** Takes one of its proxies into account: the strictest allowance holds for all. */
+    /** Applies the allowance of one of its proxies; the strictest one holds for all. */
     void restrict(ChannelPacer.Allowance allowance) {
         priorityOnly |= allowance != ChannelPacer.Allowance.ANY;
         blocked |= allowance == ChannelPacer.Allowance.NONE;
@@ -33,7 +36,10 @@
         return entries > 0;
     }
 
-    /** Entries that one more change takes of the channel; the first one starts a message. */
+    /**
+     * Returns the entries that one more change takes in the channel; the first one starts a
+     * message.
+     */
     double cost() {
         return group.boundProxies() * (isStarted() ? 1 : shortestMessageEntries);
     }
@@ -45,7 +51,7 @@
         }
     }
 
-    /** Entries that concern a bound proxy. */
+    /** Returns the entries sent to a bound proxy. */
     double entriesFor(Proxy proxy) {
         return proxy.isProvisional() ? provisionalTableEntries : entries;
     }
--- a/src/main/java/rockshift/planner/ProxySendState.java
+++ b/src/main/java/rockshift/planner/ProxySendState.java
@@ -4,11 +4,11 @@
 
 /**
  * Messages to one proxy: those that count against its quota, those that it has not acknowledged,
- * and the one that is being written. Changed by {@link ChannelPacer}; an acknowledgement comes from
- * the proxy.
+ * and the one that is being written. Modified by {@link ChannelPacer}, except for acknowledgements,
+ * which come from the proxy.
  */
 final class ProxySendState {
-    /** A message in flight, by the serial number that the proxy acknowledges it with. */
+    /** Message in flight. The proxy acknowledges it by its serial number. */
     private record InFlight(int serial, long writtenAtTicks, long entries) {}
 
     private final ArrayDeque<Long> quotaWindow = new ArrayDeque<>();
@@ -16,8 +16,6 @@
     private long acknowledgedWriteTicks;
     private double entriesThisTurn;
 
-    // ---- quota ---------------------------------------------------------------------------------
-
     void countMessage(long now) {
         quotaWindow.add(now);
     }
@@ -26,18 +24,20 @@
         quotaWindow.removeIf(sentAt -> sentAt <= untilTicks);
     }
 
-    /** Messages in the quota's window. */
+    /** Returns the number of messages in the quota window. */
     int messageCount() {
         return quotaWindow.size();
     }
 
-    /** When the last message in the window was written; there must be one. */
+    /**
+     * Returns when the last message in the quota window was written.
+     *
+     * @throws java.util.NoSuchElementException if there is none
+     */
     long lastMessageAtTicks() {
         return quotaWindow.getLast();
     }
 
-    // ---- this turn's message -------------------------------------------------------------------
-
     double entriesThisTurn() {
         return entriesThisTurn;
     }
@@ -46,15 +46,16 @@
         entriesThisTurn += entries;
     }
 
-    /** Ends the turn's message: it is in flight. */
+    /** Ends this turn's message, which is then in flight. */
     void closeMessage(int serial, long now) {
         inFlight.add(new InFlight(serial, now, (long) entriesThisTurn));
         entriesThisTurn = 0;
     }
 
-    // ---- acknowledgements ----------------------------------------------------------------------
-
-    /** The proxy has applied the messages up to a serial number; unknown numbers mean nothing. */
+    /**
+     * Records that the proxy has applied the messages up to a serial number. Ignores unknown
+     * numbers.
+     */
     void acknowledge(int serial) {
         if (inFlight.stream().anyMatch(message -> message.serial == serial)) {
             while (inFlight.getFirst().serial != serial) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /** When the newest message that it acknowledged was written. */
+    /** Returns when the newest message that the proxy acknowledged was written. */
     long acknowledgedWriteTicks() {
         return acknowledgedWriteTicks;
     }
@@ -73,7 +74,7 @@
         inFlight.removeIf(message -> message.writtenAtTicks < beforeTicks);
     }
 
-    /** Entries of the messages in flight that were written at a time or after it. */
+    /** Returns the entries of the messages in flight that were written at or after a time. */
     long entriesInFlightSince(long fromTicks) {
         return inFlight.stream()
                 .filter(message -> message.writtenAtTicks >= fromTicks)
--- a/src/main/java/rockshift/planner/PublishBudget.java
+++ b/src/main/java/rockshift/planner/PublishBudget.java
@@ -1,8 +1,8 @@
 package rockshift.planner;
 
 /**
- * The entries that one batch of changes may still send. What is sent reduces the priority and the
- * deferrable part alike, as both describe the same channel.
+ * Entries that one batch of changes may still send. Each change reduces the priority and the
+ * deferrable budget alike, as both describe the same channel.
  */
 final class PublishBudget {
     private double priorityEntries;
@@ -10,11 +10,12 @@
     private double weightEntries;
 
     /**
-     * A budget for one batch.
+     * Creates the budget of one batch.
      *
-     * @param priorityEntries that {@link ChangeUrgency#usesPriorityBudget} changes may take
-     * @param deferrableEntries that deferrable changes may take
-     * @param weightEntries that deferrable changes of published weights may take
+     * @param priorityEntries entries for changes that use the priority budget, see {@link
+     *     ChangeUrgency#usesPriorityBudget}
+     * @param deferrableEntries entries for deferrable changes
+     * @param weightEntries entries for deferrable changes of published weights
      */
     PublishBudget(double priorityEntries, double deferrableEntries, double weightEntries) {
         this.priorityEntries = priorityEntries;
--- a/src/main/java/rockshift/planner/ScheduledTask.java
+++ b/src/main/java/rockshift/planner/ScheduledTask.java
@@ -3,8 +3,8 @@
 import java.util.Comparator;
 
 /**
- * Work that falls due at a time. Tasks that fall due together run in the order of their kinds, then
- * of replicas.
+ * Task that is due at a time. Tasks that are due at the same time are ordered by kind, then by
+ * replica and scope.
  *
  * @param replicaId the replica whose ejection ends; 0 for a planning round
  * @param scope the scope of the ejection that ends; unused for a planning round
@@ -17,7 +17,6 @@
                     .thenComparing(ScheduledTask::replicaId)
                     .thenComparing(ScheduledTask::scope);
 
-    /** What is to be done. */
     enum Kind {
         END_OF_EJECTION,
         REGULAR_ROUND
--- a/src/main/java/rockshift/planner/TableChange.java
+++ b/src/main/java/rockshift/planner/TableChange.java
@@ -1,13 +1,13 @@
 package rockshift.planner;
 
-/** A difference between what is published and what should be. */
+/** Difference between a published table and its target. */
 sealed interface TableChange {
-    /** Priority of a level; removals come before it, and changed weights after. */
+    /** Priority of a level change; removals have a higher one, and changed weights a lower one. */
     double LEVEL_PRIORITY = 1;
 
     RoutingTable table();
 
-    /** Whether it changes a weight that is published already. */
+    /** Whether it changes a weight that is already published. */
     boolean changesWeight();
 
     /** Changes of higher priority are sent first. */
--- a/src/main/java/rockshift/planner/TableDifferences.java
+++ b/src/main/java/rockshift/planner/TableDifferences.java
@@ -4,9 +4,11 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Finds what differs enough between the published tables and their targets to be sent. */
+/**
+ * Finds the differences between published tables and their targets that are large enough to send.
+ */
 final class TableDifferences {
-    /** Relative change of an entry's weight below which it is not sent. */
+    /** Relative change of a weight below which it is not sent. */
     private static final double MIN_WEIGHT_CHANGE_RATIO = 0.1;
 
     /** Change of a level below which it is not sent. */
@@ -24,8 +26,9 @@
     }
 
     /**
-     * Compares what is published with the present targets, which must be up to date, and levels.
-     * Removals come first, then levels and new entries, then changed weights by their size.
+     * Returns the changes from the published tables to the present targets, which must be up to
+     * date, and levels. Removals come first, then new entries and levels, then changed weights by
+     * their size.
      */
     List<TableChange> find(List<RoutingTable> tables) {
         List<TableChange> changes = new ArrayList<>();
--- a/src/main/java/rockshift/planner/TaskSchedule.java
+++ b/src/main/java/rockshift/planner/TaskSchedule.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeSet;
 
-/** The tasks that are scheduled, in the order in which they fall due. */
+/** Scheduled tasks, in the order in which they are due. */
 final class TaskSchedule {
     private final TreeSet<ScheduledTask> tasks = new TreeSet<>();
 
@@ -10,19 +10,25 @@
         tasks.add(task);
     }
 
-    /** Whether the task that falls due first is of a kind, and due; throws if none is scheduled. */
+    /**
+     * Returns whether the first task is of a kind and due.
+     *
+     * @throws java.util.NoSuchElementException if no task is scheduled
+     */
     boolean isNextDue(ScheduledTask.Kind kind, long now) {
         ScheduledTask first = tasks.first();
         return first.kind() == kind && first.dueAtTicks() <= now;
     }
 
-    /** Removes the task that falls due first. */
+    /** Removes and returns the first task. */
     ScheduledTask takeNext() {
         return tasks.pollFirst();
     }
 
     /**
-     * Removes a regular round that is due, whichever tasks are before it; whether there was one.
+     * Removes a regular round that is due, even if other tasks are before it.
+     *
+     * @return whether there was one
      */
     boolean takeDueRegularRound(long now) {
         return tasks.removeIf(
