--- a/src/main/java/rockshift/planner/TrafficWindows.java
+++ b/src/main/java/rockshift/planner/TrafficWindows.java
@@ -40,9 +40,9 @@
     }
 
     /** Adds the attempts of a report, their failures, and the mean response time. */
-    void addAttempts(int count, int failed, long meanResponseTicks, long spanTicks) {
-        int newResponses = Math.max(0, count - failed);
-        attempts += count;
+    void addAttempts(int newAttempts, int newFailures, long meanResponseTicks, long spanTicks) {
+        int newResponses = Math.max(0, newAttempts - newFailures);
+        attempts += newAttempts;
         responses += newResponses;
         responseTicks += newResponses * (double) meanResponseTicks;
         conservativeCapacityTicks =
