--- a/src/main/java/rockshift/raft/AppendReceiver.java
+++ b/src/main/java/rockshift/raft/AppendReceiver.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A follower's side of replication: brings its log into line with the leader's, and answers up to
- * where the two are the same.
+ * Replication on a follower: makes its log match the leader's, and acknowledges the index up to
+ * which the two match.
  */
 final class AppendReceiver {
     private final SafetyRules rules;
@@ -26,13 +26,14 @@
         this.outbox = outbox;
     }
 
-    /** Takes entries from the leader of the current term. */
+    /** Handles entries from the leader of the current term. */
     void receive(Message.AppendRequest request, long nowTicks) {
         List<Entry> entries = request.entries();
         long previousIndex = request.prevLogIndex();
         long previousTerm = request.prevLogTerm();
         int skipped = 0;
-        // Committed entries are identical on the leader, so they are skipped.
+        // Entries up to the base index are committed, so they are identical on the leader: skip
+        // them.
         while (previousIndex < log.baseIndex() && skipped < entries.size()) {
             previousIndex = entries.get(skipped).index();
             previousTerm = entries.get(skipped).term();
@@ -82,8 +83,8 @@
     }
 
     /**
-     * Acknowledges what is durable at once, and the rest when it is: a slow disk must not make this
-     * member seem unreachable to the leader.
+     * Acknowledges durable entries at once, and the rest when they are durable, so that a slow disk
+     * does not make this member seem unreachable to the leader.
      */
     private void acknowledge(Message.AppendRequest request, long matchIndex, long nowTicks) {
         long durableMatch =
--- a/src/main/java/rockshift/raft/ClientSessions.java
+++ b/src/main/java/rockshift/raft/ClientSessions.java
@@ -7,30 +7,36 @@
 import java.util.Map;
 
 /**
- * Applies committed entries to a state machine, each change of a client session once however often
- * it was proposed. The last answer of a session is kept with it, and all sessions are part of the
- * snapshot. The same entries lead to the same state on every member.
+ * Applies committed entries to a state machine. Each change in a client session is applied once,
+ * however often it was proposed. The last answer of a session is kept with it, and all sessions are
+ * part of the snapshot. The same entries lead to the same state on every member.
  */
 public final class ClientSessions {
-    /** One more drops the session that was unused longest; its client must open another. */
+    /**
+     * Opening another session evicts the least recently used one, whose client must open a new
+     * session.
+     */
     public static final int MAX_SESSIONS = 512;
 
-    /** What changes are applied to. The same changes must lead to the same state everywhere. */
+    /**
+     * The state machine that changes are applied to. Must be deterministic: the same changes lead
+     * to the same state on every member.
+     */
     public interface StateMachine {
-        /** Applies a change, and returns the answer to its client. */
+        /** Applies a change and returns the answer to its client. */
         byte[] apply(long index, byte[] change);
 
-        /** An image of the whole state. */
+        /** Returns an image of the whole state. */
         byte[] snapshot();
 
-        /** Replaces the state by that of an image. */
+        /** Replaces the state with that of an image. */
         void restore(byte[] image);
     }
 
     /**
      * The result of applying an entry.
      *
-     * @param applied whether it took effect now
+     * @param applied whether the entry took effect in this call
      * @param answer the answer to the client
      * @param rejection why it was rejected, null if it was not
      */
@@ -62,16 +68,16 @@
     private final SafetyRules rules;
     private final StateMachine stateMachine;
 
-    /** By id, the least recently used first. */
+    /** By id, least recently used first. */
     private final Map<Long, Session> sessions = new LinkedHashMap<>();
 
-    /** No sessions yet, over a state machine in its first state. */
+    /** Creates an empty set of sessions for a state machine in its initial state. */
     public ClientSessions(SafetyRules rules, StateMachine stateMachine) {
         this.rules = rules;
         this.stateMachine = stateMachine;
     }
 
-    /** Applies one committed entry, in the order of the log. */
+    /** Applies one committed entry. Entries must be passed in log order. */
     public Outcome apply(Entry entry) {
         return switch (entry.kind()) {
             case OPEN_SESSION -> openSession(entry.session());
@@ -105,23 +111,23 @@
         return new Outcome(true, answer, null);
     }
 
-    /** Adds a session as the most recently used one. */
+    /** Adds or replaces a session as the most recently used one. */
     private void put(Session session) {
         sessions.remove(session.id);
         sessions.put(session.id, session);
     }
 
-    /** The sessions, the least recently used first. */
+    /** Returns the sessions, least recently used first. */
     public List<Session> sessions() {
         return new ArrayList<>(sessions.values());
     }
 
-    /** What changes are applied to. */
+    /** Returns the state machine that changes are applied to. */
     public StateMachine stateMachine() {
         return stateMachine;
     }
 
-    /** Replaces sessions and state by those of a snapshot. */
+    /** Replaces the sessions and the state with those of a snapshot. */
     public void restore(List<Session> restored, byte[] image) {
         sessions.clear();
         restored.forEach(this::put);
--- a/src/main/java/rockshift/raft/ClockDriftMonitor.java
+++ b/src/main/java/rockshift/raft/ClockDriftMonitor.java
@@ -1,18 +1,21 @@
 package rockshift.raft;
 
 /**
- * Compares the rate of another member's clock with our own, by the times that its answers carry.
- * Each answer shows that its clock had that reading at some instant between our sending and our
- * receiving; two such answers, far apart, bound its rate. Only a drift that is certain counts, so a
- * slow link never looks like a fast clock.
+ * Compares the rate of another member's clock with the local clock, from the timestamps in its
+ * responses. A response proves that the remote clock had the given reading at some time between
+ * sending the request and receiving the response; two responses far apart bound its rate. Only
+ * proven drift counts, so a slow link is never taken for a fast clock.
  */
 final class ClockDriftMonitor {
-    /** Between two compared answers: long, so that the round trip counts for little. */
+    /**
+     * Minimum time between two compared responses: long, so that the round-trip times have little
+     * weight.
+     */
     private static final long MIN_SPAN_TICKS = 100_000;
 
     private boolean hasReference;
 
-    // The answer that the next ones are compared with.
+    // The response that later ones are compared with.
     private long referenceSentAtTicks;
     private long referenceReceivedAtTicks;
     private long referenceClockTicks;
@@ -20,17 +23,18 @@
     private double driftRatio;
 
     /**
-     * Takes an answer.
+     * Records a response.
      *
-     * @param sentAtTicks our clock when we sent what it answers
-     * @param receivedAtTicks our clock when it arrived
-     * @param remoteClockTicks the other member's clock in between
+     * @param sentAtTicks the local clock when the request was sent
+     * @param receivedAtTicks the local clock when the response arrived
+     * @param remoteClockTicks the remote clock in between
      */
     void record(long sentAtTicks, long receivedAtTicks, long remoteClockTicks) {
         if (!hasReference || remoteClockTicks < referenceClockTicks) {
             setReference(sentAtTicks, receivedAtTicks, remoteClockTicks);
         } else if (sentAtTicks >= referenceReceivedAtTicks + MIN_SPAN_TICKS) {
-            // However long the two round trips took, the true span on our clock lies between these.
+            // The local time between the two remote readings lies between these, whatever the
+            // round-trip times.
             double shortestTicks = sentAtTicks - referenceReceivedAtTicks;
             double longestTicks = receivedAtTicks - referenceSentAtTicks;
             double remoteTicks = remoteClockTicks - referenceClockTicks;
@@ -54,7 +58,7 @@
         hasReference = true;
     }
 
-    /** The share by which its clock is proven to run apart from ours. */
+    /** Returns the proven drift between the two clocks, as a fraction. */
     double driftRatio() {
         return driftRatio;
     }
--- a/src/main/java/rockshift/raft/CommitTracker.java
+++ b/src/main/java/rockshift/raft/CommitTracker.java
@@ -1,6 +1,9 @@
 package rockshift.raft;
 
-/** Up to where the log is committed, and up to where the state machine has applied it. */
+/**
+ * The index up to which the log is committed, and the index up to which the state machine has
+ * applied it.
+ */
 final class CommitTracker {
     private long commitIndex;
     private long appliedIndex;
@@ -19,13 +22,17 @@
     }
 
     /**
-     * All entries up to an index are known to be committed; a lower one than before says nothing.
+     * Records that all entries up to an index are known to be committed. A lower index than before
+     * has no effect.
      */
     void advanceTo(long index) {
         commitIndex = Math.max(commitIndex, index);
     }
 
-    /** A snapshot up to an index has replaced the log; the state machine has yet to restore it. */
+    /**
+     * Records that a snapshot up to an index has replaced the log. The state machine has yet to
+     * restore it.
+     */
     void snapshotInstalled(long index) {
         commitIndex = index;
     }
@@ -34,12 +41,14 @@
         appliedIndex = index;
     }
 
-    /** Whether an entry is committed and durable here, and not yet applied. */
+    /**
+     * Returns whether there is an entry that is committed and durable here, and not yet applied.
+     */
     boolean canApply(long durableIndex) {
         return appliedIndex < Math.min(commitIndex, durableIndex);
     }
 
-    /** Moves on to the next entry to apply, and answers its index. */
+    /** Advances to the next entry to apply and returns its index. */
     long applyNext() {
         appliedIndex++;
         return appliedIndex;
--- a/src/main/java/rockshift/raft/DurabilityTracker.java
+++ b/src/main/java/rockshift/raft/DurabilityTracker.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What of a member's state is durable, what is being written, and what is still to be written. It
- * owns the current term and vote, as these are promises that a crash must not break.
+ * Tracks which state of a member is durable, being written, or still to be written. Owns the
+ * current term and vote, which a member must not lose in a crash.
  *
- * <p>The host writes one batch at a time, each under a write number that rises by one. A message
- * that promises something (a vote, an acknowledged entry) is sent only once the write that it rests
- * on is durable; without that, a member that crashes could vote twice in a term, or a leader could
- * count a copy that is gone.
+ * <p>The host writes one batch at a time; the write number increases by one with each batch. A
+ * message that depends on durable state (a vote, an acknowledged entry) is sent only once that
+ * state is durable. Otherwise a member could vote twice in a term after a crash, or a leader could
+ * count a replica of an entry that was lost.
  */
 final class DurabilityTracker {
     private static final long NO_ENTRY = Long.MAX_VALUE;
@@ -19,20 +19,23 @@
     private TermAndVote writingTermAndVote;
     private TermAndVote durableTermAndVote;
 
-    /** All entries up to here are durable. */
+    /** The index up to which all entries are durable. */
     private long durableIndex;
 
-    /** All entries up to here will be durable once the write in progress is. */
+    /**
+     * The index up to which all entries will be durable once the write in progress is completed.
+     */
     private long writingUpToIndex;
 
-    /** Whether a term or vote, entries or a snapshot are yet to be handed to the host. */
+    /** Whether a term or vote, entries or a snapshot have yet to be handed to the host. */
     private boolean hasUnwritten;
 
     private long firstUnwrittenIndex = NO_ENTRY;
     private Snapshot unwrittenSnapshot;
 
     /**
-     * A snapshot that was written, or is being written, and not yet handed to the state machine.
+     * A snapshot that was written, or is being written, and has not been passed to the state
+     * machine.
      */
     private Snapshot snapshotToRestore;
 
@@ -102,10 +105,11 @@
     }
 
     /**
-     * The number of the write that a promise made now must wait for: that of the next write if
-     * something is unwritten, else that of the write in progress; 0 if all is durable.
+     * Returns the number of the write that a message depending on the current state must wait for:
+     * the next write if some state is unwritten, otherwise the write in progress; 0 if all state is
+     * durable.
      */
-    long writeNumberOfPromise() {
+    long requiredWriteNumber() {
         if (!rules.persistsBeforeSending()) {
             return 0;
         }
@@ -113,21 +117,21 @@
     }
 
     /**
-     * The same for a promise that rests on the term and vote alone, which a write of entries need
-     * not delay.
+     * Returns the same for a message that depends only on the term and vote, and so need not wait
+     * for a write of entries.
      */
-    long writeNumberOfTermPromise() {
+    long requiredWriteNumberForTerm() {
         if (!rules.persistsBeforeSending() || termAndVote.equals(durableTermAndVote)) {
             return 0;
         }
-        return writeNumberOfPromise();
+        return requiredWriteNumber();
     }
 
     boolean canStartWrite() {
         return hasUnwritten && writeNumberInProgress == 0;
     }
 
-    /** Starts a write of all that is unwritten and hands it to the host. */
+    /** Starts a write of all unwritten state and hands it to the host. */
     void startWrite(Log log, RaftOutput output) {
         lastWriteNumber++;
         writeNumberInProgress = lastWriteNumber;
@@ -154,9 +158,10 @@
     }
 
     /**
-     * The host has made a write durable.
+     * Records that the host has made a write durable.
      *
-     * @param lastIndex the end of the log: entries truncated since the write began don't count
+     * @param lastIndex the last index of the log; entries truncated since the write began do not
+     *     become durable
      * @return false if the number is not that of the write in progress
      */
     boolean writeCompleted(long writeNumber, long lastIndex) {
@@ -169,14 +174,14 @@
         return true;
     }
 
-    /** Takes the term and vote of the last write as durable, if no write is in progress. */
-    void settleTermAndVote() {
+    /** Records the term and vote of the last write as durable if no write is in progress. */
+    void updateDurableTermAndVote() {
         if (durableWriteNumber >= lastWriteNumber) {
             durableTermAndVote = writingTermAndVote;
         }
     }
 
-    /** Whether an installed snapshot is durable and the state machine can be given it. */
+    /** Returns whether an installed snapshot is durable and can be passed to the state machine. */
     boolean canRestoreSnapshot() {
         return snapshotToRestore != null && writeNumberInProgress == 0 && !hasUnwritten;
     }
@@ -187,12 +192,12 @@
         return snapshot;
     }
 
-    /** Whether an installed snapshot has not yet reached the state machine. */
+    /** Returns whether an installed snapshot has not been passed to the state machine yet. */
     boolean hasSnapshotToRestore() {
         return snapshotToRestore != null || unwrittenSnapshot != null;
     }
 
-    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    /** Returns this object's part of {@link RaftNode#fingerprint}. */
     String fingerprint() {
         return durableIndex + "," + writeNumberInProgress + hasUnwritten;
     }
--- a/src/main/java/rockshift/raft/Election.java
+++ b/src/main/java/rockshift/raft/Election.java
@@ -5,11 +5,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Who leads, and how that is decided: this member's role, the leader that it knows of, its election
- * timer, the votes that it gives and those that it is given.
+ * Leader election: this member's role, the leader known to it, its election timer, and the votes
+ * that it grants and receives.
  *
- * <p>An election starts with a pre-vote, which asks whether the vote would be given and binds
- * nobody. Guards against a member that was cut off and would depose a working leader with its
+ * <p>An election starts with a pre-vote, which asks whether the vote would be granted and binds
+ * nobody. Without a pre-vote, a member that was cut off would depose a working leader with its
  * higher term when it is reconnected.
  */
 final class Election {
@@ -27,11 +27,11 @@
     private long leader = NO_LEADER;
     private long lastLeaderContactTicks;
     private long electionDueTicks;
-    private final Set<Long> votesGranted = new HashSet<>();
+    private final Set<Long> grantingVoters = new HashSet<>();
 
     /**
-     * A follower that knows of no leader. It may have promised a lease just before it crashed, so
-     * it waits as if it had contact with a leader now.
+     * Creates a follower that knows no leader. It may have promised a leader a lease just before it
+     * crashed, so it waits as if it had contact with a leader now.
      */
     Election(
             long id,
@@ -61,12 +61,12 @@
         return role == RaftNode.Role.LEADER;
     }
 
-    /** The leader that this member knows of, 0 if none. */
+    /** Returns the id of the leader known to this member, 0 if none. */
     long leader() {
         return isLeader() ? id : leader;
     }
 
-    /** Whether a follower has had contact with its leader lately. */
+    /** Returns whether a follower has heard from its leader within two election timeouts. */
     boolean hasLeaderContact(long nowTicks) {
         return leader != NO_LEADER
                 && nowTicks < lastLeaderContactTicks + 2 * timing.electionTimeoutTicks();
@@ -76,7 +76,10 @@
         return nowTicks >= electionDueTicks;
     }
 
-    /** Waits a whole election timeout, as another member leads or may soon. */
+    /**
+     * Restarts the timer with a full election timeout, as another member leads or may be elected
+     * soon.
+     */
     void restartTimer(long nowTicks) {
         long timeout = timing.electionTimeoutTicks();
         electionDueTicks = nowTicks + timeout + random.nextLong(timeout / 2);
@@ -93,7 +96,11 @@
         restartTimer(nowTicks);
     }
 
-    /** Records contact with the leader of the current term; true if it was not known before. */
+    /**
+     * Records contact with the leader of the current term.
+     *
+     * @return whether the leader was not known before
+     */
     boolean recordLeader(long from, long nowTicks) {
         boolean isNew = leader != from;
         role = RaftNode.Role.FOLLOWER;
@@ -104,17 +111,17 @@
     }
 
     /**
-     * Asks the other voters for their votes.
+     * Starts a pre-vote or an election: requests the votes of the other voters.
      *
-     * @param preVote only asks whether they would give them
-     * @param leadershipTransfer the leader itself asked this member to campaign
+     * @param preVote whether to only ask if the votes would be granted
+     * @param leadershipTransfer whether the leader itself asked this member to campaign
      */
     void campaign(boolean preVote, boolean leadershipTransfer, long nowTicks) {
         role = preVote ? RaftNode.Role.PRE_CANDIDATE : RaftNode.Role.CANDIDATE;
         leader = NO_LEADER;
-        votesGranted.clear();
-        // A pre-vote is refused by those that still wait for the old leader. It harms nobody, and
-        // so is repeated soon.
+        grantingVoters.clear();
+        // Voters that still wait for the old leader refuse a pre-vote. It is retried soon, as it
+        // cannot disturb a working leader.
         long retryTicks = timing.electionTimeoutTicks() / (preVote ? 5 : 2);
         electionDueTicks = nowTicks + retryTicks + random.nextLong(retryTicks);
         long term = durability.term() + 1;
@@ -134,11 +141,13 @@
                                 leadershipTransfer));
             }
         }
-        // Its own vote counts once it is durable, like any other's.
+        // Like any other vote, the candidate's own counts only once it is durable.
         outbox.sendWhenDurable(new Message.VoteResponse(id, id, term, preVote, true));
     }
 
-    /** Whether a response grants what this member currently asks for. */
+    /**
+     * Returns whether a response grants the vote or pre-vote that this member currently requests.
+     */
     boolean isExpectedVote(Message.VoteResponse response) {
         if (!response.granted()) {
             return false;
@@ -148,16 +157,21 @@
                 : role == RaftNode.Role.CANDIDATE;
     }
 
-    /** Takes a vote; true if a quorum has given theirs by now. */
+    /**
+     * Records a granted vote.
+     *
+     * @return whether a quorum has granted its votes
+     */
     boolean recordVote(long voter) {
-        votesGranted.add(voter);
-        return rules.isQuorum(log.membership(), votesGranted::contains);
+        grantingVoters.add(voter);
+        return rules.isQuorum(log.membership(), grantingVoters::contains);
     }
 
     /**
-     * Whether a request is left without an answer: its newer term would depose a leader that this
-     * member is, or is in contact with. A request of this member's own term deposes nobody and is
-     * answered; so is one that a leader asked for by a transfer.
+     * Returns whether a vote request must be left unanswered because its newer term would depose a
+     * working leader: this member itself, or one that it is in contact with. A request of this
+     * member's own term deposes nobody and is answered, and so is one that follows a leadership
+     * transfer.
      */
     boolean mustIgnoreToProtectLeader(Message.VoteRequest request, long nowTicks) {
         boolean honorsLeader =
@@ -174,7 +188,9 @@
         outbox.sendWhenDurable(new Message.VoteResponse(id, request.from(), term, true, granted));
     }
 
-    /** Gives or refuses a vote; a newer term has been taken over already. */
+    /**
+     * Grants or refuses a vote. The caller has already entered the request's term if it is newer.
+     */
     void answerVote(Message.VoteRequest request, long nowTicks) {
         boolean mayVote = role == RaftNode.Role.FOLLOWER || role == RaftNode.Role.PRE_CANDIDATE;
         boolean granted =
@@ -192,8 +208,9 @@
     }
 
     /**
-     * A vote needs a log at least as up to date as this one (last term, then last index), and a
-     * disk that can keep the promise.
+     * Returns whether a candidate may be granted a vote: its log must be at least as up to date as
+     * this one (compared by last term, then last index), and the disk must be able to store the
+     * vote.
      */
     private boolean isEligible(Message.VoteRequest request) {
         return durability.diskWorks()
@@ -204,8 +221,8 @@
                         log.lastTerm());
     }
 
-    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    /** Returns this object's part of {@link RaftNode#fingerprint}. */
     String fingerprint() {
-        return "" + role + leader + votesGranted;
+        return "" + role + leader + grantingVoters;
     }
 }
--- a/src/main/java/rockshift/raft/FollowerProgress.java
+++ b/src/main/java/rockshift/raft/FollowerProgress.java
@@ -3,17 +3,17 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** What a leader knows of one other member's log, and how far it has sent to it. */
+/** The leader's view of one follower: up to where its log matches, and what has been sent to it. */
 final class FollowerProgress {
     /**
-     * Messages in flight to one follower: a few round trips of a slow link, and a bound on what is
-     * sent to one that is dead.
+     * Maximum number of messages in flight to one follower: enough for a few round trips on a slow
+     * link, and a bound on what is sent to a follower that is down.
      */
     private static final int MAX_INFLIGHT_MESSAGES = 32;
 
-    /** How a leader sends to a follower. */
+    /** How the leader sends entries to a follower. */
     enum Mode {
-        /** One message at a time, until the logs are known to match somewhere. */
+        /** One message at a time, until an index is found at which the logs match. */
         PROBE,
         /** Many messages in flight. */
         REPLICATE,
@@ -29,16 +29,17 @@
     private long matchIndex;
     private long nextIndex;
 
-    /** The last index of each message in flight. */
+    /** The index of the last entry of each message in flight. */
     private final ArrayDeque<Long> inflight = new ArrayDeque<>();
 
     private boolean probeSent;
     private SnapshotSender snapshotSender;
     private long lastContactTicks;
 
-    /** The newest round that it answered, and when the newest answered round was begun. */
+    /** The newest heartbeat round that the follower has answered. */
     private long answeredRound;
 
+    /** The start of the newest round that was answered, on the leader's clock. */
     private long answeredRoundStartTicks = Long.MIN_VALUE;
 
     FollowerProgress(long id, long nextIndex, long nowTicks) {
@@ -55,12 +56,12 @@
         return mode;
     }
 
-    /** Up to here its log is known to be the leader's, and durable. */
+    /** Returns the index up to which the follower's log is known to match and to be durable. */
     long matchIndex() {
         return matchIndex;
     }
 
-    /** The next entry to send. */
+    /** Returns the index of the next entry to send. */
     long nextIndex() {
         return nextIndex;
     }
@@ -73,22 +74,22 @@
         return answeredRound;
     }
 
-    /** When the newest round that it answered was begun. */
+    /** Returns the start of the newest round that the follower has answered. */
     long answeredRoundStartTicks() {
         return answeredRoundStartTicks;
     }
 
-    /** The share by which its clock is proven to run apart from the leader's. */
+    /** Returns the proven drift between the follower's clock and the leader's, as a fraction. */
     double clockDriftRatio() {
         return clock.driftRatio();
     }
 
-    /** The snapshot that is being sent; null but in {@link Mode#SNAPSHOT}. */
+    /** Returns the snapshot transfer in progress, null except in {@link Mode#SNAPSHOT}. */
     SnapshotSender snapshotSender() {
         return snapshotSender;
     }
 
-    /** Records an answer to a round. */
+    /** Records a response in a heartbeat round. */
     void recordResponse(long nowTicks, long round, long sentAtTicks, long followerClockTicks) {
         lastContactTicks = nowTicks;
         answeredRound = Math.max(answeredRound, round);
@@ -96,14 +97,14 @@
         clock.record(sentAtTicks, nowTicks, followerClockTicks);
     }
 
-    /** Whether entries, or a probe, may be sent now. */
+    /** Returns whether entries, or a probe, may be sent now. */
     boolean canSendEntries(long lastIndex) {
         return mode == Mode.REPLICATE
                 ? nextIndex <= lastIndex && inflight.size() < MAX_INFLIGHT_MESSAGES
                 : !probeSent;
     }
 
-    /** Entries were sent from the next index on. */
+    /** Records that entries were sent, starting at the next index. */
     void recordSent(List<Entry> entries) {
         if (mode == Mode.PROBE) {
             probeSent = true;
@@ -113,12 +114,12 @@
         }
     }
 
-    /** A new round begins, in which a probe may be sent again. */
+    /** Allows another probe, as a new round begins. */
     void allowProbe() {
         probeSent = false;
     }
 
-    /** The follower's log matches up to an index. */
+    /** Records that the follower's log matches up to an index. */
     void recordMatch(long index) {
         matchIndex = Math.max(matchIndex, index);
         while (!inflight.isEmpty() && inflight.getFirst() <= matchIndex) {
@@ -133,8 +134,8 @@
     }
 
     /**
-     * Whether a rejection is news: it does not answer what has been answered since, or to another
-     * probe than the current one.
+     * Returns whether a rejection must be handled. One for an index that has matched since, for an
+     * earlier probe, or during a snapshot transfer is outdated.
      */
     boolean isRelevantRejection(long rejectedIndex) {
         return rejectedIndex > matchIndex
@@ -142,7 +143,9 @@
                 && mode != Mode.SNAPSHOT;
     }
 
-    /** Probes from an index on, but not below what is known to match. */
+    /**
+     * Starts probing at an index, but not below the index up to which the logs are known to match.
+     */
     void startProbe(long index) {
         mode = Mode.PROBE;
         probeSent = false;
@@ -164,7 +167,7 @@
         snapshotSender = new SnapshotSender(snapshot);
     }
 
-    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    /** Returns this object's part of {@link RaftNode#fingerprint}. */
     String fingerprint() {
         return "" + id + mode + matchIndex + ',' + nextIndex + inflight + probeSent;
     }
--- a/src/main/java/rockshift/raft/LeaderLease.java
+++ b/src/main/java/rockshift/raft/LeaderLease.java
@@ -1,11 +1,12 @@
 package rockshift.raft;
 
 /**
- * Whether the leader may answer reads without asking a quorum: for an election timeout, less the
- * allowed clock drift, after it began the last round that a quorum has answered, no other member
- * can be elected. Guards against a leader that answers reads from old state after another has taken
- * over. That holds only while clocks run alike, so proven drift ends leases for the rest of the
- * term, and so does a leadership transfer, as its target campaigns without waiting.
+ * The lease under which the leader may answer reads without asking a quorum. After the start of the
+ * last round that a quorum has answered, no other member can be elected for an election timeout,
+ * less the allowed clock drift. So a leader never answers reads from old state after another member
+ * has taken over. This requires clocks that run at nearly the same rate: proven drift disables the
+ * lease for the rest of the term. A leadership transfer disables it too, as its target campaigns
+ * without waiting.
  */
 final class LeaderLease {
     private final Timing timing;
@@ -17,12 +18,16 @@
         this.rules = rules;
     }
 
-    /** This member begins to lead in a new term. */
+    /** Resets the lease as this member begins a new term as leader. */
     void startTerm() {
         driftExceeded = false;
     }
 
-    /** Takes the proven drift of a follower's clock; true if it is the first beyond the limit. */
+    /**
+     * Records the proven drift of a follower's clock.
+     *
+     * @return whether it is the first in this term beyond the limit
+     */
     boolean recordDrift(double driftRatio) {
         if (driftRatio <= timing.maxClockDriftRatio() || driftExceeded) {
             return false;
@@ -31,13 +36,20 @@
         return true;
     }
 
-    /** Whether leases are used in this term, whatever a quorum has answered. */
+    /**
+     * Returns whether leases may be used in this term at all, whatever rounds a quorum has
+     * answered.
+     */
     boolean isUsable(boolean transferStartedInTerm) {
         return timing.leaseReads() && !driftExceeded && rules.mayHoldLease(transferStartedInTerm);
     }
 
-    /** Whether the lease holds that began when a round which a quorum has answered was begun. */
-    boolean holds(long nowTicks, long quorumRoundStartTicks) {
+    /**
+     * Returns whether the lease that began with a round is valid.
+     *
+     * @param quorumRoundStartTicks the start of a round that a quorum has answered
+     */
+    boolean isValid(long nowTicks, long quorumRoundStartTicks) {
         return nowTicks < rules.leaseExpiry(quorumRoundStartTicks, timing);
     }
 }
--- a/src/main/java/rockshift/raft/Leadership.java
+++ b/src/main/java/rockshift/raft/Leadership.java
@@ -6,26 +6,26 @@
 import java.util.function.Consumer;
 
 /**
- * What a member does while it leads: takes proposals, replicates and commits them, confirms reads,
- * changes the membership and hands leadership over. {@link RaftNode} calls it only while this
- * member leads, but for {@link #stop} and the reads that are still to be answered. Where a method
- * answers that the leader must step down, the caller does so at once.
+ * The duties of a leader: accepting, replicating and committing proposals, confirming reads,
+ * changing the membership and transferring leadership. {@link RaftNode} calls it only while this
+ * member is the leader, except for {@link #stop} and reads that are still to be answered. If a
+ * method returns that the leader must step down, the caller does so at once.
  */
 final class Leadership {
-    /** Whether a member leads on after a commit. */
+    /** Whether this member remains the leader after a commit. */
     enum Continuation {
         STAY_LEADER,
-        /** Its own removal as a voter is committed: it becomes a follower. */
+        /** The leader's own removal as a voter is committed: it becomes a follower. */
         STEP_DOWN
     }
 
-    /** Entries and bytes that may wait to be committed; more are rejected, not queued. */
+    /** Limits on uncommitted entries and bytes. Proposals beyond them are rejected, not queued. */
     private static final int MAX_UNCOMMITTED_ENTRIES = 20_000;
 
     private static final long MAX_UNCOMMITTED_BYTES = 8 << 20;
 
-    /** An instant long before any on the host's clock. */
-    private static final long LONG_AGO_TICKS = Long.MIN_VALUE / 2;
+    /** A time before any reading of the host's clock. */
+    private static final long DISTANT_PAST_TICKS = Long.MIN_VALUE / 2;
 
     private final long id;
     private final Timing timing;
@@ -62,10 +62,9 @@
         lease = new LeaderLease(timing, rules);
     }
 
-    // ---- begin and end --------------------------------------------------------------------------
-
     /**
-     * This member was elected: appends an entry of its term, by which it learns what is committed.
+     * Begins a term as leader. Appends an entry of this term, because only with its commit does the
+     * leader know which earlier entries are committed.
      */
     void start(long nowTicks) {
         transfer.startTerm();
@@ -73,7 +72,7 @@
         replication.start(nowTicks);
         append(Entry.noOp(log.lastIndex() + 1, durability.term()), nowTicks);
         if (log.membershipIndex() == 0) {
-            // Members that join with an empty log learn of the founders from the log.
+            // Members that join with an empty log learn the founding members from this entry.
             append(
                     Entry.membershipChange(
                             log.lastIndex() + 1, durability.term(), log.membership()),
@@ -82,15 +81,13 @@
         startRound(nowTicks);
     }
 
-    /** This member leads no longer: reads that wait are rejected. */
+    /** Stops leading. Pending reads are rejected. */
     void stop() {
         replication.stop();
         transfer.cancel();
         reads.rejectAll();
     }
 
-    // ---- what is known --------------------------------------------------------------------------
-
     QuorumReads reads() {
         return reads;
     }
@@ -99,45 +96,46 @@
         return replication.matchIndexes();
     }
 
-    /** Whether a quorum has answered within an election timeout. */
+    /** Returns whether a quorum has responded within the last election timeout. */
     boolean hasQuorumContact(long nowTicks) {
         long quorumContactTicks =
                 replication.quorumValue(
-                        nowTicks, FollowerProgress::lastContactTicks, LONG_AGO_TICKS);
+                        nowTicks, FollowerProgress::lastContactTicks, DISTANT_PAST_TICKS);
         return nowTicks < quorumContactTicks + timing.electionTimeoutTicks();
     }
 
-    /** Whether reads may be answered without asking a quorum. */
-    boolean leaseHolds(long nowTicks) {
+    /** Returns whether reads may be answered without asking a quorum. */
+    boolean isLeaseValid(long nowTicks) {
         if (!lease.isUsable(transfer.wasStartedInTerm()) || !knowsCommitIndex()) {
             return false;
         }
         long quorumRoundStartTicks =
                 replication.quorumValue(
-                        nowTicks, FollowerProgress::answeredRoundStartTicks, LONG_AGO_TICKS);
-        return lease.holds(nowTicks, quorumRoundStartTicks);
+                        nowTicks, FollowerProgress::answeredRoundStartTicks, DISTANT_PAST_TICKS);
+        return lease.isValid(nowTicks, quorumRoundStartTicks);
     }
 
     private boolean knowsCommitIndex() {
         return rules.knowsCommitIndex(log.term(commits.commitIndex()), durability.term());
     }
 
-    // ---- time and rounds ------------------------------------------------------------------------
-
-    /** Time passes; true if the leader must step down, as no quorum answers it. */
+    /**
+     * Advances the time: sends a heartbeat if one is due, ends an expired transfer, hands over if
+     * the disk has failed, and makes a member that has caught up a voter.
+     *
+     * @return whether the leader must step down because no quorum responds
+     */
     boolean tick(long nowTicks) {
         if (!hasQuorumContact(nowTicks)) {
-            logLines.accept(
-                    "term "
-                            + durability.term()
-                            + ": most members are out of reach, no longer leading");
+            logLines.accept("no contact with a quorum: stepping down term=" + durability.term());
             return true;
         }
         if (transfer.hasExpired(nowTicks)) {
             logLines.accept(
-                    "hand-over to "
+                    "leadership transfer timed out: remaining the leader target="
                             + log.membership().nameOf(transfer.target())
-                            + " was not taken up");
+                            + " term="
+                            + durability.term());
             transfer.cancel();
         }
         if (replication.isHeartbeatDue(nowTicks)) {
@@ -148,7 +146,11 @@
         return false;
     }
 
-    /** Sends what there is to send now; false if there is nothing. */
+    /**
+     * Starts a heartbeat round or sends entries if needed.
+     *
+     * @return whether there was anything to send
+     */
     boolean poll(long nowTicks) {
         if (reads.needsRoundAfter(replication.heartbeatRound())
                 || replication.hasCommitToAnnounce()) {
@@ -163,9 +165,7 @@
         confirmReads();
     }
 
-    // ---- proposals ------------------------------------------------------------------------------
-
-    /** Why a change is not accepted now, null if it is. */
+    /** Returns why a change cannot be accepted now, or null if it can. */
     ProposalRejection rejectionOf(byte[] change) {
         if (transfer.isActive()) {
             return ProposalRejection.TRANSFERRING_LEADERSHIP;
@@ -183,17 +183,20 @@
         return full ? ProposalRejection.BUSY : null;
     }
 
-    /** Appends an entry, which followers are sent at the next {@link #poll}. */
+    /** Appends an entry, which is sent to the followers at the next {@link #poll}. */
     void append(Entry entry, long nowTicks) {
         log.append(entry);
         replication.trackMembers(log.lastIndex(), nowTicks);
     }
 
-    /** Takes a read: its index is known at once under a lease, else after a round. */
+    /**
+     * Adds a read. Its read index is known at once under a lease, otherwise after a heartbeat
+     * round.
+     */
     void requestRead(long token, long nowTicks) {
         if (reads.isFull()) {
             reads.reject(token);
-        } else if (leaseHolds(nowTicks)) {
+        } else if (isLeaseValid(nowTicks)) {
             reads.addConfirmed(token, commits.commitIndex());
         } else {
             reads.awaitRound(token, replication.heartbeatRound() + 1);
@@ -207,9 +210,7 @@
         reads.confirm(quorumRound, commits.commitIndex(), knowsCommitIndex());
     }
 
-    // ---- answers of followers -------------------------------------------------------------------
-
-    /** Takes a follower's answer, and commits what a quorum holds by it. */
+    /** Handles a follower's response and commits the entries that a quorum now holds. */
     Continuation handleAppendResponse(Message.AppendResponse response, long nowTicks) {
         FollowerProgress follower = replication.follower(response.from());
         if (follower == null) {
@@ -217,7 +218,7 @@
         }
         follower.recordResponse(
                 nowTicks, response.round(), response.sentAtTicks(), response.followerClockTicks());
-        checkClockAndReads(follower);
+        checkDriftAndConfirmReads(follower);
         if (response.success()) {
             follower.recordMatch(response.matchIndex());
             if (advanceCommitIndex(nowTicks) == Continuation.STEP_DOWN) {
@@ -231,7 +232,7 @@
         return Continuation.STAY_LEADER;
     }
 
-    /** Takes a follower's answer to a snapshot chunk. */
+    /** Handles a follower's response to a snapshot chunk. */
     void handleChunkResponse(Message.SnapshotChunkResponse response, long nowTicks) {
         FollowerProgress follower = replication.follower(response.from());
         if (follower == null) {
@@ -239,21 +240,26 @@
         }
         follower.recordResponse(
                 nowTicks, response.round(), response.sentAtTicks(), response.followerClockTicks());
-        checkClockAndReads(follower);
+        checkDriftAndConfirmReads(follower);
         replication.handleChunkResponse(follower, response, nowTicks);
     }
 
-    private void checkClockAndReads(FollowerProgress follower) {
+    private void checkDriftAndConfirmReads(FollowerProgress follower) {
         if (lease.recordDrift(follower.clockDriftRatio())) {
             logLines.accept(
-                    "the clock of "
+                    "clock drift exceeds the limit: no lease reads in this term member="
                             + log.membership().nameOf(follower.id())
-                            + " runs apart by more than allowed: reads without leases");
+                            + " driftRatio="
+                            + follower.clockDriftRatio()
+                            + " limit="
+                            + timing.maxClockDriftRatio()
+                            + " term="
+                            + durability.term());
         }
         confirmReads();
     }
 
-    /** Commits what a quorum holds. */
+    /** Commits the entries that a quorum holds. */
     Continuation advanceCommitIndex(long nowTicks) {
         long matched =
                 replication.quorumValue(durability.durableIndex(), FollowerProgress::matchIndex, 0);
@@ -269,8 +275,8 @@
     }
 
     /**
-     * The newest membership is committed: members that it removed get no more messages. A leader
-     * that is no longer a voter announces the commit and ends.
+     * Completes a membership change that is now committed. Removed members are sent no further
+     * messages; a leader that is no longer a voter announces the commit and steps down.
      */
     private Continuation finishMembershipChange(long nowTicks) {
         replication.dropRemovedMembers();
@@ -278,25 +284,31 @@
             return Continuation.STAY_LEADER;
         }
         startRound(nowTicks);
-        logLines.accept("no longer a voting member, no longer leading");
+        logLines.accept(
+                "no longer a voter: stepping down term="
+                        + durability.term()
+                        + " membershipIndex="
+                        + log.membershipIndex());
         return Continuation.STEP_DOWN;
     }
 
-    // ---- membership -----------------------------------------------------------------------------
-
-    /** Adds a member, changes its role, or removes it; answers null, or why not. */
+    /**
+     * Adds a member, changes its role or removes it.
+     *
+     * @return null if the change was appended, otherwise the reason for the rejection
+     */
     ProposalRejection changeMembership(Member member, boolean remove, long nowTicks) {
         if (transfer.isActive()) {
             return ProposalRejection.TRANSFERRING_LEADERSHIP;
         }
         long commitIndex = commits.commitIndex();
-        boolean settled =
+        boolean allowed =
                 rules.mayChangeMembership(
                         log.membershipIndex(),
                         commitIndex,
                         log.term(commitIndex),
                         durability.term());
-        if (!settled) {
+        if (!allowed) {
             return ProposalRejection.MEMBERSHIP_UNSETTLED;
         }
         MembershipChange change = MembershipChange.of(log.membership(), member, remove);
@@ -317,16 +329,26 @@
                     member.role() == Member.Role.JOINING
                             && MembershipChange.isCaughtUp(follower, commits.commitIndex())
                             && follower.mode() == FollowerProgress.Mode.REPLICATE;
-            if (ready && changeMembership(member.as(Member.Role.VOTER), false, nowTicks) == null) {
-                logLines.accept(member.name() + " has caught up and votes");
+            if (ready
+                    && changeMembership(member.withRole(Member.Role.VOTER), false, nowTicks)
+                            == null) {
+                logLines.accept(
+                        "member has caught up: making it a voter member="
+                                + member.name()
+                                + " term="
+                                + durability.term()
+                                + " index="
+                                + log.lastIndex());
                 return;
             }
         }
     }
 
-    // ---- leadership transfer --------------------------------------------------------------------
-
-    /** Brings another voter up to date and has it campaign; answers null, or why not. */
+    /**
+     * Brings another voter up to date and has it campaign.
+     *
+     * @return null if the transfer was started, otherwise the reason for the rejection
+     */
     ProposalRejection transferTo(long target, long nowTicks) {
         if (!log.membership().isVoter(target)) {
             return ProposalRejection.UNKNOWN_MEMBER;
@@ -338,7 +360,7 @@
         return null;
     }
 
-    /** A leader whose disk fails hands over to the voter that has most of the log. */
+    /** Transfers leadership to the voter with the most complete log if the disk has failed. */
     void transferIfDiskFailed(long nowTicks) {
         if (!durability.diskWorks() && !transfer.isActive()) {
             replication.followers().stream()
@@ -348,14 +370,14 @@
         }
     }
 
-    /** Has the target of a transfer campaign, once it has the whole log. */
+    /** Tells the target of a transfer to campaign once it has the whole log. */
     private void completeTransferTo(FollowerProgress follower) {
         if (transfer.isTo(follower.id()) && follower.matchIndex() == log.lastIndex()) {
             outbox.send(new Message.TimeoutNow(id, follower.id(), durability.term()));
         }
     }
 
-    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    /** Returns this object's part of {@link RaftNode#fingerprint}. */
     String fingerprint() {
         return replication.fingerprint();
     }
--- a/src/main/java/rockshift/raft/LeadershipTransfer.java
+++ b/src/main/java/rockshift/raft/LeadershipTransfer.java
@@ -2,15 +2,15 @@
 
 /** The leadership transfer in progress: its target and its deadline. */
 final class LeadershipTransfer {
-    private static final long NOBODY = 0;
+    private static final long NO_TARGET = 0;
 
-    private long transferTarget = NOBODY;
+    private long transferTarget = NO_TARGET;
     private long deadlineTicks;
     private boolean startedInTerm;
 
-    /** This member begins to lead in a new term. */
+    /** Resets the state as this member begins a new term as leader. */
     void startTerm() {
-        transferTarget = NOBODY;
+        transferTarget = NO_TARGET;
         startedInTerm = false;
     }
 
@@ -21,11 +21,11 @@
     }
 
     void cancel() {
-        transferTarget = NOBODY;
+        transferTarget = NO_TARGET;
     }
 
     boolean isActive() {
-        return transferTarget != NOBODY;
+        return transferTarget != NO_TARGET;
     }
 
     boolean isTo(long member) {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Whether a transfer was ever tried in this term: the message that has its target campaign may
-     * arrive at any time after.
+     * Returns whether a transfer was started in this term. The message that makes its target
+     * campaign may arrive at any time after that.
      */
     boolean wasStartedInTerm() {
         return startedInTerm;
--- a/src/main/java/rockshift/raft/Log.java
+++ b/src/main/java/rockshift/raft/Log.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The entries that a member holds in memory, above a base index up to which a snapshot replaces
- * them. It knows nothing of what is durable or committed.
+ * The log entries that a member holds in memory, above a base index up to which a snapshot replaces
+ * them. Does not know which entries are durable or committed.
  */
 public final class Log {
     private final List<Entry> entries = new ArrayList<>();
@@ -13,33 +13,38 @@
     private long baseTerm;
     private long bytes;
 
-    /** An empty log above the last entry that a snapshot includes. */
+    /** Creates an empty log that starts after the last entry of a snapshot. */
     public Log(long baseIndex, long baseTerm) {
         this.baseIndex = baseIndex;
         this.baseTerm = baseTerm;
     }
 
-    /** The last index that is no longer in memory; a snapshot includes the entries up to it. */
+    /**
+     * Returns the last index that is no longer in memory. A snapshot includes the entries up to it.
+     */
     public long baseIndex() {
         return baseIndex;
     }
 
-    /** The index of the last entry, the base index if there is none. */
+    /** Returns the index of the last entry, or the base index if there is none. */
     public long lastIndex() {
         return baseIndex + entries.size();
     }
 
-    /** The term of the last entry. */
+    /** Returns the term of the last entry. */
     public long lastTerm() {
         return term(lastIndex());
     }
 
-    /** Bytes of all entries in memory, roughly. */
+    /** Returns the approximate size of all entries in memory, in bytes. */
     public long bytes() {
         return bytes;
     }
 
-    /** The term of an entry; -1 where there is none, or none any more. */
+    /**
+     * Returns the term of the entry at an index, or -1 if there is no such entry or it was
+     * compacted.
+     */
     public long term(long index) {
         if (index == baseIndex) {
             return baseTerm;
@@ -47,28 +52,35 @@
         return index < baseIndex || index > lastIndex() ? -1 : get(index).term();
     }
 
-    /** The entry at an index, which must be in memory. */
+    /** Returns the entry at an index, which must be in memory. */
     public Entry get(long index) {
         return entries.get((int) (index - baseIndex - 1));
     }
 
-    /** Appends an entry, which must follow the last one. */
+    /**
+     * Appends an entry.
+     *
+     * @throws IllegalArgumentException if it does not follow the last entry
+     */
     public void add(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalArgumentException("entry " + entry.index() + " after " + lastIndex());
+            throw new IllegalArgumentException(
+                    "expected entry " + (lastIndex() + 1) + ", got entry " + entry.index());
         }
         entries.add(entry);
         bytes += entry.size();
     }
 
-    /** Removes an entry and all after it. */
+    /** Removes the entry at an index and all entries after it. */
     public void truncateFrom(long from) {
         while (lastIndex() >= from) {
             bytes -= entries.remove(entries.size() - 1).size();
         }
     }
 
-    /** Entries from an index on, within limits; at least one if there is any. */
+    /**
+     * Returns entries starting at an index, within both limits, but at least one if there is any.
+     */
     List<Entry> entriesFrom(long index, int maxEntries, long maxBytes) {
         int first = (int) (index - baseIndex - 1);
         int end = first;
@@ -83,7 +95,7 @@
         return List.copyOf(entries.subList(first, end));
     }
 
-    /** Drops entries up to an index. */
+    /** Drops the entries up to an index. */
     void compact(long upTo) {
         if (upTo > baseIndex) {
             baseTerm = term(upTo);
@@ -94,7 +106,7 @@
         }
     }
 
-    /** Drops all entries and starts again above a snapshot. */
+    /** Drops all entries and starts again after a snapshot. */
     void reset(long index, long term) {
         entries.clear();
         bytes = 0;
--- a/src/main/java/rockshift/raft/Member.java
+++ b/src/main/java/rockshift/raft/Member.java
@@ -3,23 +3,25 @@
 /**
  * One member of the cluster.
  *
- * @param id drawn when the member's disk is first used and never used again, so that one whose disk
- *     was wiped is another member
- * @param name what operators call it
- * @param address where the other members reach it
+ * @param id generated when the member's disk is first used and never reused, so that a member whose
+ *     disk was wiped counts as a new member
+ * @param name the name that operators use
+ * @param address the address at which other members reach it
  */
 public record Member(long id, String name, String address, Role role) {
-    /** What a member does. The ordinal is stored on disk and sent between members. */
+    /**
+     * The role of a member in the cluster. The ordinal is stored on disk and sent between members.
+     */
     public enum Role {
-        /** Votes, and counts towards a quorum. */
+        /** Votes and counts towards a quorum. */
         VOTER,
-        /** Follows without a vote. */
+        /** Replicates the log without a vote. */
         LEARNER,
-        /** Follows without a vote until it has caught up, and is then made a voter. */
+        /** Replicates the log without a vote until it has caught up, and then becomes a voter. */
         JOINING
     }
 
-    Member as(Role newRole) {
+    Member withRole(Role newRole) {
         return new Member(id, name, address, newRole);
     }
 }
--- a/src/main/java/rockshift/raft/Membership.java
+++ b/src/main/java/rockshift/raft/Membership.java
@@ -5,29 +5,32 @@
 import java.util.function.LongPredicate;
 import java.util.function.ToLongFunction;
 
-/** The members of the cluster; immutable. A change makes another that differs by one member. */
+/**
+ * The members of the cluster. Immutable; a membership change creates a new instance that differs by
+ * one member.
+ */
 public final class Membership {
-    /** Five voters, and a few learners. */
+    /** Enough for five voters and a few learners. */
     public static final int MAX_MEMBERS = 9;
 
     private final TreeMap<Long, Member> byId = new TreeMap<>();
 
-    /** A membership of the given members, which have different ids. */
+    /** Creates a membership of the given members, whose ids must be distinct. */
     public Membership(Collection<Member> members) {
         members.forEach(member -> byId.put(member.id(), member));
     }
 
-    /** All members, by rising id. */
+    /** Returns all members in ascending order of their ids. */
     public Collection<Member> all() {
         return byId.values();
     }
 
-    /** The member of an id, null if there is none. */
+    /** Returns the member with the given id, or null if there is none. */
     public Member get(long id) {
         return byId.get(id);
     }
 
-    /** The member that operators call so, null if there is none. */
+    /** Returns the member with the given name, or null if there is none. */
     public Member byName(String name) {
         return byId.values().stream()
                 .filter(member -> member.name().equals(name))
@@ -35,41 +38,44 @@
                 .orElse(null);
     }
 
-    /** What operators call a member, or its number where it is none. */
+    /** Returns the name of a member, or "member" and its id in hexadecimal if it is unknown. */
     String nameOf(long id) {
         Member known = byId.get(id);
         return known == null ? "member " + Long.toHexString(id) : known.name();
     }
 
-    /** Whether an id is that of a member that votes. */
+    /** Returns whether the given id is that of a voter. */
     public boolean isVoter(long id) {
         Member member = byId.get(id);
         return member != null && member.role() == Member.Role.VOTER;
     }
 
-    /** How many members vote. */
+    /** Returns the number of voters. */
     public long voterCount() {
         return byId.keySet().stream().filter(this::isVoter).count();
     }
 
-    /** How many voters satisfy a condition. */
-    public long countVoters(LongPredicate agrees) {
-        return byId.keySet().stream().filter(id -> isVoter(id) && agrees.test(id)).count();
+    /** Returns the number of voters whose ids satisfy the condition. */
+    public long countVoters(LongPredicate condition) {
+        return byId.keySet().stream().filter(id -> isVoter(id) && condition.test(id)).count();
     }
 
     Membership with(Member member) {
-        Membership other = new Membership(byId.values());
-        other.byId.put(member.id(), member);
-        return other;
+        Membership changed = new Membership(byId.values());
+        changed.byId.put(member.id(), member);
+        return changed;
     }
 
     Membership without(long id) {
-        Membership other = new Membership(byId.values());
-        other.byId.remove(id);
-        return other;
+        Membership changed = new Membership(byId.values());
+        changed.byId.remove(id);
+        return changed;
     }
 
-    /** The highest value that at least {@code voters} voters have reached. */
+    /**
+     * Returns the highest value that at least {@code voters} voters have reached, {@link
+     * Long#MIN_VALUE} if there are fewer voters.
+     */
     long valueReachedBy(long voters, ToLongFunction<Long> value) {
         long[] sorted =
                 byId.keySet().stream().filter(this::isVoter).mapToLong(value).sorted().toArray();
--- a/src/main/java/rockshift/raft/MembershipChange.java
+++ b/src/main/java/rockshift/raft/MembershipChange.java
@@ -1,21 +1,30 @@
 package rockshift.raft;
 
-/** One member that is added, changes its role or is removed; only one may change at a time. */
+/** The addition, removal or change of role of one member. Only one member may change at a time. */
 record MembershipChange(Membership before, Membership after, Member member, boolean removes) {
-    /** Entries by which a joining member may be behind when it gets its vote. */
-    private static final int CATCH_UP_ENTRIES = 512;
+    /**
+     * Maximum number of entries by which a member may lag behind the commit index when it becomes a
+     * voter.
+     */
+    private static final int MAX_CATCH_UP_LAG_ENTRIES = 512;
 
     static MembershipChange of(Membership before, Member member, boolean removes) {
         Membership after = removes ? before.without(member.id()) : before.with(member);
         return new MembershipChange(before, after, member, removes);
     }
 
-    /** Whether a follower's log is close enough to the leader's for it to vote. */
+    /**
+     * Returns whether a follower's log is close enough to the commit index for it to become a
+     * voter.
+     */
     static boolean isCaughtUp(FollowerProgress follower, long commitIndex) {
-        return follower != null && follower.matchIndex() + CATCH_UP_ENTRIES >= commitIndex;
+        return follower != null && follower.matchIndex() + MAX_CATCH_UP_LAG_ENTRIES >= commitIndex;
     }
 
-    /** Why this change is not allowed, null if it is; {@code follower} may be null. */
+    /**
+     * Returns why this change is not allowed, or null if it is. {@code follower} is the progress of
+     * the changed member, null if it is not replicated to yet.
+     */
     ProposalRejection rejection(FollowerProgress follower, long commitIndex) {
         if (removes && before.get(member.id()) == null) {
             return ProposalRejection.UNKNOWN_MEMBER;
--- a/src/main/java/rockshift/raft/MembershipHistory.java
+++ b/src/main/java/rockshift/raft/MembershipHistory.java
@@ -3,9 +3,9 @@
 import java.util.TreeMap;
 
 /**
- * The memberships of the log, by the index of the entry from which each holds. The last one is in
- * force from the moment its entry is appended, committed or not; if that entry is truncated, the
- * one before is in force again.
+ * The memberships in the log, by the index of the entry that introduced each. The latest one is in
+ * force as soon as its entry is appended, committed or not; if that entry is truncated, the
+ * previous one is in force again.
  */
 final class MembershipHistory {
     private final TreeMap<Long, Membership> byIndex = new TreeMap<>();
@@ -14,17 +14,17 @@
         byIndex.put(index, membership);
     }
 
-    /** The membership in force. */
+    /** Returns the membership in force. */
     Membership current() {
         return byIndex.lastEntry().getValue();
     }
 
-    /** The index from which the membership in force holds. */
+    /** Returns the index of the entry that introduced the membership in force. */
     long currentIndex() {
         return byIndex.lastKey();
     }
 
-    /** The membership that was in force at an index that is still kept. */
+    /** Returns the membership that was in force at an index, which must not have been compacted. */
     Membership at(long index) {
         return byIndex.floorEntry(index).getValue();
     }
@@ -43,7 +43,7 @@
         byIndex.headMap(firstNeeded, false).clear();
     }
 
-    /** Starts again from a snapshot. */
+    /** Replaces all memberships with that of a snapshot. */
     void reset(long index, Membership membership) {
         byIndex.clear();
         byIndex.put(index, membership);
--- a/src/main/java/rockshift/raft/Message.java
+++ b/src/main/java/rockshift/raft/Message.java
@@ -3,27 +3,31 @@
 import java.util.List;
 
 /**
- * What members send each other. Every message names its sender, its receiver and the sender's term.
- * Times are ticks of 100 us on the clock of the member that is named.
+ * A message between members. Every message contains its sender, its receiver and the sender's term.
+ * Times are in ticks of 100 us: {@code sentAtTicks} on the leader's clock, {@code
+ * followerClockTicks} on the follower's.
  */
 public sealed interface Message {
-    /** The member that sent it. */
+    /** Returns the id of the sender. */
     long from();
 
-    /** The member that it is for. */
+    /** Returns the id of the receiver. */
     long to();
 
-    /** The sender's current term; of a pre-vote, the term that would come. */
+    /**
+     * Returns the sender's current term. In a pre-vote request, and a response that grants it, the
+     * term that the candidate would campaign in.
+     */
     long term();
 
     /**
-     * Asks for a vote.
+     * Requests a vote.
      *
-     * @param lastLogIndex the last entry of the candidate's log
+     * @param lastLogIndex the index of the last entry of the candidate's log
      * @param lastLogTerm the term of that entry
-     * @param preVote only asks whether the vote would be given, and binds nobody
-     * @param leadershipTransfer the leader itself handed over, so contact with it is no reason to
-     *     refuse
+     * @param preVote whether this only asks if the vote would be granted, which binds nobody
+     * @param leadershipTransfer whether the leader itself handed over leadership, so that contact
+     *     with it is no reason to refuse
      */
     record VoteRequest(
             long from,
@@ -35,15 +39,15 @@
             boolean leadershipTransfer)
             implements Message {}
 
-    /** Answers {@link VoteRequest}. */
+    /** The response to {@link VoteRequest}. */
     record VoteResponse(long from, long to, long term, boolean preVote, boolean granted)
             implements Message {}
 
     /**
-     * Entries that follow {@code prevLogIndex}; with none it is a heartbeat.
+     * Log entries that follow {@code prevLogIndex}; without entries it is a heartbeat.
      *
-     * @param round the leader's round of heartbeats; the answer brings it back
-     * @param sentAtTicks the leader's clock when it began the round
+     * @param round the number of the leader's heartbeat round, returned in the response
+     * @param sentAtTicks the leader's clock at the start of the round
      */
     record AppendRequest(
             long from,
@@ -58,14 +62,15 @@
             implements Message {}
 
     /**
-     * Answers {@link AppendRequest} or the last {@link SnapshotChunk}.
+     * The response to {@link AppendRequest} and to the last {@link SnapshotChunk} of a snapshot.
      *
-     * @param success whether the follower's log has the entry before those that were sent
-     * @param matchIndex up to where the logs are the same and durable; of a rejection, up to where
-     *     they may be the same
-     * @param conflictTerm of a rejection, the follower's term at {@code matchIndex}
-     * @param rejectedIndex of a rejection, the index at which the logs differ
-     * @param followerClockTicks the follower's own clock
+     * @param success whether the follower's log has the entry that precedes those in the request
+     * @param matchIndex the index up to which the logs match and are durable; in a rejection, up to
+     *     which they may match
+     * @param conflictTerm in a rejection, the follower's term at {@code matchIndex}
+     * @param rejectedIndex in a rejection, the {@code prevLogIndex} of the request, at which the
+     *     logs differ
+     * @param followerClockTicks the follower's clock when it responded
      */
     record AppendResponse(
             long from,
@@ -79,29 +84,33 @@
             long sentAtTicks,
             long followerClockTicks)
             implements Message {
-        /** The log matches the leader's up to an index, as of what the leader sent. */
+        /**
+         * Returns the response to a request after which the logs match up to {@code matchIndex}.
+         */
         static AppendResponse matched(
                 AppendRequest request, long term, long matchIndex, long nowTicks) {
             return matched(
                     request, term, matchIndex, request.round(), request.sentAtTicks(), nowTicks);
         }
 
-        /** The log matches the leader's up to an index, which the chunk's snapshot includes. */
+        /**
+         * Returns the response to the last chunk of a snapshot that includes {@code matchIndex}.
+         */
         static AppendResponse matched(
                 SnapshotChunk chunk, long term, long matchIndex, long nowTicks) {
             return matched(chunk, term, matchIndex, chunk.round(), chunk.sentAtTicks(), nowTicks);
         }
 
         private static AppendResponse matched(
-                Message answered,
+                Message request,
                 long term,
                 long matchIndex,
                 long round,
                 long sentAtTicks,
                 long nowTicks) {
             return new AppendResponse(
-                    answered.to(),
-                    answered.from(),
+                    request.to(),
+                    request.from(),
                     term,
                     true,
                     matchIndex,
@@ -114,11 +123,11 @@
     }
 
     /**
-     * A chunk of a snapshot, for a follower that lacks entries which the leader no longer has.
+     * A chunk of a snapshot, sent to a follower that lacks entries which the leader no longer has.
      *
      * @param totalBytes the size of the whole snapshot
-     * @param checksum that of the whole snapshot
-     * @param offset where this chunk begins in it
+     * @param checksum the checksum of the whole snapshot
+     * @param offset the position of this chunk in the snapshot, in bytes
      */
     record SnapshotChunk(
             long from,
@@ -135,7 +144,10 @@
             long sentAtTicks)
             implements Message {}
 
-    /** Answers {@link SnapshotChunk}: how much of the snapshot the follower holds. */
+    /**
+     * The response to {@link SnapshotChunk}, with the number of snapshot bytes that the follower
+     * holds.
+     */
     record SnapshotChunkResponse(
             long from,
             long to,
@@ -147,6 +159,6 @@
             long followerClockTicks)
             implements Message {}
 
-    /** The leader hands over: the receiver campaigns at once. */
+    /** Sent by a leader that hands over leadership: the receiver campaigns at once. */
     record TimeoutNow(long from, long to, long term) implements Message {}
 }
--- a/src/main/java/rockshift/raft/Outbox.java
+++ b/src/main/java/rockshift/raft/Outbox.java
@@ -4,8 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Messages that wait to be sent, in order. One that promises something waits for the write that it
- * rests on; those behind it that need no write, or an earlier one, overtake it.
+ * The queue of outgoing messages. A message that depends on unwritten state is held until the write
+ * of that state is durable; later messages that depend on no write, or on an earlier one, overtake
+ * it.
  */
 final class Outbox {
     private record DeferredMessage(long writeNumber, Message message) {}
@@ -17,33 +18,33 @@
         this.durability = durability;
     }
 
-    /** Sends a message that promises nothing. */
+    /** Sends a message that does not depend on durable state. */
     void send(Message message) {
         deferred.add(new DeferredMessage(0, message));
     }
 
     /**
-     * Sends a message once all that is known now (term, vote, entries, snapshot) is durable:
-     * requests of votes and their answers, rejected appends, and the acknowledgement of entries or
-     * a snapshot that are not durable yet.
+     * Sends a message once all current state (term, vote, entries, snapshot) is durable. For vote
+     * requests and their responses, rejected appends, and acknowledgements of entries or a snapshot
+     * that are not durable yet.
      */
     void sendWhenDurable(Message message) {
-        deferred.add(new DeferredMessage(durability.writeNumberOfPromise(), message));
+        deferred.add(new DeferredMessage(durability.requiredWriteNumber(), message));
     }
 
     /**
-     * Sends a message once the current term and vote are durable, and does not wait for entries:
-     * the acknowledgement of entries that are durable already.
+     * Sends a message once the current term and vote are durable, without waiting for entries. For
+     * acknowledgements of entries that are already durable.
      */
     void sendWhenTermDurable(Message message) {
-        deferred.add(new DeferredMessage(durability.writeNumberOfTermPromise(), message));
+        deferred.add(new DeferredMessage(durability.requiredWriteNumberForTerm(), message));
     }
 
     /**
-     * Delivers what need not wait any longer. A delivery may add messages; these are looked at next
-     * time.
+     * Delivers the messages that need not wait any longer. Messages that are added during a
+     * delivery are considered in the next call.
      *
-     * @return whether there was any
+     * @return whether any message was delivered
      */
     boolean release(Consumer<Message> delivery) {
         boolean released = false;
@@ -59,7 +60,7 @@
         return released;
     }
 
-    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    /** Returns this object's part of {@link RaftNode#fingerprint}. */
     String fingerprint() {
         return deferred.toString();
     }
--- a/src/main/java/rockshift/raft/ProposalRejection.java
+++ b/src/main/java/rockshift/raft/ProposalRejection.java
@@ -1,22 +1,22 @@
 package rockshift.raft;
 
-/** Why a request was rejected; nothing has changed. */
+/** The reason why a request was rejected. A rejected request has no effect. */
 public enum ProposalRejection {
-    /** Another member leads, or none. */
+    /** This member is not the leader; another member is, or none. */
     NOT_LEADER("not-leader"),
-    /** Too much waits to be committed. */
+    /** Too many entries or bytes are waiting to be committed. */
     BUSY("busy"),
-    /** The change has too many bytes. */
+    /** The change exceeds the maximum size. */
     TOO_LARGE("too-large"),
-    /** A leadership transfer is under way. */
+    /** A leadership transfer is in progress. */
     TRANSFERRING_LEADERSHIP("handing-over"),
-    /** The last membership change, or the leader's term, is not committed yet. */
+    /** The last membership change, or an entry of the leader's term, is not committed yet. */
     MEMBERSHIP_UNSETTLED("members-unsettled"),
-    /** The member's log is too far behind for it to vote. */
+    /** The member's log is too far behind for it to become a voter. */
     NOT_CAUGHT_UP("not-caught-up"),
-    /** No such member, or no voter. */
+    /** The member does not exist or is not a voter. */
     UNKNOWN_MEMBER("unknown-member"),
-    /** The cluster has as many members as it may. */
+    /** The cluster already has the maximum number of members. */
     TOO_MANY_MEMBERS("too-many-members"),
     /** The cluster would have no voter. */
     LAST_VOTER("last-voter"),
@@ -29,7 +29,7 @@
         this.code = code;
     }
 
-    /** The word for it in answers to commands. */
+    /** Returns the code for this reason in responses to commands. */
     public String code() {
         return code;
     }
--- a/src/main/java/rockshift/raft/ProposalResult.java
+++ b/src/main/java/rockshift/raft/ProposalResult.java
@@ -1,9 +1,9 @@
 package rockshift.raft;
 
 /**
- * What became of a proposal.
+ * The result of a proposal.
  *
- * @param index where the leader appended it; 0 if it was rejected
+ * @param index the index at which the leader appended it; 0 if it was rejected
  * @param rejection why it was rejected; null if it was appended
  */
 public record ProposalResult(long index, ProposalRejection rejection) {
@@ -15,7 +15,7 @@
         return new ProposalResult(0, reason);
     }
 
-    /** Whether the proposal is in the leader's log; it may still not be committed. */
+    /** Returns whether the proposal is in the leader's log. It may not be committed yet. */
     public boolean isAppended() {
         return rejection == null;
     }
--- a/src/main/java/rockshift/raft/QuorumReads.java
+++ b/src/main/java/rockshift/raft/QuorumReads.java
@@ -3,21 +3,22 @@
 import java.util.ArrayDeque;
 
 /**
- * Reads of the leader's state, from the request until they are answered. A read gets its read index
- * (the commit index that it must see applied) once the leader is known to lead still: at once under
- * a lease, else when a quorum has answered a round of heartbeats begun after the request.
+ * Linearizable reads of the leader's state, from the request until they are answered. A read is
+ * assigned its read index (the commit index that must be applied before it is answered) once the
+ * leader has confirmed that it still leads: at once under a lease, otherwise when a quorum has
+ * answered a heartbeat round that was started after the request.
  */
 final class QuorumReads {
-    /** Reads that may wait; more are rejected. */
+    /** Maximum number of pending reads; more are rejected. */
     private static final int MAX_PENDING_READS = 4_096;
 
     private record UnconfirmedRead(long token, long round) {}
 
-    private record ReadIndexRequest(long token, long readIndex) {}
+    private record ConfirmedRead(long token, long readIndex) {}
 
     private final SafetyRules rules;
     private final ArrayDeque<UnconfirmedRead> unconfirmed = new ArrayDeque<>();
-    private final ArrayDeque<ReadIndexRequest> confirmed = new ArrayDeque<>();
+    private final ArrayDeque<ConfirmedRead> confirmed = new ArrayDeque<>();
     private final ArrayDeque<Long> rejected = new ArrayDeque<>();
 
     QuorumReads(SafetyRules rules) {
@@ -32,31 +33,31 @@
         rejected.add(token);
     }
 
-    /** Takes a read that a lease confirms. */
+    /** Adds a read that is confirmed by the lease. */
     void addConfirmed(long token, long readIndex) {
-        confirmed.add(new ReadIndexRequest(token, readIndex));
+        confirmed.add(new ConfirmedRead(token, readIndex));
     }
 
-    /** Takes a read that waits until a quorum has answered a round. */
+    /** Adds a read that waits until a quorum has answered a round. */
     void awaitRound(long token, long round) {
         unconfirmed.add(new UnconfirmedRead(token, round));
     }
 
-    /** Whether a read waits for a round that has not begun. */
+    /** Returns whether a read waits for a round that has not started. */
     boolean needsRoundAfter(long round) {
         return !unconfirmed.isEmpty() && unconfirmed.getLast().round > round;
     }
 
-    /** Gives the read index to reads whose round a quorum has answered. */
+    /** Assigns the read index to reads whose round a quorum has answered. */
     void confirm(long roundOfQuorum, long commitIndex, boolean commitIndexKnown) {
         while (!unconfirmed.isEmpty()
                 && rules.isReadConfirmed(roundOfQuorum, unconfirmed.getFirst().round)
                 && commitIndexKnown) {
-            confirmed.add(new ReadIndexRequest(unconfirmed.removeFirst().token, commitIndex));
+            confirmed.add(new ConfirmedRead(unconfirmed.removeFirst().token, commitIndex));
         }
     }
 
-    /** Rejects all reads that wait: this member leads no longer. */
+    /** Rejects all pending reads, as this member is no longer the leader. */
     void rejectAll() {
         unconfirmed.forEach(read -> rejected.add(read.token));
         confirmed.forEach(read -> rejected.add(read.token));
@@ -64,7 +65,11 @@
         confirmed.clear();
     }
 
-    /** Answers one read, rejected ones first; false if none can be answered now. */
+    /**
+     * Answers one read, rejected ones first.
+     *
+     * @return false if none can be answered now
+     */
     boolean answerNext(long appliedIndex, RaftOutput output) {
         if (!rejected.isEmpty()) {
             output.readRejected(rejected.removeFirst());
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -6,41 +6,41 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member's part in the Raft protocol. The host calls an input method for each thing that
- * happens, then {@link #poll} until that returns false; decisions are carried out through {@link
- * RaftOutput}. Inputs only update what is known.
+ * One member of a Raft cluster. The host calls an input method for each event, then {@link #poll}
+ * until it returns false. Input methods only update state; {@code poll} passes the resulting
+ * actions to {@link RaftOutput}.
  *
- * <p>This class passes each input to the class that owns its concern, and makes the transitions
- * that touch several of them: a new term, the start and the end of leading. The conditions on which
- * safety rests stand in {@link SafetyRules}; docs/raft.md describes the protocol.
+ * <p>This class passes each input to the class responsible for it, and makes the transitions that
+ * involve several of them: entering a new term, becoming leader and stepping down. The conditions
+ * that safety depends on are in {@link SafetyRules}; docs/raft.md describes the protocol.
  *
- * <p>Times are ticks of 100 us on the host's monotonic clock. The host hands in the time before
- * anything else, so that a member that was suspended notices that first. It must be used by one
- * thread.
+ * <p>Times are in ticks of 100 us on the host's monotonic clock. The host must pass the current
+ * time before any other input, so that a member that was suspended detects this first. A member
+ * must be used by a single thread.
  */
 public final class RaftNode {
-    /** Bytes of the largest change. */
+    /** Maximum size of a change. */
     public static final int MAX_CHANGE_BYTES = 64 << 10;
 
-    /** What a member is in the current term. */
+    /** The role of a member in the current term. */
     public enum Role {
         /** Follows a leader, or waits for one. */
         FOLLOWER,
-        /** Asks whether it would be elected. */
+        /** Runs a pre-vote: asks whether it would be elected. */
         PRE_CANDIDATE,
-        /** Asks for votes in a new term. */
+        /** Requests votes in a new term. */
         CANDIDATE,
-        /** Leads. */
+        /** Replicates its log to the other members. */
         LEADER
     }
 
     /**
-     * The state of a member, for operators and for checks.
+     * The status of a member, for operators and for invariant checks.
      *
-     * @param leader the leader that it knows of, 0 if none
-     * @param firstIndex the first entry that it still holds
-     * @param matchIndexes of a leader, up to where each follower's log is known to match
-     * @param holdsLease whether it may answer reads at once
+     * @param leader the id of the leader known to the member, 0 if none
+     * @param firstIndex the index of the first entry that it still holds
+     * @param matchIndexes on a leader, the index up to which each follower's log is known to match
+     * @param holdsLease whether it may answer reads without asking a quorum
      */
     public record Status(
             Role role,
@@ -66,17 +66,17 @@
     private final AppendReceiver appendReceiver;
     private final SnapshotReceiver snapshotReceiver;
 
-    /** Lines for the host's log. */
+    /** Log lines that have not been passed to the host yet. */
     private final ArrayDeque<String> logLines = new ArrayDeque<>();
 
     private long nowTicks;
 
     /**
-     * A member as its disk has it.
+     * Creates a member with the state recovered from its disk.
      *
-     * @param random decides how long it waits before it campaigns
-     * @param snapshot the newest one
-     * @param entries those above the snapshot
+     * @param random source of the randomized election timeouts
+     * @param snapshot the newest snapshot
+     * @param entries the entries after the snapshot
      */
     public RaftNode(
             long id,
@@ -101,61 +101,59 @@
         snapshotReceiver = new SnapshotReceiver(log, commits, durability, outbox, logLines::add);
     }
 
-    // ---- what is known --------------------------------------------------------------------------
-
-    /** This member's id. */
+    /** Returns the id of this member. */
     public long id() {
         return id;
     }
 
-    /** The newest term that this member knows. */
+    /** Returns the newest term known to this member. */
     public long term() {
         return durability.term();
     }
 
-    /** Whether this member leads in its term. */
+    /** Returns whether this member is the leader of its term. */
     public boolean isLeader() {
         return election.isLeader();
     }
 
-    /** The leader that this member knows of, 0 if none. */
+    /** Returns the id of the leader known to this member, 0 if none. */
     public long leader() {
         return election.leader();
     }
 
-    /** The membership in force, which may not be committed yet. */
+    /** Returns the membership in force, which may not be committed yet. */
     public Membership membership() {
         return log.membership();
     }
 
-    /** The membership that was in force at an index that is still kept. */
+    /** Returns the membership that was in force at an index, which must not have been compacted. */
     public Membership membershipAt(long index) {
         return log.membershipAt(index);
     }
 
-    /** Up to where the log is known to be committed. */
+    /** Returns the index up to which the log is known to be committed. */
     public long commitIndex() {
         return commits.commitIndex();
     }
 
-    /** Up to where the log has been applied here. */
+    /** Returns the index up to which the log has been applied on this member. */
     public long appliedIndex() {
         return commits.appliedIndex();
     }
 
-    /** The entries that this member holds; only for reading. */
+    /** Returns the log of this member. The caller must not modify it. */
     public Log log() {
         return log.entries();
     }
 
-    /** The newest snapshot. */
+    /** Returns the newest snapshot. */
     public Snapshot snapshot() {
         return log.snapshot();
     }
 
     /**
-     * Whether this member is in touch with a leader that a quorum follows: a leader knows by
-     * answers, a follower by the leader's messages.
+     * Returns whether this member is in contact with a leader that a quorum follows. A leader knows
+     * this from responses, a follower from the leader's messages.
      */
     public boolean hasQuorumContact() {
         return isLeader()
@@ -163,7 +161,7 @@
                 : election.hasLeaderContact(nowTicks);
     }
 
-    /** The state of this member. */
+    /** Returns the status of this member. */
     public Status status() {
         return new Status(
                 election.role(),
@@ -176,19 +174,20 @@
                 log.lastIndex(),
                 membership(),
                 leadership.matchIndexes(),
-                isLeader() && leadership.leaseHolds(nowTicks));
+                isLeader() && leadership.isLeaseValid(nowTicks));
     }
 
-    // ---- inputs ---------------------------------------------------------------------------------
-
-    /** Gives a blank member the founders of its cluster; the host has persisted them. */
+    /**
+     * Sets the founding members of the cluster, which the host has already persisted. Has no effect
+     * on a member that has entries, a term or a vote.
+     */
     public void bootstrap(Membership founders) {
         if (log.lastIndex() == 0 && durability.termAndVote().equals(TermAndVote.NONE)) {
             log.bootstrap(founders);
         }
     }
 
-    /** Time passes. */
+    /** Advances the time: campaigns, sends heartbeats or steps down if this is due. */
     public void tick(long timeTicks) {
         nowTicks = Math.max(nowTicks, timeTicks);
         if (isLeader()) {
@@ -204,7 +203,7 @@
         }
     }
 
-    /** A write is durable, with everything before it. */
+    /** Reports that a write, and all writes before it, are durable. */
     public void writeCompleted(long writeNumber) {
         if (durability.writeCompleted(writeNumber, log.lastIndex()) && isLeader()) {
             continueOrStepDown(leadership.advanceCommitIndex(nowTicks));
@@ -212,16 +211,18 @@
     }
 
     /**
-     * Whether the disk accepts writes. A member whose disk does not continues to serve, but neither
-     * leads nor campaigns.
+     * Reports whether the disk accepts writes. If it does not, the member continues to serve, but
+     * neither leads nor campaigns.
      */
     public void diskStatusChanged(boolean works) {
         if (durability.diskWorks() != works) {
             logLines.add(
                     works
-                            ? "disk takes entries again"
+                            ? "disk writes work again: voting and acknowledging entries term="
+                                    + term()
                             : "disk writes fail: not voting, not acknowledging or applying new"
-                                    + " entries");
+                                    + " entries term="
+                                    + term());
         }
         durability.setDiskWorks(works);
         if (isLeader()) {
@@ -229,14 +230,20 @@
         }
     }
 
-    /** The host has persisted a snapshot of what is applied: entries below it are dropped. */
+    /**
+     * Reports that the host has persisted a snapshot of the applied state. Older log entries are
+     * compacted.
+     */
     public void snapshotSaved(Snapshot saved) {
         if (saved.index() > snapshot().index() && saved.index() <= appliedIndex()) {
             log.compact(saved);
         }
     }
 
-    /** Asks for permission to answer a read from what is applied here. */
+    /**
+     * Requests permission to answer a read from the state applied here. {@link
+     * RaftOutput#readReady} or {@link RaftOutput#readRejected} is called with the token.
+     */
     public void requestRead(long token) {
         if (isLeader()) {
             leadership.requestRead(token, nowTicks);
@@ -245,7 +252,9 @@
         }
     }
 
-    /** Appends a change, if this member leads and has room for it. */
+    /**
+     * Appends an entry if this member is the leader and the limits on uncommitted entries allow it.
+     */
     public ProposalResult propose(Entry.Kind kind, long session, long serial, byte[] body) {
         ProposalRejection rejection =
                 isLeader() ? leadership.rejectionOf(body) : ProposalRejection.NOT_LEADER;
@@ -257,19 +266,27 @@
         return ProposalResult.appended(entry.index());
     }
 
-    /** Adds a member, changes its role, or removes it; answers null, or why not. */
+    /**
+     * Adds a member, changes its role or removes it.
+     *
+     * @return null if the change was appended, otherwise the reason for the rejection
+     */
     public ProposalRejection changeMembership(Member member, boolean remove) {
         return isLeader()
                 ? leadership.changeMembership(member, remove, nowTicks)
                 : ProposalRejection.NOT_LEADER;
     }
 
-    /** Brings another voter up to date and has it campaign; answers null, or why not. */
+    /**
+     * Brings another voter up to date and has it campaign.
+     *
+     * @return null if the transfer was started, otherwise the reason for the rejection
+     */
     public ProposalRejection transferLeadership(long target) {
         return isLeader() ? leadership.transferTo(target, nowTicks) : ProposalRejection.NOT_LEADER;
     }
 
-    /** A message arrived. */
+    /** Handles a message that has arrived. */
     public void receive(Message message) {
         if (message.to() != id) {
             return;
@@ -281,8 +298,9 @@
         } else if (message instanceof Message.VoteResponse response
                 && response.preVote()
                 && response.granted()) {
-            // Its term is the one that would come, and is not entered for it.
-            handleVote(response);
+            // Its term is that of an election that may follow, so this member does not enter it
+            // yet.
+            handleVoteResponse(response);
         } else {
             if (message.term() > term()) {
                 becomeFollower(message.term());
@@ -291,11 +309,9 @@
         }
     }
 
-    // ---- messages -------------------------------------------------------------------------------
-
     private void handleInCurrentTerm(Message message) {
         if (message instanceof Message.VoteResponse response) {
-            handleVote(response);
+            handleVoteResponse(response);
         } else if (message instanceof Message.AppendRequest request) {
             recordLeader(request.from());
             appendReceiver.receive(request, nowTicks);
@@ -317,7 +333,10 @@
         }
     }
 
-    /** Tells the leader of an older term of this one, so that it ends; answers mean nothing now. */
+    /**
+     * Informs the leader of an older term of the current one, so that it steps down. Other messages
+     * of an older term are ignored.
+     */
     private void rejectOldTerm(Message message) {
         if (message instanceof Message.AppendRequest || message instanceof Message.SnapshotChunk) {
             outbox.sendWhenDurable(
@@ -340,7 +359,7 @@
         election.answerVote(request, nowTicks);
     }
 
-    private void handleVote(Message.VoteResponse response) {
+    private void handleVoteResponse(Message.VoteResponse response) {
         if (!election.isExpectedVote(response) || !election.recordVote(response.from())) {
             return;
         }
@@ -351,15 +370,13 @@
         }
     }
 
-    // ---- transitions ----------------------------------------------------------------------------
-
     private boolean mayCampaign() {
         return durability.diskWorks() && membership().isVoter(id);
     }
 
     private void recordLeader(long from) {
         if (election.recordLeader(from, nowTicks)) {
-            logLines.add("follows " + membership().nameOf(from) + " in term " + term());
+            logLines.add("following leader=" + membership().nameOf(from) + " term=" + term());
         }
     }
 
@@ -374,21 +391,22 @@
     private void becomeLeader() {
         election.becomeLeader();
         logLines.add(
-                "leads in term "
+                "leads in term="
                         + term()
-                        + " with "
+                        + " lastIndex="
                         + log.lastIndex()
-                        + " entries, "
-                        + commitIndex()
-                        + " known agreed");
+                        + " commitIndex="
+                        + commitIndex());
         leadership.start(nowTicks);
     }
 
-    // ---- outputs --------------------------------------------------------------------------------
-
-    /** Carries out one step, if there is one to take now; false if there is none. */
+    /**
+     * Carries out the next action that is due.
+     *
+     * @return false if there was none
+     */
     public boolean poll(RaftOutput output) {
-        durability.settleTermAndVote();
+        durability.updateDurableTermAndVote();
         if (!logLines.isEmpty()) {
             output.log(logLines.remove());
             return true;
@@ -407,7 +425,10 @@
         }
     }
 
-    /** Writes what is unwritten, and gives the state machine what is committed and durable. */
+    /**
+     * Starts a write of unwritten state, or passes committed and durable state to the state
+     * machine.
+     */
     private boolean pollStorage(RaftOutput output) {
         if (durability.canStartWrite()) {
             durability.startWrite(log.entries(), output);
@@ -424,7 +445,10 @@
         return true;
     }
 
-    /** The state that the next step depends on, times left out: equal texts mean equal states. */
+    /**
+     * Returns a text of the state that the next action depends on, without times. Equal texts mean
+     * equal states.
+     */
     public String fingerprint() {
         StringBuilder text = new StringBuilder();
         text.append(election.fingerprint()).append(durability.termAndVote()).append('|');
--- a/src/main/java/rockshift/raft/RaftOutput.java
+++ b/src/main/java/rockshift/raft/RaftOutput.java
@@ -2,15 +2,19 @@
 
 import java.util.List;
 
-/** What a host carries out for one {@link RaftNode}, in the order of the calls. */
+/**
+ * The actions that a {@link RaftNode} requires of its host, which carries them out in the order of
+ * the calls.
+ */
 public interface RaftOutput {
     /**
-     * Makes durable what changed, and reports the number of the write to {@link
-     * RaftNode#writeCompleted} once it is. One write is in progress at a time.
+     * Makes changed state durable. The host then reports {@code writeNumber} to {@link
+     * RaftNode#writeCompleted}. Only one write is in progress at a time.
      *
-     * @param firstIndex the index of the first entry: whatever the log had from there on is void; 0
-     *     if no entry changed
-     * @param snapshot replaces all entries before the others are written; null if there is none
+     * @param firstIndex the index of the first entry; stored entries from this index on are
+     *     discarded; 0 if no entry changed
+     * @param snapshot replaces all stored entries before {@code entries} are written; null if there
+     *     is none
      */
     void persist(
             long writeNumber,
@@ -19,21 +23,23 @@
             List<Entry> entries,
             Snapshot snapshot);
 
-    /** Sends a message; it may be lost, delayed or doubled. */
+    /** Sends a message, which may be lost, delayed or duplicated. */
     void send(Message message);
 
-    /** Applies a committed entry; each is applied once in a process, in the order of the log. */
+    /** Applies a committed entry. Each entry is applied once per process, in log order. */
     void apply(Entry entry);
 
-    /** Replaces the applied state by a snapshot's. */
+    /** Replaces the applied state with that of a snapshot. */
     void restore(Snapshot snapshot);
 
-    /** The state as applied now answers the read of that token. */
+    /** Called when the read with this token can be answered from the state applied so far. */
     void readReady(long token);
 
-    /** The read of that token can't be answered here: ask the leader. */
+    /**
+     * Called when the read with this token cannot be answered here; the client must ask the leader.
+     */
     void readRejected(long token);
 
-    /** Writes a line to the log for operators. */
+    /** Logs a protocol event for operators. */
     void log(String line);
 }
--- a/src/main/java/rockshift/raft/ReplicatedLog.java
+++ b/src/main/java/rockshift/raft/ReplicatedLog.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A member's log with what belongs to it: the snapshot that replaces its compacted part and the
- * memberships that its entries carry. Every change of the log goes through here, and is reported to
- * the {@link DurabilityTracker}, so that nothing is appended or truncated without being persisted.
+ * A member's log, with the snapshot that replaces its compacted part and the memberships in its
+ * entries. Every change of the log is made by this class and reported to the {@link
+ * DurabilityTracker}, so that nothing is appended or truncated without being persisted.
  */
 final class ReplicatedLog {
     /**
-     * Entries kept below a snapshot, so that a follower that is a little behind is sent entries
-     * rather than the snapshot.
+     * Number of entries retained below a snapshot, so that a follower that lags a little is sent
+     * entries rather than the snapshot.
      */
     private static final int RETAINED_ENTRIES = 2_000;
 
@@ -19,7 +19,7 @@
     private final DurabilityTracker durability;
     private Snapshot snapshot;
 
-    /** A log as it was recovered from disk; {@code entries} follow the snapshot. */
+    /** Creates a log as recovered from disk; {@code entries} are those after the snapshot. */
     ReplicatedLog(Snapshot snapshot, List<Entry> entries, DurabilityTracker durability) {
         this.snapshot = snapshot;
         this.durability = durability;
@@ -59,12 +59,12 @@
         return log.term(index);
     }
 
-    /** The membership in force. */
+    /** Returns the membership in force. */
     Membership membership() {
         return memberships.current();
     }
 
-    /** The index from which the membership in force holds. */
+    /** Returns the index of the entry that introduced the membership in force. */
     long membershipIndex() {
         return memberships.currentIndex();
     }
@@ -73,7 +73,7 @@
         return memberships.at(index);
     }
 
-    /** Gives an empty log its founding members; the caller has persisted them already. */
+    /** Sets the founding members of an empty log. The caller has already persisted them. */
     void bootstrap(Membership founders) {
         snapshot = new Snapshot(0, 0, founders, new byte[0]);
         memberships.put(0, founders);
@@ -84,14 +84,14 @@
         durability.entriesAppended(entry.index());
     }
 
-    /** Removes an entry and all after it. */
+    /** Removes the entry at an index and all entries after it. */
     void truncateFrom(long index) {
         log.truncateFrom(index);
         memberships.truncateFrom(index);
         durability.entriesTruncated(index);
     }
 
-    /** Replaces the whole log by a snapshot that the leader sent. */
+    /** Replaces the whole log with a snapshot sent by the leader. */
     void installSnapshot(Snapshot received) {
         snapshot = received;
         log.reset(received.index(), received.term());
@@ -99,21 +99,25 @@
         durability.snapshotInstalled(received);
     }
 
-    /** Drops entries that a snapshot of this member's own state includes. */
+    /**
+     * Drops entries included in a snapshot of this member's own state, except for the retained
+     * ones.
+     */
     void compact(Snapshot taken) {
         snapshot = taken;
         log.compact(Math.max(log.baseIndex(), taken.index() - RETAINED_ENTRIES));
         memberships.compact(Math.max(log.baseIndex(), 0));
     }
 
-    /** Bytes of the newest entries, by their share of all in memory. */
+    /** Estimates the size of the newest entries from the average size of all entries in memory. */
     long bytesOfNewest(long count) {
         return log.bytes() * count / Math.max(1, log.lastIndex() - log.baseIndex());
     }
 
     /**
-     * The highest index from {@code from} downwards whose term is at most {@code term}: where the
-     * log may agree with one that has that term.
+     * Returns the highest index, from {@code from} downwards, whose term is at most {@code term},
+     * or the base index: the last index at which this log may match a log that has {@code term}
+     * there.
      */
     long lastIndexWithinTerm(long from, long term) {
         long index = from;
--- a/src/main/java/rockshift/raft/Replication.java
+++ b/src/main/java/rockshift/raft/Replication.java
@@ -9,12 +9,15 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A leader's side of replication: what each follower has, what it is sent, and the rounds of
- * heartbeats by which the leader learns that it leads still. Messages that are lost show at the
- * next heartbeat, as each names the entry before it.
+ * Replication on the leader: the progress of each follower, the messages sent to it, and the
+ * heartbeat rounds by which the leader confirms that it still leads. A follower detects lost
+ * messages at the next heartbeat, as each one names the entry before it.
  */
 final class Replication {
-    /** Bytes of entries in one message: a part of the largest frame, and little to send again. */
+    /**
+     * Maximum size of the entries in one message: a fraction of the largest frame, and cheap to
+     * resend.
+     */
     private static final int MAX_MESSAGE_BYTES = 128 << 10;
 
     private final long id;
@@ -25,15 +28,18 @@
     private final DurabilityTracker durability;
     private final Outbox outbox;
 
-    /** By id, in the order in which they were added: messages go out in this order. */
+    /** By id, in the order in which they were added. Messages are sent in this order. */
     private final Map<Long, FollowerProgress> followers = new LinkedHashMap<>();
 
-    /** The last round of heartbeats; rises with each and never falls, whatever the term. */
+    /**
+     * The number of the last heartbeat round. Increases with each round and is never reset, not
+     * even in a new term.
+     */
     private long heartbeatRound;
 
     private long roundStartTicks;
 
-    /** The lowest commit index that has not been announced to followers. */
+    /** The lowest commit index that has not been announced to the followers. */
     private long firstUnannouncedCommit;
 
     Replication(
@@ -53,20 +59,18 @@
         this.outbox = outbox;
     }
 
-    // ---- followers ------------------------------------------------------------------------------
-
-    /** This member begins to lead: nothing is known of the followers' logs. */
+    /** Begins to replicate as leader. Nothing is known about the followers' logs yet. */
     void start(long nowTicks) {
         followers.clear();
         trackMembers(log.lastIndex() + 1, nowTicks);
     }
 
-    /** This member leads no longer. */
+    /** Ends replication, as this member is no longer the leader. */
     void stop() {
         followers.clear();
     }
 
-    /** Begins to send to members that are not followers yet, from an index on. */
+    /** Begins to replicate to members that are not followers yet, starting at an index. */
     void trackMembers(long nextIndex, long nowTicks) {
         for (Member member : log.membership().all()) {
             if (member.id() != id) {
@@ -76,7 +80,10 @@
         }
     }
 
-    /** Tells those that are no longer members of it once, and sends them nothing more. */
+    /**
+     * Announces the commit of their removal to removed members, in one heartbeat each, and sends
+     * them nothing more.
+     */
     void dropRemovedMembers() {
         List<Long> removed = new ArrayList<>(followers.keySet());
         removed.removeIf(member -> log.membership().get(member) != null);
@@ -85,7 +92,7 @@
         }
     }
 
-    /** A follower, null if there is none of that id. */
+    /** Returns the follower with the given id, or null if there is none. */
     FollowerProgress follower(long member) {
         return followers.get(member);
     }
@@ -101,11 +108,11 @@
     }
 
     /**
-     * The highest value that a quorum of voters has reached.
+     * Returns the highest value that a quorum of voters has reached.
      *
      * @param own the leader's own value
      * @param value a follower's value
-     * @param absent the value of a voter that is no follower
+     * @param absent the value of a voter that is not replicated to
      */
     long quorumValue(long own, ToLongFunction<FollowerProgress> value, long absent) {
         Membership members = log.membership();
@@ -120,8 +127,6 @@
                 });
     }
 
-    // ---- rounds ---------------------------------------------------------------------------------
-
     long heartbeatRound() {
         return heartbeatRound;
     }
@@ -131,14 +136,18 @@
     }
 
     /**
-     * Whether followers should be sent the commit index at once, as no later message will carry it.
+     * Returns whether followers should be sent the commit index at once, as no later message will
+     * carry it.
      */
     boolean hasCommitToAnnounce() {
         return firstUnannouncedCommit <= commits.commitIndex()
                 && commits.commitIndex() == log.lastIndex();
     }
 
-    /** Begins a round: each follower is sent entries, or a heartbeat if there are none to send. */
+    /**
+     * Starts a heartbeat round: sends each follower entries, or a heartbeat if there are none to
+     * send.
+     */
     void startRound(long nowTicks) {
         heartbeatRound++;
         roundStartTicks = nowTicks;
@@ -151,9 +160,11 @@
         }
     }
 
-    // ---- sending --------------------------------------------------------------------------------
-
-    /** Sends each follower the entries that it lacks; false if there was nothing to send. */
+    /**
+     * Sends each follower the entries that it lacks.
+     *
+     * @return whether there was anything to send
+     */
     boolean sendEntries(long nowTicks) {
         boolean sent = false;
         for (FollowerProgress follower : followers.values()) {
@@ -163,7 +174,10 @@
     }
 
     /**
-     * Sends what a follower lacks, as far as its flow control allows; false if that was nothing.
+     * Sends a follower the entries or the snapshot chunk that it lacks, as far as flow control
+     * allows.
+     *
+     * @return whether anything was sent
      */
     boolean send(FollowerProgress follower, long nowTicks) {
         if (follower.mode() == FollowerProgress.Mode.SNAPSHOT) {
@@ -211,10 +225,13 @@
                         entries));
     }
 
-    /** Sends no entries: it shows a follower that it lacks some, where a message was lost. */
+    /**
+     * Sends a request without entries, by which a follower detects that it lacks entries because a
+     * message was lost.
+     */
     private void sendHeartbeat(FollowerProgress follower) {
         if (follower.mode() == FollowerProgress.Mode.SNAPSHOT) {
-            // It has no entry that could be named as the one before.
+            // The follower has no entry that could be given as the previous one.
             outbox.send(
                     new Message.AppendRequest(
                             id,
@@ -243,20 +260,21 @@
                                 nowTicks));
     }
 
-    // ---- answers --------------------------------------------------------------------------------
-
-    /** A follower's log differs from the leader's: probes for the last index where they match. */
+    /**
+     * Handles a follower's log that differs from the leader's: probes for the last index where they
+     * match.
+     */
     void handleRejection(FollowerProgress follower, Message.AppendResponse response) {
         if (follower.isRelevantRejection(response.rejectedIndex())) {
-            long hint =
+            long lastPossibleMatch =
                     log.lastIndexWithinTerm(
                             Math.min(response.matchIndex(), log.lastIndex()),
                             response.conflictTerm());
-            follower.startProbe(hint + 1);
+            follower.startProbe(lastPossibleMatch + 1);
         }
     }
 
-    /** A follower holds a part of a snapshot: sends the next chunk. */
+    /** Handles the receipt of a part of a snapshot: sends the next chunk. */
     void handleChunkResponse(
             FollowerProgress follower, Message.SnapshotChunkResponse response, long nowTicks) {
         SnapshotSender sender = follower.snapshotSender();
@@ -267,7 +285,7 @@
         }
     }
 
-    /** The state that the next step depends on, for {@link RaftNode#fingerprint}. */
+    /** Returns this object's part of {@link RaftNode#fingerprint}. */
     String fingerprint() {
         StringBuilder text = new StringBuilder();
         followers.values().forEach(follower -> text.append(follower.fingerprint()));
--- a/src/main/java/rockshift/raft/SafetyRules.java
+++ b/src/main/java/rockshift/raft/SafetyRules.java
@@ -3,106 +3,121 @@
 import java.util.function.LongPredicate;
 
 /**
- * The conditions on which Raft's safety rests, one method each, so that each can be read by itself,
- * and broken on purpose to show that the tests find it. They hold no state.
+ * The conditions that the safety of Raft depends on. Each is a method of its own, so that it can be
+ * reviewed by itself, and overridden with a fault to show that the tests detect it. Stateless.
  */
 public class SafetyRules {
-    /** A member gives one vote a term; else two leaders could be elected in it. */
+    /**
+     * A member grants one vote per term; otherwise two leaders could be elected in the same term.
+     */
     protected boolean mayVoteFor(TermAndVote termAndVote, long candidate) {
         return termAndVote.votedFor() == 0 || termAndVote.votedFor() == candidate;
     }
 
     /**
-     * A candidate's log ends no earlier than the voter's; so a leader holds all that is committed.
+     * A candidate's log must be at least as up to date as the voter's, so that a leader holds all
+     * committed entries.
      */
     protected boolean isLogUpToDate(long lastIndex, long lastTerm, long ownIndex, long ownTerm) {
         return lastTerm > ownTerm || lastTerm == ownTerm && lastIndex >= ownIndex;
     }
 
-    /** Whether those who agree are a majority of the voters. */
-    protected boolean isQuorum(Membership members, LongPredicate agrees) {
-        return members.countVoters(agrees) >= quorumSize(members);
+    /** Returns whether the voters that satisfy the condition are a majority. */
+    protected boolean isQuorum(Membership members, LongPredicate condition) {
+        return members.countVoters(condition) >= quorumSize(members);
     }
 
-    /** A majority: two quorums always share a voter. */
+    /** Returns the size of a majority of the voters; any two quorums share a voter. */
     protected long quorumSize(Membership members) {
         return members.voterCount() / 2 + 1;
     }
 
     /**
-     * A leader counts copies of its own term's entries only: older ones can still be overwritten
-     * though a quorum holds them.
+     * A leader commits only entries of its own term by counting replicas; older entries can still
+     * be overwritten although a quorum holds them.
      */
     protected boolean mayCommitByCounting(long entryTerm, long term) {
         return entryTerm == term;
     }
 
-    /** Two logs are the same up to an index if they have the same term there. */
+    /** Two logs are identical up to an index if they have the same term at that index. */
     protected boolean logsMatch(long previousTerm, long ownTerm) {
         return previousTerm == ownTerm;
     }
 
     /**
-     * An entry that is in the log already is kept with all after it; else a delayed message would
-     * truncate what was acknowledged later.
+     * An entry that is already in the log is kept, with all entries after it; otherwise a delayed
+     * message would truncate entries that were acknowledged later.
      */
     protected boolean entriesMatch(long entryTerm, long ownTerm) {
         return entryTerm == ownTerm;
     }
 
     /**
-     * A member in contact with a leader, or just started, votes for no other: it may have promised
-     * the leader a lease.
+     * A member that is in contact with a leader, or has just started, votes for no other member: it
+     * may have promised the leader a lease.
      */
     protected boolean honorsCurrentLeader(
             long nowTicks, long lastLeaderContactTicks, Timing timing) {
         return nowTicks < lastLeaderContactTicks + timing.electionTimeoutTicks();
     }
 
-    /** Until when no other member can be elected, if a quorum answered what was sent at a time. */
+    /**
+     * Returns the time until which no other member can be elected if a quorum has answered a round
+     * that was started at {@code roundStartTicks}.
+     */
     protected long leaseExpiry(long roundStartTicks, Timing timing) {
-        double safeShare = 1 - timing.maxClockDriftRatio();
-        return roundStartTicks + (long) (timing.electionTimeoutTicks() * safeShare);
+        double safeFraction = 1 - timing.maxClockDriftRatio();
+        return roundStartTicks + (long) (timing.electionTimeoutTicks() * safeFraction);
     }
 
     /**
-     * A leader that may have had another campaign holds no lease: the target of a transfer does not
-     * wait for it to end.
+     * A leader that has started a transfer in its term holds no lease: the target campaigns without
+     * waiting for the lease to expire.
      */
     protected boolean mayHoldLease(boolean transferStartedInTerm) {
         return !transferStartedInTerm;
     }
 
-    /** A read is answered once a quorum has answered a round that was begun after it came. */
+    /**
+     * A read is confirmed once a quorum has answered a round that was started after the read was
+     * requested.
+     */
     protected boolean isReadConfirmed(long roundOfQuorum, long roundOfRead) {
         return roundOfQuorum >= roundOfRead;
     }
 
-    /** A new leader knows what is committed only by a committed entry of its own term. */
+    /**
+     * A new leader knows which entries are committed only once an entry of its own term is
+     * committed.
+     */
     protected boolean knowsCommitIndex(long commitTerm, long term) {
         return commitTerm == term;
     }
 
     /**
-     * One membership change at a time, and the first of a term only after an entry of that term is
-     * committed.
+     * Only one membership change may be in progress, and the first in a term may start only after
+     * an entry of that term is committed.
      */
     protected boolean mayChangeMembership(
             long membershipIndex, long commitIndex, long commitTerm, long term) {
         return membershipIndex <= commitIndex && commitTerm == term;
     }
 
-    /** A promise is sent only when what it rests on is durable; else a crash would break it. */
+    /**
+     * A message that depends on state, such as a vote, is sent only when that state is durable;
+     * otherwise a crash would break the promise made by it.
+     */
     protected boolean persistsBeforeSending() {
         return true;
     }
 
-    /** Whether a candidate first asks whether it would win. */
+    /** Returns whether a candidate first asks in a pre-vote whether it would win. */
     protected boolean usesPreVote() {
         return true;
     }
 
-    /** A change of a session is applied if its serial is beyond the last one applied. */
+    /** A change in a session is applied if its serial is greater than the last one applied. */
     protected boolean isNewSerial(long serial, long lastSerial) {
         return serial > lastSerial;
     }
--- a/src/main/java/rockshift/raft/SnapshotReceiver.java
+++ b/src/main/java/rockshift/raft/SnapshotReceiver.java
@@ -4,12 +4,13 @@
 import java.util.function.Consumer;
 
 /**
- * Assembles the chunks of a snapshot that the leader sends, and installs it once it is whole and
- * its checksum is right. Chunks may come late, twice or from another snapshot; a chunk that does
- * not continue what was received is answered with how much was, and the leader resumes from there.
+ * Assembles the chunks of a snapshot sent by the leader, and installs it once it is complete and
+ * its checksum is correct. Chunks may arrive late, twice or from another snapshot. The response to
+ * a chunk that does not continue the received bytes contains their number, and the leader resumes
+ * from there.
  */
 final class SnapshotReceiver {
-    /** Bytes of the largest snapshot that is accepted: a quarter of the smallest heap. */
+    /** Maximum size of an accepted snapshot: a quarter of the smallest heap. */
     static final int MAX_SNAPSHOT_BYTES = 16 << 20;
 
     private final ReplicatedLog log;
@@ -18,7 +19,7 @@
     private final Outbox outbox;
     private final Consumer<String> logLines;
 
-    /** The first chunk of the snapshot that is being received; null if there is none. */
+    /** The first chunk of the snapshot being received, null if there is none. */
     private Message.SnapshotChunk incomingSnapshot;
 
     private ByteArrayOutputStream receivedBytes = new ByteArrayOutputStream();
@@ -36,7 +37,7 @@
         this.logLines = logLines;
     }
 
-    /** Takes a chunk from the leader of the current term. */
+    /** Handles a chunk from the leader of the current term. */
     void receive(Message.SnapshotChunk chunk, long nowTicks) {
         if (isCovered(chunk)) {
             commits.advanceTo(Math.min(chunk.snapshotIndex(), log.lastIndex()));
@@ -45,18 +46,26 @@
             return;
         }
         if (chunk.totalBytes() > MAX_SNAPSHOT_BYTES) {
-            logLines.accept("a snapshot of " + chunk.totalBytes() + " bytes is too large, left");
+            logLines.accept(
+                    "snapshot too large: ignoring it index="
+                            + chunk.snapshotIndex()
+                            + " bytes="
+                            + chunk.totalBytes()
+                            + " limit="
+                            + MAX_SNAPSHOT_BYTES
+                            + " leader="
+                            + log.membership().nameOf(chunk.from()));
             return;
         }
         store(chunk);
         if (receivedBytes.size() < chunk.totalBytes()) {
-            outbox.send(received(chunk, receivedBytes.size(), nowTicks));
+            outbox.send(chunkResponse(chunk, receivedBytes.size(), nowTicks));
         } else {
             complete(chunk, nowTicks);
         }
     }
 
-    /** Whether this member's log already has all that the snapshot includes. */
+    /** Returns whether this member's log already contains everything that the snapshot includes. */
     private boolean isCovered(Message.SnapshotChunk chunk) {
         boolean inLog =
                 chunk.snapshotIndex() <= log.lastIndex()
@@ -89,12 +98,11 @@
         receivedBytes = new ByteArrayOutputStream();
         if (Checksum.of(data) != chunk.checksum()) {
             logLines.accept(
-                    "snapshot of entry "
+                    "snapshot checksum mismatch: requesting it again index="
                             + chunk.snapshotIndex()
-                            + " came corrupt from "
-                            + log.membership().nameOf(chunk.from())
-                            + ", asked anew");
-            outbox.send(received(chunk, 0, nowTicks));
+                            + " leader="
+                            + log.membership().nameOf(chunk.from()));
+            outbox.send(chunkResponse(chunk, 0, nowTicks));
             return;
         }
         Snapshot snapshot =
@@ -102,20 +110,22 @@
         log.installSnapshot(snapshot);
         commits.snapshotInstalled(snapshot.index());
         logLines.accept(
-                "snapshot of entry "
+                "snapshot received: replacing the log index="
                         + snapshot.index()
-                        + " taken from "
+                        + " term="
+                        + snapshot.term()
+                        + " leader="
                         + log.membership().nameOf(chunk.from()));
         acknowledgeSnapshot(chunk, chunk.snapshotIndex(), nowTicks);
     }
 
     private void acknowledgeSnapshot(Message.SnapshotChunk chunk, long matchIndex, long nowTicks) {
-        outbox.sendWhenDurable(received(chunk, chunk.totalBytes(), nowTicks));
+        outbox.sendWhenDurable(chunkResponse(chunk, chunk.totalBytes(), nowTicks));
         outbox.sendWhenDurable(
                 Message.AppendResponse.matched(chunk, durability.term(), matchIndex, nowTicks));
     }
 
-    private Message received(Message.SnapshotChunk chunk, int bytes, long nowTicks) {
+    private Message chunkResponse(Message.SnapshotChunk chunk, int bytes, long nowTicks) {
         return new Message.SnapshotChunkResponse(
                 chunk.to(),
                 chunk.from(),
--- a/src/main/java/rockshift/raft/SnapshotSender.java
+++ b/src/main/java/rockshift/raft/SnapshotSender.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** The transfer of a snapshot to one follower: each chunk is sent once the last was answered. */
+/**
+ * The transfer of a snapshot to one follower. Each chunk is sent once the previous one was
+ * acknowledged.
+ */
 final class SnapshotSender {
     private static final int CHUNK_BYTES = 64 << 10;
     private static final long NEVER = Long.MIN_VALUE;
@@ -21,23 +24,23 @@
         return snapshot.index();
     }
 
-    /** Whether the last chunk, or its answer, is taken to be lost. */
+    /** Returns whether the last chunk or its response must be considered lost. */
     boolean isResendDue(long nowTicks, long resendIntervalTicks) {
         return nowTicks >= chunkSentAtTicks + resendIntervalTicks;
     }
 
     /**
-     * The follower holds so many bytes.
+     * Records how many bytes of the snapshot the follower holds.
      *
      * @return whether the next chunk should be sent now
      */
     boolean recordReceived(int bytes) {
-        boolean moved = bytes != receivedBytes;
+        boolean changed = bytes != receivedBytes;
         receivedBytes = Math.min(bytes, snapshot.data().length);
-        return moved && receivedBytes < snapshot.data().length;
+        return changed && receivedBytes < snapshot.data().length;
     }
 
-    /** The chunk that follows what the follower has; it counts as sent now. */
+    /** Returns the chunk after the bytes that the follower holds, and records it as sent now. */
     Message.SnapshotChunk nextChunk(
             long from, long to, long term, long round, long roundStartTicks, long nowTicks) {
         int end = Math.min(snapshot.data().length, receivedBytes + CHUNK_BYTES);
--- a/src/main/java/rockshift/raft/Timing.java
+++ b/src/main/java/rockshift/raft/Timing.java
@@ -1,16 +1,16 @@
 package rockshift.raft;
 
 /**
- * How long a member waits and how much it sends at once. Times are ticks of 100 us on monotonic
- * clocks.
+ * Timeouts and batch size of a member. Times are in ticks of 100 us of a monotonic clock.
  *
- * @param electionTimeoutTicks without a message from a leader until a follower campaigns, at least;
- *     at most half as long again
- * @param heartbeatIntervalTicks between two heartbeats of a leader that has nothing else to send
- * @param maxClockDriftRatio the most by which two members' clocks may run apart, as a share: leases
- *     are shorter by it
- * @param leaseReads whether reads may be answered under a lease
- * @param maxBatchEntries entries that one message carries at most
+ * @param electionTimeoutTicks minimum time without a message from a leader before a follower
+ *     campaigns; the actual time is random, up to 1.5 times as long
+ * @param heartbeatIntervalTicks interval between heartbeats of a leader that has nothing else to
+ *     send
+ * @param maxClockDriftRatio maximum drift between the clocks of two members, as a fraction; leases
+ *     are shortened by it
+ * @param leaseReads whether reads may be answered under a leader lease
+ * @param maxBatchEntries maximum number of entries in one message
  */
 public record Timing(
         long electionTimeoutTicks,
