--- a/src/main/java/rockshift/storage/AtomicFile.java
+++ b/src/main/java/rockshift/storage/AtomicFile.java
@@ -4,19 +4,20 @@
 import java.io.IOException;
 
 /**
- * Files that are replaced whole: after a crash the old or the new one is there, never a mixture.
+ * Atomic replacement of files: after a crash a file has its old or its new content, never a
+ * mixture.
  */
 final class AtomicFile {
     private static final String TEMPORARY_SUFFIX = ".new";
 
     private AtomicFile() {}
 
-    /** Whether a file is what a crash left of a replacement that was never made. */
+    /** Returns whether a file is left over from a replacement that a crash interrupted. */
     static boolean isTemporary(String name) {
         return name.endsWith(TEMPORARY_SUFFIX);
     }
 
-    /** Writes a file beside the one of that name, makes it durable and renames it. */
+    /** Writes the content to a temporary file, makes it durable and renames it to {@code name}. */
     static void replace(Disk disk, String name, byte[] bytes) throws IOException {
         String temporary = name + TEMPORARY_SUFFIX;
         disk.delete(temporary);
@@ -27,7 +28,7 @@
         disk.rename(temporary, name);
     }
 
-    /** Replaces a file by one that holds a single record. */
+    /** Replaces a file with one that holds a single record. */
     static void replace(Disk disk, String name, RecordKind kind, byte[] payload)
             throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/src/main/java/rockshift/storage/CorruptRecordException.java
+++ b/src/main/java/rockshift/storage/CorruptRecordException.java
@@ -1,6 +1,8 @@
 package rockshift.storage;
 
-/** What was durable is damaged, or says what it can't mean. It is never passed over. */
+/**
+ * Thrown if durable data is damaged or its content is invalid. Such data is never silently skipped.
+ */
 public final class CorruptRecordException extends UnrecoverableStorageException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rockshift/storage/Disk.java
+++ b/src/main/java/rockshift/storage/Disk.java
@@ -4,30 +4,30 @@
 import java.util.List;
 
 /**
- * One folder of files. What was not synced may be gone, in part or whole, after a crash; a rename
- * happens whole or not at all. One thread uses it.
+ * A folder of files. Data that was not synced may be lost, in part or as a whole, in a crash; a
+ * rename is atomic. Must be used by a single thread.
  */
 public interface Disk {
-    /** The names of all files, sorted. */
+    /** Returns the names of all files, sorted. */
     List<String> list() throws IOException;
 
-    /** All bytes of a file. */
+    /** Returns the content of a file. */
     byte[] read(String name) throws IOException;
 
     /**
-     * Appends to a file, which is created if it does not exist.
+     * Appends to a file, and creates it if it does not exist.
      *
-     * @return its size, as the disk reports it
+     * @return the size of the file as reported by the disk
      */
     long append(String name, byte[] bytes) throws IOException;
 
-    /** Makes durable that a file exists and what it holds. */
+    /** Makes the existence and the content of a file durable. */
     void sync(String name) throws IOException;
 
-    /** Cuts a file to a size, durably. */
+    /** Truncates a file to a size, durably. */
     void truncate(String name, long size) throws IOException;
 
-    /** Puts one file in the place of another, durably. */
+    /** Renames a file, replacing any file of the new name, durably. */
     void rename(String from, String to) throws IOException;
 
     /** Deletes a file, durably, if it exists. */
--- a/src/main/java/rockshift/storage/DurableLog.java
+++ b/src/main/java/rockshift/storage/DurableLog.java
@@ -13,20 +13,21 @@
 import rockshift.wire.StateCodec;
 
 /**
- * What a member must not forget, in one folder: who it is, its term and vote, its entries and its
- * snapshots. The format of the files is described in {@link rockshift.storage}.
+ * The persistent state of a member, in one folder: its identity, its term and vote, its log entries
+ * and its snapshots. The file formats are described in {@link rockshift.storage}.
  *
- * <p>A save is one write and one sync. After a crash, the torn tail of an unfinished save is cut;
- * damage to what was durable is refused with file and byte, as an acknowledged entry or a vote may
- * be lost with it.
+ * <p>A save is one write and one sync. After a crash, the torn tail of an unfinished save is
+ * truncated. Damage to durable data is rejected with the file and the byte offset, as an
+ * acknowledged entry or a vote may have been lost.
  *
- * <p>One thread uses a log and its disk; who created the disk closes it, after the last call.
+ * <p>A log and its disk must be used by a single thread. The creator of the disk closes it, after
+ * the last call.
  */
 public final class DurableLog {
-    /** The format of all files, written into the identity and each segment. */
+    /** The format version of all files, written to the identity file and to each segment. */
     static final int FORMAT = 1;
 
-    /** What a folder holds: {@code entries} are those after the snapshot. */
+    /** The state recovered from a folder; {@code entries} are those after the snapshot. */
     public record Recovered(
             long id,
             long cluster,
@@ -41,9 +42,9 @@
     private TermAndVote durableTermAndVote = TermAndVote.NONE;
 
     /**
-     * A log that is yet to be opened.
+     * Creates a log, which must be opened before any other call.
      *
-     * @param logLines takes lines for the log for operators
+     * @param logLines receives log lines for operators
      */
     public DurableLog(Disk disk, Consumer<String> logLines) {
         this.disk = disk;
@@ -52,9 +53,12 @@
         snapshots = new SnapshotFiles(disk, logLines);
     }
 
-    // ---- reading --------------------------------------------------------------------------------
-
-    /** Reads the folder; one that is empty becomes that of a new member with the id given. */
+    /**
+     * Recovers the state from the folder. An empty folder is initialized for a new member with the
+     * given id.
+     *
+     * @throws UnrecoverableStorageException if the folder is damaged or is not that of a member
+     */
     public Recovered open(long newMemberId) throws IOException {
         List<String> names = deleteTemporaryFiles();
         identity.open(names, newMemberId);
@@ -62,11 +66,11 @@
         segments.recover(names, identity.memberId(), recovery);
         durableTermAndVote = recovery.termAndVote();
         Snapshot snapshot = snapshots.recover(names);
-        refuseGap(recovery, snapshot);
+        checkNoGap(recovery, snapshot);
         List<Entry> entries = recovery.entries();
-        if (!entries.isEmpty() && !recovery.joins(snapshot)) {
-            // A crash came after a snapshot from the leader was saved and before the record that
-            // voids the entries it replaces.
+        if (!entries.isEmpty() && !recovery.isConsistentWith(snapshot)) {
+            // A crash occurred after a snapshot from the leader was saved, but before the record
+            // was written that discards the entries replaced by it.
             entries.clear();
             save(durableTermAndVote, List.of(), snapshot);
         }
@@ -87,48 +91,48 @@
         return names;
     }
 
-    /** Entries must continue from the snapshot, and none may be missing in between. */
-    private void refuseGap(LogRecovery recovery, Snapshot snapshot)
+    /** Checks that the entries continue from the snapshot, with none missing in between. */
+    private void checkNoGap(LogRecovery recovery, Snapshot snapshot)
             throws UnrecoverableStorageException {
         long installed = recovery.installedSnapshotIndex();
         if (installed > snapshot.index()) {
             throw new UnrecoverableStorageException(
-                    SnapshotFiles.name(installed),
+                    SnapshotFiles.fileName(installed),
                     0,
-                    "missing or damaged, and nothing else stands for it");
+                    "missing or damaged: the entries that it replaced are stored nowhere else");
         }
         List<Entry> entries = recovery.entries();
         if (!entries.isEmpty() && entries.get(0).index() > snapshot.index() + 1) {
             throw new UnrecoverableStorageException(
-                    segments.firstName(),
+                    segments.oldestFileName(),
                     SegmentHeader.BYTES,
-                    "begins with entry "
-                            + entries.get(0).index()
-                            + ", the snapshot ends with "
-                            + snapshot.index());
+                    "entries missing: the snapshot ends with entry "
+                            + snapshot.index()
+                            + ", the log begins with entry "
+                            + entries.get(0).index());
         }
     }
 
-    // ---- writing --------------------------------------------------------------------------------
-
     /**
-     * Becomes part of a cluster: as one of its founders, or (without members) as one that will be
-     * brought up to date.
+     * Makes this member part of a cluster: as one of its founders, or, if there are none, as a
+     * member that will be brought up to date.
+     *
+     * @return the initial snapshot
      */
     public Snapshot joinCluster(long cluster, List<Member> founders) throws IOException {
-        Snapshot first = new Snapshot(0, 0, new Membership(founders), new byte[0]);
+        Snapshot initial = new Snapshot(0, 0, new Membership(founders), new byte[0]);
         if (!founders.isEmpty()) {
-            saveSnapshot(first);
+            saveSnapshot(initial);
         }
         identity.setCluster(cluster);
-        return first;
+        return initial;
     }
 
     /**
-     * Makes one save durable, or fails and leaves what was durable as it was: the same save can be
-     * tried again.
+     * Writes the state durably. If this fails, previously durable data is unchanged, and the same
+     * save can be retried.
      *
-     * @param snapshot replaces all entries that are stored; null if there is none
+     * @param snapshot replaces all stored entries; null if there is none
      */
     public void save(TermAndVote termAndVote, List<Entry> entries, Snapshot snapshot)
             throws IOException {
@@ -157,7 +161,7 @@
         durableTermAndVote = termAndVote;
     }
 
-    /** Saves a snapshot, and deletes the snapshots and segments that are no longer needed. */
+    /** Saves a snapshot, and deletes snapshots and segments that are no longer needed. */
     public void saveSnapshot(Snapshot snapshot) throws IOException {
         if (!snapshots.isOutdated(snapshot)) {
             snapshots.save(snapshot);
@@ -165,7 +169,7 @@
         }
     }
 
-    /** How many segments the log has. */
+    /** Returns the number of segments. */
     public int segmentCount() {
         return segments.count();
     }
--- a/src/main/java/rockshift/storage/FileDisk.java
+++ b/src/main/java/rockshift/storage/FileDisk.java
@@ -14,8 +14,9 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of the file system, locked for one process at a time until it is closed. One thread uses
- * it. The file that was written last is kept open, as most writes go to the same segment.
+ * A {@link Disk} in the file system. The folder is locked against use by another process until the
+ * disk is closed. Must be used by a single thread. The file that was written last is kept open, as
+ * most writes go to the same segment.
  */
 public final class FileDisk implements Disk, AutoCloseable {
     private static final String LOCK = "lock";
@@ -25,7 +26,11 @@
     private String openFileName = "";
     private FileChannel openFile;
 
-    /** Creates the folder if it does not exist, and locks it. */
+    /**
+     * Locks the folder, and creates it if it does not exist.
+     *
+     * @throws FolderInUseException if the folder is already locked
+     */
     public FileDisk(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
@@ -93,7 +98,7 @@
         channel(name).force(true);
     }
 
-    /** Makes durable which files exist. */
+    /** Makes creations, renames and deletions of files durable. */
     private void syncFolder() throws IOException {
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
--- a/src/main/java/rockshift/storage/FolderInUseException.java
+++ b/src/main/java/rockshift/storage/FolderInUseException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Another process, or another part of this one, holds the folder. */
+/** Thrown if a folder is locked by another process, or by another disk in this process. */
 public final class FolderInUseException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rockshift/storage/IdentityFile.java
+++ b/src/main/java/rockshift/storage/IdentityFile.java
@@ -4,10 +4,13 @@
 import java.util.List;
 import rockshift.wire.StateCodec;
 
-/** Whose folder this is: the file {@code identity} with format, member and cluster. */
+/**
+ * The file {@code identity}: the format version, and the member and the cluster that the folder
+ * belongs to.
+ */
 final class IdentityFile {
     private static final String NAME = "identity";
-    private static final int NUMBERS = 3;
+    private static final int FIELD_COUNT = 3;
 
     private final Disk disk;
     private long memberId;
@@ -25,24 +28,27 @@
         return clusterId;
     }
 
-    /** Reads the file; an empty folder becomes that of a new member. */
+    /** Reads the file. An empty folder is initialized for a new member. */
     void open(List<String> names, long newMemberId) throws IOException {
         if (!names.contains(NAME)) {
             if (!names.isEmpty()) {
                 throw new UnrecoverableStorageException(
-                        names.get(0), 0, "no identity beside it: a folder of something else");
+                        names.get(0),
+                        0,
+                        "found without an identity file: not the folder of a member");
             }
             memberId = newMemberId;
             write();
         }
-        StoredRecord record = StoredRecord.readOnly(disk.read(NAME), RecordKind.IDENTITY);
+        StoredRecord record = StoredRecord.readSingle(disk.read(NAME), RecordKind.IDENTITY);
         if (record == null) {
-            throw new CorruptRecordException(NAME, 0, "damaged");
+            throw new CorruptRecordException(
+                    NAME, 0, "damaged: not a single valid identity record");
         }
         long[] numbers = parse(record);
         if (numbers[0] != DurableLog.FORMAT) {
             throw new UnrecoverableStorageException(
-                    NAME, 0, "format " + numbers[0] + ", this is " + DurableLog.FORMAT);
+                    NAME, 0, "expected format " + DurableLog.FORMAT + ", found " + numbers[0]);
         }
         memberId = numbers[1];
         clusterId = numbers[2];
@@ -50,7 +56,7 @@
 
     private static long[] parse(StoredRecord record) throws CorruptRecordException {
         try {
-            return record.numbers(NUMBERS);
+            return record.numbers(FIELD_COUNT);
         } catch (IOException undecodable) {
             throw new CorruptRecordException(NAME, 0, undecodable);
         }
--- a/src/main/java/rockshift/storage/LogRecovery.java
+++ b/src/main/java/rockshift/storage/LogRecovery.java
@@ -7,7 +7,10 @@
 import rockshift.raft.Snapshot;
 import rockshift.raft.TermAndVote;
 
-/** Rebuilds term, vote and entries from the records of all segments, in the order of writing. */
+/**
+ * Rebuilds term, vote and entries from the records of all segments, in the order in which they were
+ * written.
+ */
 final class LogRecovery {
     private final List<Entry> entries = new ArrayList<>();
     private TermAndVote termAndVote = TermAndVote.NONE;
@@ -21,17 +24,24 @@
         return entries;
     }
 
-    /** Up to here a snapshot from the leader replaced entries: it must be there. */
+    /**
+     * Returns the index up to which a snapshot from the leader replaced entries, 0 if none did.
+     * That snapshot must exist.
+     */
     long installedSnapshotIndex() {
         return installedSnapshotIndex;
     }
 
-    /** Takes a record into account; answers the highest index that it speaks of, 0 if none. */
+    /**
+     * Applies a record.
+     *
+     * @return the highest log index in the record, 0 if it has none
+     */
     long replay(String file, StoredRecord record) throws IOException {
         RecordKind kind = RecordKind.of(record.kindCode());
         if (kind == null || kind == RecordKind.IDENTITY || kind == RecordKind.SNAPSHOT) {
             throw new CorruptRecordException(
-                    file, record.offset(), "a record of unknown kind " + record.kindCode());
+                    file, record.offset(), "unexpected record kind " + record.kindCode());
         }
         try {
             return replay(file, record, kind);
@@ -71,7 +81,9 @@
             long last = entries.get(entries.size() - 1).index();
             if (entry.index() > last + 1) {
                 throw new CorruptRecordException(
-                        file, offset, "entry " + entry.index() + " follows " + last);
+                        file,
+                        offset,
+                        "expected entry " + (last + 1) + " or lower, found " + entry.index());
             }
             int kept = (int) Math.max(0, entry.index() - first);
             entries.subList(kept, entries.size()).clear();
@@ -79,8 +91,11 @@
         entries.add(entry);
     }
 
-    /** Whether the entries lead up to a snapshot or continue from it. */
-    boolean joins(Snapshot snapshot) {
+    /**
+     * Returns whether the entries continue from a snapshot, or include its last entry with the same
+     * term.
+     */
+    boolean isConsistentWith(Snapshot snapshot) {
         long position = snapshot.index() - entries.get(0).index();
         return position < 0
                 || position < entries.size()
--- a/src/main/java/rockshift/storage/RecordKind.java
+++ b/src/main/java/rockshift/storage/RecordKind.java
@@ -1,16 +1,19 @@
 package rockshift.storage;
 
-/** What a record holds; the code is its byte on disk. */
+/** The kind of a record. The code is stored on disk, as one byte. */
 enum RecordKind {
-    /** Begins a write: how many bytes of this file were durable before it. */
+    /** Begins a write, with the number of bytes of this file that were durable before it. */
     BATCH(1),
-    /** The term and vote from here on. */
+    /** The term and vote that apply from this record on. */
     TERM_AND_VOTE(2),
-    /** One entry of the log; it replaces what stood at its index and after it. */
+    /** One log entry, which replaces any earlier entries from its index on. */
     ENTRY(3),
     /** A snapshot from the leader replaced all entries before this record. */
     SNAPSHOT_INSTALLED(4),
-    /** Whose folder this is; the only record of the file {@code identity}. */
+    /**
+     * The member and the cluster that the folder belongs to; the only record of the file {@code
+     * identity}.
+     */
     IDENTITY(5),
     /** A snapshot; the only record of its file. */
     SNAPSHOT(6);
@@ -27,7 +30,7 @@
         return code;
     }
 
-    /** The kind of a code, null if there is none. */
+    /** Returns the kind with the given code, or null if there is none. */
     static RecordKind of(byte code) {
         for (RecordKind kind : KINDS) {
             if (kind.code == code) {
--- a/src/main/java/rockshift/storage/SegmentFiles.java
+++ b/src/main/java/rockshift/storage/SegmentFiles.java
@@ -9,25 +9,28 @@
 import rockshift.raft.TermAndVote;
 import rockshift.wire.StateCodec;
 
-/** The segments of a log: numbered files without a gap, of which the last one is written to. */
+/** The segment files of a log. They are numbered without gaps; only the last one is written to. */
 final class SegmentFiles {
-    /** A new segment begins after so many: small enough to read whole, large enough to be rare. */
+    /**
+     * Size above which a new segment is started: small enough to read a segment into memory, large
+     * enough that new ones are rare.
+     */
     private static final int MAX_SEGMENT_BYTES = 4 << 20;
 
     private static final String PREFIX = "log-";
-    private static final int HEXADECIMAL = 16;
+    private static final int HEX_RADIX = 16;
 
     private final Disk disk;
     private final Consumer<String> logLines;
     private long memberId;
 
-    /** By segment number, the highest index that its entries have. */
+    /** The highest entry index in each segment, by segment number. */
     private final TreeMap<Long, Long> highestIndexes = new TreeMap<>();
 
-    /** Bytes of the last segment that are durable. */
+    /** Number of durable bytes in the last segment. */
     private int durableBytes;
 
-    /** Whether a write failed, so that the last segment may hold more than is durable. */
+    /** Whether a write failed, so that the last segment may contain more than the durable bytes. */
     private boolean hasTornTail;
 
     SegmentFiles(Disk disk, Consumer<String> logLines) {
@@ -35,7 +38,7 @@
         this.logLines = logLines;
     }
 
-    private static String name(long number) {
+    private static String fileName(long number) {
         return String.format(Locale.ROOT, PREFIX + "%016x", number);
     }
 
@@ -43,27 +46,30 @@
         return highestIndexes.size();
     }
 
-    /** The file of the oldest segment. */
-    String firstName() {
-        return name(highestIndexes.firstKey());
+    /** Returns the file name of the oldest segment. */
+    String oldestFileName() {
+        return fileName(highestIndexes.firstKey());
     }
 
-    // ---- reading --------------------------------------------------------------------------------
-
-    /** Reads all segments in order; cuts the torn tail of the last, refuses any other damage. */
+    /**
+     * Reads all segments in order. Truncates the torn tail of the last one and rejects any other
+     * damage.
+     */
     void recover(List<String> names, long member, LogRecovery recovery) throws IOException {
         memberId = member;
         for (String name : names) {
             if (name.startsWith(PREFIX)) {
                 String digits = name.substring(PREFIX.length());
-                highestIndexes.put(Long.parseUnsignedLong(digits, HEXADECIMAL), 0L);
+                highestIndexes.put(Long.parseUnsignedLong(digits, HEX_RADIX), 0L);
             }
         }
         long expected = highestIndexes.isEmpty() ? 0 : highestIndexes.firstKey();
         for (long number : List.copyOf(highestIndexes.keySet())) {
             if (number != expected) {
                 throw new UnrecoverableStorageException(
-                        name(number), 0, "segment " + expected + " before it is missing");
+                        fileName(number),
+                        0,
+                        "expected segment " + expected + " before it, which is missing");
             }
             expected++;
             recoverSegment(number, recovery);
@@ -75,27 +81,32 @@
 
     private void recoverSegment(long number, LogRecovery recovery) throws IOException {
         boolean isLast = number == highestIndexes.lastKey();
-        byte[] bytes = disk.read(name(number));
+        byte[] bytes = disk.read(fileName(number));
         if (isLast && bytes.length < SegmentHeader.BYTES) {
-            // Creation syncs the bytes before it renames the file, so a crash alone leaves none as
-            // short as this. What remains is a disk that made the name durable before the bytes.
-            disk.delete(name(number));
+            // A new segment is synced before it is renamed, so a crash alone does not leave one as
+            // short as this. This happens only if the disk made the name durable before the
+            // content.
+            disk.delete(fileName(number));
             highestIndexes.remove(number);
         } else {
             durableBytes = replaySegment(number, bytes, isLast, recovery);
         }
     }
 
-    /** Answers where the sound part ends. */
+    /**
+     * Applies the records of a segment.
+     *
+     * @return the offset at which its valid part ends
+     */
     private int replaySegment(long number, byte[] bytes, boolean isLast, LogRecovery recovery)
             throws IOException {
-        String name = name(number);
+        String name = fileName(number);
         SegmentHeader.check(name, bytes, number, memberId);
         int offset = SegmentHeader.BYTES;
         while (offset < bytes.length) {
             StoredRecord record = StoredRecord.read(bytes, offset);
             if (record == null) {
-                cutTornTailOrRefuse(name, bytes, offset, isLast);
+                truncateTornTailOrReject(name, bytes, offset, isLast);
                 return offset;
             }
             long index = recovery.replay(name, record);
@@ -105,57 +116,62 @@
         return offset;
     }
 
-    /** Cuts what an unfinished save left; refuses the file if acknowledged records may be lost. */
-    private void cutTornTailOrRefuse(String name, byte[] bytes, int offset, boolean isLast)
+    /**
+     * Truncates the torn tail of an unfinished save; rejects the file if acknowledged records may
+     * be lost.
+     */
+    private void truncateTornTailOrReject(String name, byte[] bytes, int offset, boolean isLast)
             throws IOException {
         if (!isLast) {
             throw new CorruptRecordException(
-                    name, offset, "damaged, and more follows in the next segment");
+                    name, offset, "damaged, although another segment follows: not a torn tail");
         }
-        refuseIfDurable(name, bytes, offset);
+        rejectIfDurable(name, bytes, offset);
         logLines.accept(
-                name
-                        + ": "
-                        + (bytes.length - offset)
-                        + " bytes of an unfinished save cut at byte "
-                        + offset);
+                "truncating the torn tail of an unfinished save file="
+                        + name
+                        + " offset="
+                        + offset
+                        + " bytes="
+                        + (bytes.length - offset));
         disk.truncate(name, offset);
     }
 
     /**
-     * Distinguishes damage from a torn tail: a later batch names what was durable when it was
-     * begun, and if that includes this place, an acknowledged write is lost.
+     * Distinguishes damage from a torn tail. A later batch records how many bytes were durable
+     * before it; if they include this offset, an acknowledged write is lost.
      */
-    private static void refuseIfDurable(String name, byte[] bytes, int offset) throws IOException {
+    private static void rejectIfDurable(String name, byte[] bytes, int offset) throws IOException {
         for (int later = offset + 1; later + StoredRecord.OVERHEAD_BYTES < bytes.length; later++) {
             StoredRecord batch = StoredRecord.read(bytes, later, RecordKind.BATCH);
             if (batch != null && batch.numbers(1)[0] > offset) {
                 throw new CorruptRecordException(
                         name,
                         offset,
-                        "damaged, though it was durable before byte " + later + " was written");
+                        "damaged, although it was durable before byte " + later + " was written");
             }
         }
     }
 
-    // ---- writing --------------------------------------------------------------------------------
-
     private void startSegment(long number, TermAndVote termAndVote) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(SegmentHeader.encode(number, memberId));
-        // Older segments will be deleted, and must not take the vote with them.
+        // The term and vote must not be lost when older segments are deleted.
         StoredRecord.write(
                 bytes, RecordKind.TERM_AND_VOTE, StateCodec.encodeTermAndVote(termAndVote));
-        AtomicFile.replace(disk, name(number), bytes.toByteArray());
+        AtomicFile.replace(disk, fileName(number), bytes.toByteArray());
         highestIndexes.put(number, 0L);
         durableBytes = bytes.size();
     }
 
-    /** Makes the last segment ready to be written to, or begins another. */
+    /**
+     * Prepares the last segment for a write: truncates a torn tail, and starts a new segment if it
+     * is full.
+     */
     void prepareWrite(TermAndVote durableTermAndVote) throws IOException {
         long last = highestIndexes.lastKey();
         if (hasTornTail) {
-            disk.truncate(name(last), durableBytes);
+            disk.truncate(fileName(last), durableBytes);
             hasTornTail = false;
         }
         if (durableBytes > MAX_SEGMENT_BYTES) {
@@ -163,17 +179,17 @@
         }
     }
 
-    /** The record that every batch begins with. */
+    /** Returns a buffer that begins with the first record of every batch. */
     ByteArrayOutputStream startBatch() throws IOException {
         ByteArrayOutputStream batch = new ByteArrayOutputStream();
         StoredRecord.write(batch, RecordKind.BATCH, StateCodec.encodeNumbers(durableBytes));
         return batch;
     }
 
-    /** Makes a batch durable; if that fails, what was durable before stays as it was. */
+    /** Makes a batch durable. If this fails, previously durable data is unchanged. */
     void write(ByteArrayOutputStream batch, long highestIndex) throws IOException {
         long last = highestIndexes.lastKey();
-        String name = name(last);
+        String name = fileName(last);
         hasTornTail = true;
         if (disk.append(name, batch.toByteArray()) != durableBytes + batch.size()) {
             throw new ShortWriteException(name);
@@ -184,10 +200,13 @@
         highestIndexes.merge(last, highestIndex, Math::max);
     }
 
-    /** Deletes the oldest segments, as far as they hold nothing above an index. */
+    /**
+     * Deletes the oldest segments that contain no entries above an index, but never the last
+     * segment.
+     */
     void deleteUpTo(long index) throws IOException {
         while (count() > 1 && highestIndexes.firstEntry().getValue() <= index) {
-            disk.delete(firstName());
+            disk.delete(oldestFileName());
             highestIndexes.remove(highestIndexes.firstKey());
         }
     }
--- a/src/main/java/rockshift/storage/SegmentHeader.java
+++ b/src/main/java/rockshift/storage/SegmentHeader.java
@@ -4,8 +4,8 @@
 import rockshift.raft.Checksum;
 
 /**
- * The first bytes of a segment: {@code magic u32, format u32, segment number u64, member u64,
- * CRC32C u32}. The checksum covers what is before it.
+ * The header of a segment: {@code magic u32, format u32, segment number u64, member u64, CRC32C
+ * u32}. The checksum covers the fields before it.
  */
 final class SegmentHeader {
     static final int BYTES = 28;
@@ -27,26 +27,34 @@
         return header.array();
     }
 
-    /** Accepts only the header of a segment of this format, number and member. */
+    /** Checks that the header is that of a segment with this format, number and member. */
     static void check(String file, byte[] bytes, long number, long memberId)
             throws UnrecoverableStorageException {
         ByteBuffer header = ByteBuffer.wrap(bytes);
-        boolean sound =
+        boolean valid =
                 bytes.length >= BYTES
                         && header.getInt(0) == MAGIC
                         && header.getLong(NUMBER_OFFSET) == number
                         && header.getInt(CHECKSUM_OFFSET) == Checksum.of(bytes, 0, CHECKSUM_OFFSET);
-        if (!sound) {
-            throw new CorruptRecordException(file, 0, "its header is damaged");
+        if (!valid) {
+            throw new CorruptRecordException(
+                    file, 0, "damaged header: expected that of segment " + number);
         }
         int format = header.getInt(FORMAT_OFFSET);
         if (format != DurableLog.FORMAT) {
             throw new UnrecoverableStorageException(
-                    file, FORMAT_OFFSET, "format " + format + ", this is " + DurableLog.FORMAT);
+                    file,
+                    FORMAT_OFFSET,
+                    "expected format " + DurableLog.FORMAT + ", found " + format);
         }
         if (header.getLong(MEMBER_OFFSET) != memberId) {
             throw new UnrecoverableStorageException(
-                    file, MEMBER_OFFSET, "a segment of another member");
+                    file,
+                    MEMBER_OFFSET,
+                    "expected a segment of member "
+                            + Long.toHexString(memberId)
+                            + ", found one of member "
+                            + Long.toHexString(header.getLong(MEMBER_OFFSET)));
         }
     }
 }
--- a/src/main/java/rockshift/storage/SnapshotFiles.java
+++ b/src/main/java/rockshift/storage/SnapshotFiles.java
@@ -10,18 +10,18 @@
 import rockshift.wire.StateCodec;
 
 /**
- * The snapshots of a folder, a file each. The two newest are kept, so that one that is damaged can
- * be replaced by the one before and the entries since.
+ * The snapshot files of a folder, one per snapshot. The two newest are kept, so that a damaged one
+ * can be replaced by the previous one and the entries since.
  */
 final class SnapshotFiles {
     private static final String PREFIX = "snapshot-";
     private static final String DAMAGED_SUFFIX = ".damaged";
-    private static final int GENERATIONS = 2;
+    private static final int MAX_SNAPSHOTS = 2;
 
     private final Disk disk;
     private final Consumer<String> logLines;
 
-    /** The indexes of the snapshots that are kept, ascending. */
+    /** The indexes of the retained snapshots, ascending. */
     private final List<Long> indexes = new ArrayList<>();
 
     SnapshotFiles(Disk disk, Consumer<String> logLines) {
@@ -29,12 +29,15 @@
         this.logLines = logLines;
     }
 
-    /** The file of a snapshot. */
-    static String name(long index) {
+    /** Returns the file name of a snapshot. */
+    static String fileName(long index) {
         return String.format(Locale.ROOT, PREFIX + "%016x", index);
     }
 
-    /** Finds the newest sound snapshot, an empty one if there is none; sets damaged ones aside. */
+    /**
+     * Returns the newest valid snapshot, or an empty one if there is none. Damaged ones are
+     * renamed, so that they are not read again.
+     */
     Snapshot recover(List<String> names) throws IOException {
         Snapshot newest = null;
         for (int i = names.size() - 1; i >= 0; i--) {
@@ -49,7 +52,11 @@
                 indexes.add(0, snapshot.index());
             } catch (CorruptRecordException corrupt) {
                 logLines.accept(
-                        name + ": " + corrupt.reason() + "; set aside, the one before is used");
+                        "snapshot damaged: setting it aside and using the previous one file="
+                                + name
+                                + " cause=\""
+                                + corrupt.reason()
+                                + "\"");
                 disk.rename(name, name + DAMAGED_SUFFIX);
             }
         }
@@ -57,9 +64,10 @@
     }
 
     private static Snapshot parse(String name, byte[] bytes) throws CorruptRecordException {
-        StoredRecord record = StoredRecord.readOnly(bytes, RecordKind.SNAPSHOT);
+        StoredRecord record = StoredRecord.readSingle(bytes, RecordKind.SNAPSHOT);
         if (record == null) {
-            throw new CorruptRecordException(name, 0, "damaged");
+            throw new CorruptRecordException(
+                    name, 0, "damaged: not a single valid snapshot record");
         }
         try {
             return record.snapshot();
@@ -68,26 +76,26 @@
         }
     }
 
-    /** Whether a snapshot is older than one that is kept. */
+    /** Returns whether a snapshot is older than the newest one that is kept. */
     boolean isOutdated(Snapshot snapshot) {
         return !indexes.isEmpty() && snapshot.index() < indexes.get(indexes.size() - 1);
     }
 
-    /** Makes a snapshot durable and drops what is older than the one before it. */
+    /** Makes a snapshot durable and deletes those older than the previous one. */
     void save(Snapshot snapshot) throws IOException {
         AtomicFile.replace(
                 disk,
-                name(snapshot.index()),
+                fileName(snapshot.index()),
                 RecordKind.SNAPSHOT,
                 StateCodec.encodeSnapshot(snapshot));
         indexes.remove(snapshot.index());
         indexes.add(snapshot.index());
-        while (indexes.size() > GENERATIONS) {
-            disk.delete(name(indexes.remove(0)));
+        while (indexes.size() > MAX_SNAPSHOTS) {
+            disk.delete(fileName(indexes.remove(0)));
         }
     }
 
-    /** The index of the oldest snapshot: entries up to it are needed no more. */
+    /** Returns the index of the oldest snapshot. Entries up to it are no longer needed. */
     long oldestIndex() {
         return indexes.get(0);
     }
--- a/src/main/java/rockshift/storage/StoredRecord.java
+++ b/src/main/java/rockshift/storage/StoredRecord.java
@@ -9,14 +9,14 @@
 import rockshift.wire.StateCodec;
 
 /**
- * One whole record in the bytes of a file: {@code length u32, CRC32C u32, kind u8, payload}. The
- * checksum covers kind and payload, the length counts the payload alone.
+ * A complete record in the content of a file: {@code length u32, CRC32C u32, kind u8, payload}. The
+ * checksum covers kind and payload; the length is that of the payload only.
  */
 final class StoredRecord {
-    /** Bytes of a record beside its payload. */
+    /** Size of a record without its payload. */
     static final int OVERHEAD_BYTES = 9;
 
-    /** Bytes of the longest payload: a snapshot of the largest size, and room. */
+    /** Maximum size of a payload: holds a snapshot of the maximum size, with room to spare. */
     private static final int MAX_PAYLOAD_BYTES = 32 << 20;
 
     private static final int CHECKSUM_OFFSET = 4;
@@ -32,7 +32,7 @@
         this.payloadLength = payloadLength;
     }
 
-    /** Appends a record to bytes that will be written. */
+    /** Appends a record to a buffer. */
     static void write(ByteArrayOutputStream into, RecordKind kind, byte[] payload) {
         byte[] body = new byte[payload.length + 1];
         body[0] = kind.code();
@@ -45,7 +45,10 @@
         into.writeBytes(body);
     }
 
-    /** The record at a place of a file; null if there is no whole one whose checksum is right. */
+    /**
+     * Returns the record at an offset of a file, or null if there is no complete record with a
+     * correct checksum.
+     */
     static StoredRecord read(byte[] file, int offset) {
         if (offset + OVERHEAD_BYTES > file.length) {
             return null;
@@ -65,16 +68,19 @@
                 : null;
     }
 
-    /** The record of a kind at a place of a file, null if there is none. */
+    /** Returns the record of a kind at an offset of a file, or null if there is none. */
     static StoredRecord read(byte[] file, int offset, RecordKind kind) {
-        // The kind is compared first: a search through a whole file computes few checksums so.
-        boolean mayBe =
+        // The kind is compared first, so that a search through a whole file computes few checksums.
+        boolean kindMatches =
                 offset + OVERHEAD_BYTES <= file.length && file[offset + KIND_OFFSET] == kind.code();
-        return mayBe ? read(file, offset) : null;
+        return kindMatches ? read(file, offset) : null;
     }
 
-    /** The record of a kind that fills a whole file, null if the file is anything else. */
-    static StoredRecord readOnly(byte[] file, RecordKind kind) {
+    /**
+     * Returns the record of a kind that is the only content of a file, or null if the file has any
+     * other content.
+     */
+    static StoredRecord readSingle(byte[] file, RecordKind kind) {
         StoredRecord record = read(file, 0, kind);
         return record != null && record.end() == file.length ? record : null;
     }
@@ -83,7 +89,7 @@
         return offset;
     }
 
-    /** Where the next record begins. */
+    /** Returns the offset of the next record. */
     int end() {
         return offset + OVERHEAD_BYTES + payloadLength;
     }
--- a/src/main/java/rockshift/storage/UnrecoverableStorageException.java
+++ b/src/main/java/rockshift/storage/UnrecoverableStorageException.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** A folder that can't be used as it is; the message names the file and the byte in it. */
+/**
+ * Thrown if a folder cannot be used in its current state. The message contains the file and the
+ * byte offset.
+ */
 public class UnrecoverableStorageException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -17,17 +20,17 @@
         this.reason = reason;
     }
 
-    /** The file in question, without its folder. */
+    /** Returns the name of the file, without its folder. */
     public String file() {
         return file;
     }
 
-    /** The byte of the file where the fault begins. */
+    /** Returns the byte offset in the file at which the fault begins. */
     public long offset() {
         return offset;
     }
 
-    /** What is wrong there. */
+    /** Returns a description of the fault. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/rockshift/storage/package-info.java
+++ b/src/main/java/rockshift/storage/package-info.java
@@ -1,13 +1,13 @@
 /**
- * What a member must not forget, in a folder on disk: {@link rockshift.storage.DurableLog} over a
- * {@link rockshift.storage.Disk}. The package owns the format of the files and the order of writes
- * and syncs; it decides nothing of the protocol.
+ * The persistent state of a member, in a folder on disk: {@link rockshift.storage.DurableLog} on
+ * top of a {@link rockshift.storage.Disk}. The package owns the file formats and the order of
+ * writes and syncs. It makes no decisions of the protocol.
  *
  * <h2>Files</h2>
  *
- * <p>Numbers are big-endian. Names end in 16 hexadecimal digits where {@code N} or {@code I}
- * stands. A file whose name ends in {@code .new} is a replacement that a crash interrupted, and is
- * deleted; one that ends in {@code .damaged} was set aside and is not read.
+ * <p>Numbers are big-endian. {@code N} and {@code I} in file names stand for 16 hexadecimal digits.
+ * A file whose name ends in {@code .new} is left over from a replacement that a crash interrupted,
+ * and is deleted. A file whose name ends in {@code .damaged} was set aside and is not read.
  *
  * <table>
  *   <caption>The files of a folder</caption>
@@ -45,26 +45,28 @@
  *   <tr><td>1 BATCH</td><td>bytes of this file that were durable before this write</td></tr>
  *   <tr><td>2 TERM_AND_VOTE</td><td>term, member voted for (0: none)</td></tr>
  *   <tr><td>3 ENTRY</td><td>index, term, kind, session, serial, body, members</td></tr>
- *   <tr><td>4 SNAPSHOT_INSTALLED</td><td>index, term; all entries before this record are void</td>
- *       </tr>
+ *   <tr><td>4 SNAPSHOT_INSTALLED</td><td>index, term; all entries before this record are
+ *       discarded</td></tr>
  *   <tr><td>5 IDENTITY</td><td>format, member, cluster</td></tr>
  *   <tr><td>6 SNAPSHOT</td><td>index, term, members, image of sessions and state</td></tr>
  * </table>
  *
  * <h2>Order of writes</h2>
  *
- * <p>A save is one BATCH, then TERM_AND_VOTE if it changed, SNAPSHOT_INSTALLED if the leader sent a
- * snapshot, and the entries; it is appended to the last segment and synced. A snapshot is saved
- * before the batch that names it. Snapshots, the identity and new segments are written aside,
- * synced and renamed. A new segment begins with TERM_AND_VOTE, as older segments may be deleted:
- * they are once both of the two newest snapshots stand for all that they hold.
+ * <p>A save consists of one BATCH, then TERM_AND_VOTE if it changed, SNAPSHOT_INSTALLED if the
+ * leader sent a snapshot, and the entries. It is appended to the last segment and synced. A
+ * snapshot is saved before the batch that refers to it. Snapshots, the identity and new segments
+ * are written to a temporary file, synced and renamed. A new segment begins with TERM_AND_VOTE, as
+ * older segments may be deleted: this happens once both of the two newest snapshots include all
+ * their entries.
  *
  * <h2>Torn tails and damage</h2>
  *
- * <p>After a crash the last segment may end with a part of a save that was never acknowledged: a
- * record that is cut short or whose checksum is wrong, at byte T. It is cut at T. The same sight is
- * damage, and the folder is refused with {@link rockshift.storage.CorruptRecordException}, if a
- * later BATCH in the file says that more than T bytes were durable before it, or if another segment
- * follows. Whether the very last batch was torn or damaged later can't be told apart; it is cut.
+ * <p>After a crash the last segment may end with a part of a save that was never acknowledged: at
+ * some byte T there is a record that is cut short or has a wrong checksum. The segment is truncated
+ * at T. Such a record is damage instead, and the folder is rejected with {@link
+ * rockshift.storage.CorruptRecordException}, if a later BATCH in the file records that more than T
+ * bytes were durable before it, or if another segment follows. Whether the very last batch was
+ * torn, or damaged later, cannot be distinguished; it is truncated.
  */
 package rockshift.storage;
