--- a/src/main/java/rockshift/wire/CborReader.java
+++ b/src/main/java/rockshift/wire/CborReader.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 
 /**
- * Reads CBOR items in a fixed order, and accepts exactly what {@link CborWriter} wrote: a missing,
- * further or ill-typed item, or one out of its range, is an error. One thread uses a reader.
+ * Reads CBOR items in a fixed order, and accepts only what {@link CborWriter} writes: a missing or
+ * extra item, one of the wrong type or one out of its range is an error. Not thread-safe.
  */
 public final class CborReader {
     private static final CBORFactory CBOR = new CBORFactory();
@@ -16,30 +16,30 @@
 
     private final CBORParser in;
 
-    /** The field that is being read, for errors; empty where fields have no names. */
+    /** The name of the field being read, for error messages; empty if fields have no names. */
     private String field = "";
 
-    /** Reads a part of an array. */
+    /** Creates a reader for a part of an array. */
     public CborReader(byte[] bytes, int from, int length) throws IOException {
         in = CBOR.createParser(bytes, from, length);
     }
 
-    /** Names the field that is read next, for errors. */
+    /** Sets the name of the field that is read next, for error messages. */
     public CborReader at(String name) {
         field = name;
         return this;
     }
 
-    /** An error at the field that is being read. */
-    public IOException wrong(String what) {
-        return new IOException(field.isEmpty() ? what : "field " + field + ": " + what);
+    /** Returns an exception for the field being read. */
+    public IOException wrong(String problem) {
+        return new IOException(field.isEmpty() ? problem : "field " + field + ": " + problem);
     }
 
     private JsonToken next() throws IOException {
         try {
             return in.nextToken();
         } catch (JsonProcessingException malformed) {
-            throw wrong("no CBOR at byte " + in.currentLocation().getByteOffset());
+            throw wrong("invalid CBOR at byte " + in.currentLocation().getByteOffset());
         }
     }
 
@@ -56,12 +56,14 @@
     }
 
     /**
-     * Reads the next token of an array whose items are read one by one; false at the array's end.
+     * Advances to the next item of an array.
+     *
+     * @return false at the end of the array
      */
     public boolean more() throws IOException {
         JsonToken token = next();
         if (token == null) {
-            throw wrong("an array that does not end");
+            throw wrong("expected the end of an array, found the end of the input");
         }
         return token != JsonToken.END_ARRAY;
     }
@@ -71,7 +73,7 @@
         expect(JsonToken.END_ARRAY);
     }
 
-    /** The number that {@link #more} has just reached. */
+    /** Returns the number that {@link #more} has advanced to. */
     public long currentNumber() throws IOException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
             throw wrong("expected a number, found " + in.currentToken());
@@ -89,25 +91,25 @@
         try {
             return in.getLongValue();
         } catch (JsonProcessingException tooLarge) {
-            throw wrong("a number that is too large");
+            throw wrong("number does not fit into 64 bits");
         }
     }
 
-    /** Reads a number within a range, both ends included. */
+    /** Reads a number in a range, both ends included. */
     public long number(long min, long max) throws IOException {
         long number = number();
         if (number < min || number > max) {
-            throw wrong(number + " out of range");
+            throw wrong(number + " out of range, expected " + min + " to " + max);
         }
         return number;
     }
 
-    /** Reads a number from 0 to a limit, included. */
+    /** Reads a number from 0 to {@code max}, both included. */
     public int whole(int max) throws IOException {
         return (int) number(0, max);
     }
 
-    /** Reads a value of an enumeration, written as its ordinal. */
+    /** Reads an enum constant, written as its ordinal. */
     public <E extends Enum<E>> E oneOf(E[] values) throws IOException {
         return values[whole(values.length - 1)];
     }
@@ -116,7 +118,7 @@
     public boolean flag() throws IOException {
         JsonToken token = next();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-            throw wrong("expected a yes or no, found " + token);
+            throw wrong("expected a boolean, found " + token);
         }
         return token == JsonToken.VALUE_TRUE;
     }
@@ -127,15 +129,15 @@
         try {
             return in.getText();
         } catch (JsonProcessingException malformed) {
-            throw wrong("no text");
+            throw wrong("malformed text");
         }
     }
 
-    /** Reads a text of a limited number of characters. */
+    /** Reads a text of at most {@code maxLength} characters. */
     public String text(int maxLength) throws IOException {
         String text = text();
         if (text.length() > maxLength) {
-            throw wrong("text of " + text.length() + " characters, at most " + maxLength);
+            throw wrong("text of " + text.length() + " characters, expected at most " + maxLength);
         }
         return text;
     }
@@ -147,24 +149,24 @@
             byte[] value = in.getBinaryValue();
             return value == null ? NO_BYTES : value;
         } catch (JsonProcessingException malformed) {
-            throw wrong("no bytes");
+            throw wrong("malformed byte string");
         }
     }
 
-    /** Reads a byte string of a limited length. */
+    /** Reads a byte string of at most {@code maxLength} bytes. */
     public byte[] bytes(int maxLength) throws IOException {
         byte[] value = bytes();
         if (value.length > maxLength) {
-            throw wrong("a value of " + value.length + " bytes, at most " + maxLength);
+            throw wrong("a value of " + value.length + " bytes, expected at most " + maxLength);
         }
         return value;
     }
 
-    /** Reads the end of the outermost array, after which nothing may follow. */
+    /** Reads the end of the outermost array. Nothing may follow it. */
     public void end() throws IOException {
         endArray();
         if (next() != null) {
-            throw wrong("more than one item");
+            throw wrong("expected the end of the input, found more than one item");
         }
     }
 }
--- a/src/main/java/rockshift/wire/CborWriter.java
+++ b/src/main/java/rockshift/wire/CborWriter.java
@@ -5,7 +5,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Writes CBOR items in a fixed order; {@link CborReader} reads them back. One thread uses it. */
+/** Writes CBOR items in a fixed order, which {@link CborReader} reads. Not thread-safe. */
 public final class CborWriter {
     private static final CBORFactory CBOR = new CBORFactory();
     private static final int INITIAL_CAPACITY_BYTES = 128;
@@ -13,7 +13,7 @@
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_CAPACITY_BYTES);
     private final CBORGenerator out;
 
-    /** Writes to memory. */
+    /** Creates a writer to a buffer in memory. */
     public CborWriter() throws IOException {
         out = CBOR.createGenerator(bytes);
     }
@@ -30,7 +30,7 @@
         return this;
     }
 
-    /** Writes numbers, each an item. */
+    /** Writes each number as an item. */
     public CborWriter add(long... numbers) throws IOException {
         for (long number : numbers) {
             out.writeNumber(number);
@@ -38,7 +38,7 @@
         return this;
     }
 
-    /** Writes booleans, each an item. */
+    /** Writes each boolean as an item. */
     public CborWriter flag(boolean... flags) throws IOException {
         for (boolean flag : flags) {
             out.writeBoolean(flag);
--- a/src/main/java/rockshift/wire/ConnectionLog.java
+++ b/src/main/java/rockshift/wire/ConnectionLog.java
@@ -6,9 +6,9 @@
 import org.slf4j.Logger;
 
 /**
- * Logs why connections of one kind ended or were refused, with a limit of lines per second: what
- * exceeds it is counted by reason in one line. Guards against a log that a flood of connections
- * fills. It keeps the totals by reason as well. Any thread may use it.
+ * Logs why connections of one kind were closed or refused, with a limit of lines per second.
+ * Connections beyond the limit are counted by reason in one line, so that a flood of connections
+ * does not fill the log. Also keeps the totals by reason. Thread-safe.
  */
 public final class ConnectionLog {
     private static final int MAX_LINES_PER_SECOND = 50;
@@ -17,24 +17,24 @@
     private final String kind;
     private long secondStartNanos = System.nanoTime();
     private int lines;
-    private final Map<String, Integer> unlogged = new TreeMap<>();
+    private final Map<String, Integer> suppressedByReason = new TreeMap<>();
     private final Map<String, Long> totals = new TreeMap<>();
 
     /**
-     * A log of one kind of connection.
+     * Creates a log for one kind of connection.
      *
-     * @param kind what the lines call the connections
+     * @param kind the name of the connections in log lines
      */
     public ConnectionLog(Logger log, String kind) {
         this.log = log;
         this.kind = kind;
     }
 
-    /** A connection ended; the line is left out if there are too many. */
+    /** Records that a connection was closed. No line is logged if there are too many. */
     public synchronized void ended(Object peer, String code, String detail) {
         totals.merge(code, 1L, Long::sum);
         if (System.nanoTime() - secondStartNanos > TimeUnit.SECONDS.toNanos(1)) {
-            logUnlogged();
+            logSuppressed();
             secondStartNanos = System.nanoTime();
             lines = 0;
         }
@@ -47,18 +47,18 @@
                     code,
                     detail);
         } else {
-            unlogged.merge(code, 1, Integer::sum);
+            suppressedByReason.merge(code, 1, Integer::sum);
         }
     }
 
-    private void logUnlogged() {
-        if (!unlogged.isEmpty()) {
-            log.warn("closed {} connections, not logged each: {}", kind, unlogged);
-            unlogged.clear();
+    private void logSuppressed() {
+        if (!suppressedByReason.isEmpty()) {
+            log.warn("closed {} connections, not logged each: {}", kind, suppressedByReason);
+            suppressedByReason.clear();
         }
     }
 
-    /** Connections ended since the start, by reason. */
+    /** Returns the number of connections closed since the start, by reason. */
     public synchronized Map<String, Long> totals() {
         return new TreeMap<>(totals);
     }
--- a/src/main/java/rockshift/wire/FramedConnection.java
+++ b/src/main/java/rockshift/wire/FramedConnection.java
@@ -12,15 +12,19 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection that carries {@link Frames} both ways. It owns the socket, the bytes received and
- * those that wait to be sent, and why it ended: the first reason that is given counts. Events come
- * on the reactor's thread; {@link #send} and {@link #end} may be called from any thread.
+ * A connection that exchanges {@link Frames} with a peer. It owns the socket, the received bytes,
+ * the frames queued for sending, and the reason why it was closed: only the first reason given is
+ * kept. Events are delivered on the reactor's thread; {@link #send} and {@link #end} may be called
+ * from any thread.
  */
 public abstract class FramedConnection implements IOEventHandler {
-    /** The peer may read nothing for so long while frames wait for it. */
+    /**
+     * Time after which a peer that reads nothing, while frames are queued for it, counts as
+     * stalled.
+     */
     private static final long MAX_STALL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** A connection that ends waits so long for the peer to read what was sent before. */
+    /** Maximum time that a closing connection waits for the peer to read the frames sent before. */
     private static final int CLOSE_GRACE_MILLIS = 500;
 
     private final IOSession session;
@@ -28,20 +32,21 @@
     private final ByteBuffer readBuffer;
     private final int maxUnsentBytes;
     private final Frames frames = new Frames();
-    // Guarded by the session's lock: frames that wait, the first perhaps in part, and their bytes.
-    private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
+    // Guarded by the session's lock: queued frames, of which the first may be partly sent, and
+    // their unsent bytes.
+    private final ArrayDeque<ByteBuffer> queuedFrames = new ArrayDeque<>();
     private int unsentBytes;
     private long lastProgressNanos = System.nanoTime();
     private boolean closesWhenSent;
     // Guarded by this object's monitor.
     private String reason;
-    private String about = "";
+    private String reasonDetail = "";
 
     /**
-     * A connection on a session that was accepted or opened.
+     * Creates a connection on a session that was accepted or opened.
      *
-     * @param readBuffer shared by all connections of one reactor's thread
-     * @param maxUnsentBytes bytes that may wait to be sent
+     * @param readBuffer shared by all connections of one reactor thread
+     * @param maxUnsentBytes maximum number of bytes queued for sending
      */
     protected FramedConnection(IOSession session, ByteBuffer readBuffer, int maxUnsentBytes) {
         this.session = session;
@@ -51,32 +56,34 @@
     }
 
     /**
-     * Takes a frame. A thrown {@link Frames.InvalidFrameException} ends the connection with its
-     * code, another failure as malformed.
+     * Handles a received frame.
+     *
+     * @throws Frames.InvalidFrameException to close the connection with the exception's code
+     * @throws IOException to close the connection as malformed
      */
     protected abstract void take(Frames.Frame frame) throws IOException;
 
-    /** The connection has ended, for the reason that {@link #reason} gives. */
+    /** Called when the connection was closed. {@link #reason} returns why. */
     protected abstract void ended();
 
-    /** The session that carries it. */
+    /** Returns the underlying session. */
     public final IOSession session() {
         return session;
     }
 
-    /** The address of the peer. */
+    /** Returns the address of the peer. */
     public final SocketAddress from() {
         return from;
     }
 
-    /** The code of the reason for which it ended; null while it is open. */
+    /** Returns the code of the reason for closing, null while the connection is open. */
     public final synchronized String reason() {
         return reason;
     }
 
-    /** More about the reason, for the log. */
+    /** Returns details of the reason, for the log. */
     public final synchronized String about() {
-        return about;
+        return reasonDetail;
     }
 
     @Override
@@ -89,11 +96,11 @@
                 end("left", "");
                 return;
             }
-            takeAll(readBuffer.flip());
+            handleFrames(readBuffer.flip());
         } while (count == readBuffer.capacity() && reason() == null);
     }
 
-    private void takeAll(ByteBuffer received) {
+    private void handleFrames(ByteBuffer received) {
         try {
             frames.feed(received);
             for (Frames.Frame frame = frames.next();
@@ -109,10 +116,10 @@
     }
 
     /**
-     * Sends a frame, from the caller's thread where nothing waits before it.
+     * Sends a frame, on the caller's thread if no other frame is queued.
      *
-     * @return whether it was sent or waits; false where it was dropped, since too much waits
-     *     already or the connection ends
+     * @return whether it was sent or queued; false if it was dropped because too many bytes are
+     *     queued or the connection is closing
      */
     public final boolean send(byte kind, byte[] payload) {
         ByteBuffer frame = ByteBuffer.wrap(Frames.frame(kind, payload));
@@ -121,7 +128,7 @@
             if (closesWhenSent) {
                 return false;
             }
-            if (waiting.isEmpty()) {
+            if (queuedFrames.isEmpty()) {
                 session.write(frame);
                 lastProgressNanos = System.nanoTime();
             }
@@ -132,7 +139,7 @@
                 return false;
             }
             unsentBytes += frame.remaining();
-            waiting.add(frame);
+            queuedFrames.add(frame);
             session.setEvent(SelectionKey.OP_WRITE);
             return true;
         } catch (IOException broken) {
@@ -147,7 +154,9 @@
     public final void outputReady(IOSession same) throws IOException {
         session.getLock().lock();
         try {
-            for (ByteBuffer first = waiting.peek(); first != null; first = waiting.peek()) {
+            for (ByteBuffer first = queuedFrames.peek();
+                    first != null;
+                    first = queuedFrames.peek()) {
                 int written = session.write(first);
                 unsentBytes -= written;
                 if (written > 0) {
@@ -156,7 +165,7 @@
                 if (first.hasRemaining()) {
                     return;
                 }
-                waiting.remove();
+                queuedFrames.remove();
             }
             session.clearEvent(SelectionKey.OP_WRITE);
             if (closesWhenSent) {
@@ -167,32 +176,36 @@
         }
     }
 
-    /** Whether frames wait and the peer has read nothing for too long. */
+    /** Returns whether frames are queued and the peer has read nothing for too long. */
     public final boolean stalled() {
         session.getLock().lock();
         try {
-            return !waiting.isEmpty() && System.nanoTime() - lastProgressNanos > MAX_STALL_NANOS;
+            return !queuedFrames.isEmpty()
+                    && System.nanoTime() - lastProgressNanos > MAX_STALL_NANOS;
         } finally {
             session.getLock().unlock();
         }
     }
 
-    /** Ends the connection at once; what still waits is lost. */
-    public final void end(String why, String what) {
-        if (recordReason(why, what)) {
+    /** Closes the connection at once. Queued frames are lost. */
+    public final void end(String code, String detail) {
+        if (recordReason(code, detail)) {
             session.close(CloseMode.IMMEDIATE);
         }
     }
 
-    /** Ends the connection once what was sent is written, or soon if the peer does not read it. */
-    public final void endWhenSent(String why, String what) {
-        if (!recordReason(why, what)) {
+    /**
+     * Closes the connection once all queued frames are written, or after a short time if the peer
+     * does not read them.
+     */
+    public final void endWhenSent(String code, String detail) {
+        if (!recordReason(code, detail)) {
             return;
         }
         session.getLock().lock();
         try {
             closesWhenSent = true;
-            if (waiting.isEmpty()) {
+            if (queuedFrames.isEmpty()) {
                 session.close(CloseMode.GRACEFUL);
             } else {
                 session.clearEvent(SelectionKey.OP_READ);
@@ -203,13 +216,17 @@
         }
     }
 
-    /** Keeps the reason if it is the first. */
-    private synchronized boolean recordReason(String why, String what) {
+    /**
+     * Records the reason for closing.
+     *
+     * @return false if there already is one
+     */
+    private synchronized boolean recordReason(String code, String detail) {
         if (reason != null) {
             return false;
         }
-        reason = why;
-        about = what;
+        reason = code;
+        reasonDetail = detail;
         return true;
     }
 
@@ -222,7 +239,7 @@
         }
     }
 
-    /** Nothing was received or sent for the timeout of the socket. */
+    /** Called when nothing was received or sent for the socket timeout. */
     protected abstract void quiet();
 
     @Override
@@ -235,7 +252,7 @@
                 String.valueOf(failure.getMessage()));
     }
 
-    /** A fault of this program while it handled the connection. */
+    /** Called when this program failed while handling the connection. */
     protected abstract void failed(Exception failure);
 
     @Override
--- a/src/main/java/rockshift/wire/Frames.java
+++ b/src/main/java/rockshift/wire/Frames.java
@@ -7,70 +7,74 @@
 import rockshift.raft.Checksum;
 
 /**
- * The frames of one connection: {@code length u32, CRC32C u32, kind u8, payload}. The length and
- * the checksum cover kind and payload. An instance assembles frames from the bytes as they arrive;
- * a frame that is too long or whose checksum is wrong is an error before anything of it is used.
+ * The frame format of a connection, {@code length u32, CRC32C u32, kind u8, payload}, and its
+ * decoder. The length and the checksum cover kind and payload. An instance assembles frames from
+ * bytes as they arrive. A frame that is too long or has a wrong checksum is rejected before any of
+ * its content is used.
  */
 public final class Frames {
-    /** Bytes of the longest frame: a message's entries or a snapshot chunk, and room. */
+    /**
+     * Maximum size of a frame: holds the entries of a message or a snapshot chunk, with room to
+     * spare.
+     */
     public static final int MAX_FRAME_BYTES = 1 << 20;
 
     /**
-     * The version of the protocol, sent in {@link Hello}. In version 2 changes may name a service
-     * and a zone, which members of version 1 refuse to apply.
+     * The version of the protocol, sent in {@link Hello}. Since version 2, changes may contain a
+     * service and a zone, which members of version 1 refuse to apply.
      */
     public static final int VERSION = 2;
 
     /** {@link Hello}, the first frame between members. */
     public static final byte HELLO = 1;
 
-    /** A message of Raft. */
+    /** A Raft message. */
     public static final byte MESSAGE = 2;
 
-    /** A command of operators, as JSON. */
+    /** An operator's command, as JSON. */
     public static final byte CALL = 3;
 
-    /** The answer to a command. */
+    /** The response to a command. */
     public static final byte REPLY = 4;
 
-    /** A message of the distribution between a publisher and its subscriber. */
+    /** A message between a publisher of agreed state and its subscriber. */
     public static final byte WATCH = 5;
 
     private static final int HEADER_BYTES = 8;
 
-    /** A frame that can't be used: the connection ends. */
+    /** Thrown if a frame is invalid; the connection must be closed. */
     public static final class InvalidFrameException extends IOException {
         private static final long serialVersionUID = 1L;
         private final String reasonCode;
 
         /**
-         * A frame that is refused.
+         * Creates the exception for a frame that is rejected.
          *
-         * @param code the reason as the log gives it
-         * @param what more of it, for operators
+         * @param code the code of the reason, for the log
+         * @param detail details of the reason, for operators
          */
-        public InvalidFrameException(String code, String what) {
-            super(what);
+        public InvalidFrameException(String code, String detail) {
+            super(detail);
             this.reasonCode = code;
         }
 
-        /** The reason as the log gives it. */
+        /** Returns the code of the reason, for the log. */
         public String reasonCode() {
             return reasonCode;
         }
     }
 
-    /** One whole frame. */
+    /** A complete frame. */
     public record Frame(byte kind, byte[] payload) {}
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-    /** A larger buffer is let go when it is empty, as most connections are idle. */
+    /** A larger buffer is released when it is empty, as most connections are idle. */
     private static final int MAX_IDLE_BUFFER_BYTES = 4 << 10;
 
     private ByteBuffer buffer = EMPTY;
 
-    /** The bytes of a frame. */
+    /** Returns an encoded frame. */
     public static byte[] frame(byte kind, byte[] payload) {
         byte[] body = new byte[payload.length + 1];
         body[0] = kind;
@@ -82,7 +86,7 @@
                 .array();
     }
 
-    /** Takes bytes as they arrive. */
+    /** Adds bytes as they arrive. */
     public void feed(ByteBuffer received) {
         if (buffer.capacity() - buffer.limit() < received.remaining()) {
             int needed = buffer.remaining() + received.remaining();
@@ -98,7 +102,7 @@
         buffer.put(received).position(position);
     }
 
-    /** The next whole frame, null if there is none yet. */
+    /** Returns the next complete frame, or null if more bytes are needed. */
     public Frame next() throws InvalidFrameException {
         if (buffer.remaining() < HEADER_BYTES) {
             return null;
@@ -120,18 +124,21 @@
 
     private static void checkLength(int length) throws InvalidFrameException {
         if (length < 1 || length > MAX_FRAME_BYTES) {
-            throw new InvalidFrameException("too-long", "a frame of " + length + " bytes");
+            throw new InvalidFrameException(
+                    "too-long",
+                    "a frame of " + length + " bytes, expected 1 to " + MAX_FRAME_BYTES);
         }
     }
 
     private static Frame check(byte[] body, int checksum) throws InvalidFrameException {
         if (checksum != Checksum.of(body)) {
-            throw new InvalidFrameException("garbled", "a frame whose checksum is wrong");
+            throw new InvalidFrameException(
+                    "garbled", "wrong checksum of a frame of " + body.length + " bytes");
         }
         return new Frame(body[0], Arrays.copyOfRange(body, 1, body.length));
     }
 
-    /** Reads one frame and waits until it is whole. */
+    /** Reads one frame; blocks until it is complete. */
     public static Frame read(DataInputStream in) throws IOException {
         int length = in.readInt();
         int checksum = in.readInt();
--- a/src/main/java/rockshift/wire/Hello.java
+++ b/src/main/java/rockshift/wire/Hello.java
@@ -4,16 +4,16 @@
 import rockshift.raft.Membership;
 
 /**
- * Who a member is: the first frame on a connection between members.
+ * The first frame on a connection between members, which identifies the sender.
  *
- * @param version the version of the protocol that it speaks
- * @param cluster the cluster that it is part of, 0 if none yet
- * @param id its own id
- * @param name what operators call it
- * @param members the membership that it knows
+ * @param version the protocol version of the sender
+ * @param cluster the cluster that the sender is part of, 0 if none yet
+ * @param id the id of the sender
+ * @param name the name that operators use for the sender
+ * @param members the membership known to the sender
  */
 public record Hello(long version, long cluster, long id, String name, Membership members) {
-    /** The bytes of this greeting. */
+    /** Returns the encoded hello. */
     public byte[] encode() throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
@@ -24,14 +24,15 @@
         return writer.end();
     }
 
-    /** Reads a greeting; one of another version is refused before the rest is looked at. */
+    /** Decodes a hello. One of another version is rejected before its other fields are read. */
     public static Hello decode(byte[] bytes) throws IOException {
         CborReader reader = new CborReader(bytes, 0, bytes.length);
         reader.startArray();
         long version = reader.number();
         if (version != Frames.VERSION) {
             throw new Frames.InvalidFrameException(
-                    "version", "it speaks version " + version + ", this is " + Frames.VERSION);
+                    "version",
+                    "expected protocol version " + Frames.VERSION + ", got version " + version);
         }
         long cluster = reader.number();
         long id = reader.number();
--- a/src/main/java/rockshift/wire/MessageCodec.java
+++ b/src/main/java/rockshift/wire/MessageCodec.java
@@ -8,8 +8,8 @@
 import rockshift.raft.Message;
 
 /**
- * Raft's messages as bytes: a CBOR array of kind, sender, receiver and term, then the fields of the
- * kind in the order of their records. Reading takes exactly what writing gave.
+ * Encodes Raft messages as CBOR arrays: kind, sender, receiver and term, then the fields of the
+ * kind in the order of the record's components. Decoding accepts only what encoding produces.
  */
 public final class MessageCodec {
     private static final int VOTE_REQUEST = 0;
@@ -22,9 +22,7 @@
 
     private MessageCodec() {}
 
-    // ---- writing --------------------------------------------------------------------------------
-
-    /** The bytes of a message. */
+    /** Returns an encoded message. */
     public static byte[] encode(Message message) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
@@ -88,9 +86,7 @@
         writer.add(chunk.round(), chunk.sentAtTicks());
     }
 
-    // ---- reading --------------------------------------------------------------------------------
-
-    /** The message in a frame's payload. */
+    /** Decodes the message in a frame's payload. */
     public static Message decode(byte[] bytes) throws IOException {
         CborReader reader = new CborReader(bytes, 0, bytes.length);
         reader.startArray();
--- a/src/main/java/rockshift/wire/StateCodec.java
+++ b/src/main/java/rockshift/wire/StateCodec.java
@@ -11,16 +11,14 @@
 import rockshift.raft.TermAndVote;
 
 /**
- * What members store, as bytes: entries, term and vote, snapshots and their images, as CBOR arrays
- * of a fixed order. Reading takes exactly what writing gave: a missing, further or ill-typed item
- * is an error, and nothing of a damaged value is used.
+ * Encodes the state that members store: entries, term and vote, snapshots and their images, as CBOR
+ * arrays with items in a fixed order. Decoding accepts only what encoding produces: a missing or
+ * extra item, or one of the wrong type, is an error, and no part of a damaged value is used.
  */
 public final class StateCodec {
     private StateCodec() {}
 
-    // ---- parts of other values ------------------------------------------------------------------
-
-    /** Writes a membership, or null as one without members. */
+    /** Writes a membership; null is written as one without members. */
     static void writeMembership(CborWriter writer, Membership membership) throws IOException {
         writer.startArray();
         if (membership != null) {
@@ -39,7 +37,8 @@
         List<Member> members = new ArrayList<>();
         while (reader.more()) {
             if (members.size() >= Membership.MAX_MEMBERS) {
-                throw new IOException("no list of members");
+                throw new IOException(
+                        "expected at most " + Membership.MAX_MEMBERS + " members, found more");
             }
             long id = reader.currentNumber();
             String name = reader.text();
@@ -74,9 +73,7 @@
                 kind == Entry.Kind.MEMBERSHIP ? membership : null);
     }
 
-    // ---- values of their own --------------------------------------------------------------------
-
-    /** The bytes of an entry. */
+    /** Returns an encoded entry. */
     public static byte[] encodeEntry(Entry entry) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
@@ -85,7 +82,7 @@
         return writer.end();
     }
 
-    /** The entry in a part of an array. */
+    /** Decodes the entry in a part of an array. */
     public static Entry decodeEntry(byte[] bytes, int from, int length) throws IOException {
         CborReader reader = new CborReader(bytes, from, length);
         reader.startArray();
@@ -94,12 +91,12 @@
         return entry;
     }
 
-    /** The bytes of a term and vote; {@link #decodeNumbers} reads them as two numbers. */
+    /** Returns an encoded term and vote; {@link #decodeNumbers} decodes them as two numbers. */
     public static byte[] encodeTermAndVote(TermAndVote termAndVote) throws IOException {
         return encodeNumbers(termAndVote.term(), termAndVote.votedFor());
     }
 
-    /** The bytes of numbers whose count both sides know. */
+    /** Returns encoded numbers. Their count is not encoded: the reader must know it. */
     public static byte[] encodeNumbers(long... numbers) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
@@ -108,7 +105,7 @@
         return writer.end();
     }
 
-    /** So many numbers in a part of an array. */
+    /** Decodes {@code count} numbers in a part of an array. */
     public static long[] decodeNumbers(int count, byte[] bytes, int from, int length)
             throws IOException {
         CborReader reader = new CborReader(bytes, from, length);
@@ -121,7 +118,7 @@
         return numbers;
     }
 
-    /** The bytes of a snapshot. */
+    /** Returns an encoded snapshot. */
     public static byte[] encodeSnapshot(Snapshot snapshot) throws IOException {
         CborWriter writer = new CborWriter();
         writer.startArray();
@@ -132,7 +129,7 @@
         return writer.end();
     }
 
-    /** The snapshot in a part of an array. */
+    /** Decodes the snapshot in a part of an array. */
     public static Snapshot decodeSnapshot(byte[] bytes, int from, int length) throws IOException {
         CborReader reader = new CborReader(bytes, from, length);
         reader.startArray();
@@ -144,7 +141,10 @@
         return snapshot;
     }
 
-    /** The data of a snapshot: all client sessions, and the image of the state machine. */
+    /**
+     * Returns the encoded data of a snapshot: all client sessions, and the image of the state
+     * machine.
+     */
     public static byte[] encodeImage(
             List<ClientSessions.Session> sessions, byte[] stateMachineImage) throws IOException {
         CborWriter writer = new CborWriter();
@@ -159,7 +159,11 @@
         return writer.end();
     }
 
-    /** Replaces sessions and state machine by those of a snapshot's data, if it is sound. */
+    /**
+     * Replaces the sessions and the state machine with those in the data of a snapshot.
+     *
+     * @throws IOException if the data cannot be decoded; nothing is replaced in this case
+     */
     public static void restoreImage(byte[] image, ClientSessions into) throws IOException {
         CborReader reader = new CborReader(image, 0, image.length);
         reader.startArray();
--- a/src/main/java/rockshift/wire/package-info.java
+++ b/src/main/java/rockshift/wire/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What travels between members, relays and commands: frames with checksums, CBOR readers and
- * writers, the encoding of Raft's types, and a connection that carries frames. Independent of what
- * is agreed.
+ * The wire format between members, relays and commands: frames with checksums, CBOR readers and
+ * writers, the encoding of Raft types, and a connection that exchanges frames. Independent of the
+ * content of the agreed state.
  */
 package rockshift.wire;
