--- a/src/main/java/rockshift/raft/SnapshotReceiver.java
+++ b/src/main/java/rockshift/raft/SnapshotReceiver.java
@@ -20,7 +20,7 @@
     private final Consumer<String> logLines;
 
     /** The first chunk of the snapshot being received, null if there is none. */
-    private Message.SnapshotChunk incomingSnapshot;
+    private Message.SnapshotChunk firstChunk;
 
     private ByteArrayOutputStream receivedBytes = new ByteArrayOutputStream();
 
@@ -74,8 +74,8 @@
     }
 
     private void store(Message.SnapshotChunk chunk) {
-        if (incomingSnapshot == null || !isOfSameSnapshot(incomingSnapshot, chunk)) {
-            incomingSnapshot = chunk;
+        if (firstChunk == null || !isOfSameSnapshot(firstChunk, chunk)) {
+            firstChunk = chunk;
             receivedBytes = new ByteArrayOutputStream();
         }
         boolean continues = chunk.offset() == receivedBytes.size();
@@ -94,7 +94,7 @@
 
     private void complete(Message.SnapshotChunk chunk, long nowTicks) {
         byte[] data = receivedBytes.toByteArray();
-        incomingSnapshot = null;
+        firstChunk = null;
         receivedBytes = new ByteArrayOutputStream();
         if (Checksum.of(data) != chunk.checksum()) {
             logLines.accept(
--- a/src/main/java/rockshift/storage/SegmentFiles.java
+++ b/src/main/java/rockshift/storage/SegmentFiles.java
@@ -83,8 +83,8 @@
         boolean isLast = number == highestIndexes.lastKey();
         byte[] bytes = disk.read(fileName(number));
         if (isLast && bytes.length < SegmentHeader.BYTES) {
-            // A new segment is synced before it is renamed, so a crash alone does not leave one as
-            // short as this. This happens only if the disk made the name durable before the
+            // A new segment is synced before it is renamed, so a crash alone does not leave a file
+            // as short as this. One exists only if the disk made the name durable before the
             // content.
             disk.delete(fileName(number));
             highestIndexes.remove(number);
