--- a/src/main/java/rockshift/model/ClassSet.java
+++ b/src/main/java/rockshift/model/ClassSet.java
@@ -46,6 +46,7 @@
         return numbers != null && numbers.isEmpty();
     }
 
+    /** Returns whether the class with a number is in this set. */
     public boolean contains(int number) {
         return numbers == null || numbers.get(number);
     }
