--- a/src/main/java/rockshift/distribution/DeliveryState.java
+++ b/src/main/java/rockshift/distribution/DeliveryState.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * What a subscription has been sent of its current scope, and what it still lacks. Owned by the
- * publisher's thread.
+ * What has been sent to a subscription in its current scope, and what is still to be sent. Confined
+ * to the publisher's thread.
  */
 final class DeliveryState {
     private static final long UP_TO_DATE = Long.MAX_VALUE;
@@ -12,13 +12,13 @@
     private Revision sentRevision = Revision.NONE;
     private long sentDigest;
     private long unchangedThrough;
-    private long lastRelevantNumber;
+    private long lastChangeNumber;
     private long outdatedSinceMillis = UP_TO_DATE;
     private boolean needsSnapshot;
     private SnapshotTransfer transfer;
     private final ArrayDeque<Long> unacknowledged = new ArrayDeque<>();
 
-    /** Begins again for another scope, of which nothing has been sent. */
+    /** Resets the state for another scope, of which nothing has been sent. */
     void restart() {
         sentRevision = Revision.NONE;
         outdatedSinceMillis = UP_TO_DATE;
@@ -28,66 +28,72 @@
     }
 
     /**
-     * What the subscriber has once it has received all that was sent; none while it waits for a
-     * snapshot.
+     * Returns the revision that the subscriber is at once it has received everything sent; {@link
+     * Revision#NONE} while it waits for a snapshot.
      */
     Revision sentRevision() {
         return sentRevision;
     }
 
-    /** The digest of the scope's state at {@link #sentRevision}. */
+    /** Returns the digest of the scope's state at {@link #sentRevision}. */
     long sentDigest() {
         return sentDigest;
     }
 
-    /** The last number up to which nothing changed in the scope since {@link #sentRevision}. */
+    /**
+     * Returns the last revision number up to which nothing has changed in the scope since {@link
+     * #sentRevision}.
+     */
     long unchangedThrough() {
         return unchangedThrough;
     }
 
-    /** The number of the last message that changed the subscriber's state. */
-    long lastRelevantNumber() {
-        return lastRelevantNumber;
+    /** Returns the revision number of the last message that changed the subscriber's state. */
+    long lastChangeNumber() {
+        return lastChangeNumber;
     }
 
-    /** The subscriber's state stands unchanged at this revision. */
-    void unchangedAt(Revision revision) {
+    /** Advances to a revision at which the subscriber's state is unchanged. */
+    void advanceTo(Revision revision) {
         sentRevision = revision;
         unchangedThrough = revision.number();
     }
 
-    /** The subscriber resumes from a state that it has kept, which its digest confirms. */
+    /**
+     * Resumes from a state that the subscriber has retained. The digest lets the subscriber verify
+     * that state.
+     */
     void resumeFrom(Revision revision, long digest) {
-        unchangedAt(revision);
+        advanceTo(revision);
         sentDigest = digest;
-        lastRelevantNumber = revision.number();
+        lastChangeNumber = revision.number();
     }
 
-    /** A difference was sent. */
+    /** Handles the sending of a difference that leads to this revision. */
     void differenceSent(Revision revision, long digest) {
-        unchangedAt(revision);
+        advanceTo(revision);
         sentDigest = digest;
         outdatedSinceMillis = UP_TO_DATE;
         awaitAcknowledgement(revision.number());
     }
 
-    /** The changes since the last message cancel each other out in this scope. */
+    /** Handles changes that cancel each other out in the scope, so that nothing is sent. */
     void changesCancelledOut(long number) {
         unchangedThrough = number;
         outdatedSinceMillis = UP_TO_DATE;
     }
 
-    /** A snapshot begins, in place of anything that was still to be sent. */
+    /** Starts a snapshot, which replaces everything still to be sent. */
     void startTransfer(SnapshotTransfer started) {
         transfer = started;
         needsSnapshot = false;
         outdatedSinceMillis = UP_TO_DATE;
         sentRevision = Revision.NONE;
         unchangedThrough = started.revision().number();
-        lastRelevantNumber = started.revision().number();
+        lastChangeNumber = started.revision().number();
     }
 
-    /** The last part of the snapshot was sent. */
+    /** Handles the sending of the last part of the snapshot. */
     void finishTransfer() {
         sentRevision = transfer.revision();
         sentDigest = transfer.digest();
@@ -95,26 +101,29 @@
         transfer = null;
     }
 
-    /** The snapshot under way; null if there is none. */
+    /** Returns the snapshot in progress; null if there is none. */
     SnapshotTransfer transfer() {
         return transfer;
     }
 
     /**
-     * Something in the scope changed after a number.
+     * Marks the subscriber as outdated, unless it is already.
      *
-     * @param freshAtMillis when what was sent was last known to be the newest
+     * @param unchangedNumber the last revision number before the change
+     * @param freshAtMillis when the state already sent was last known to be current
      */
-    void outdate(long unchangedNumber, long freshAtMillis) {
+    void markOutdated(long unchangedNumber, long freshAtMillis) {
         if (!outdated()) {
             unchangedThrough = unchangedNumber;
             outdatedSinceMillis = freshAtMillis;
         }
     }
 
-    /** Only a snapshot can bring the subscriber up to date. */
+    /**
+     * Marks the subscriber as outdated to the point that only a snapshot can bring it up to date.
+     */
     void requireSnapshot(long freshAtMillis) {
-        outdate(unchangedThrough, freshAtMillis);
+        markOutdated(unchangedThrough, freshAtMillis);
         needsSnapshot = true;
     }
 
@@ -127,28 +136,31 @@
     }
 
     /**
-     * When what was sent was last known to be the newest.
+     * Returns when the state already sent was last known to be current.
      *
-     * @param storeFreshAtMillis when the store's state was
+     * @param storeFreshAtMillis when the state of the store was last known to be current
      */
     long freshAtMillis(long storeFreshAtMillis) {
         return Math.min(outdatedSinceMillis, storeFreshAtMillis);
     }
 
-    /** The subscriber has put everything up to this number in force. */
+    /** Handles an acknowledgement of everything up to a revision number. */
     void acknowledged(long number) {
         while (!unacknowledged.isEmpty() && unacknowledged.peek() <= number) {
             unacknowledged.poll();
         }
     }
 
-    /** Messages that changed the subscriber's state and are not acknowledged. */
+    /**
+     * Returns the number of state-changing messages that are not acknowledged; a snapshot counts as
+     * one.
+     */
     int unacknowledged() {
         return unacknowledged.size();
     }
 
     private void awaitAcknowledgement(long number) {
-        lastRelevantNumber = number;
+        lastChangeNumber = number;
         unacknowledged.add(number);
     }
 }
--- a/src/main/java/rockshift/distribution/Digest.java
+++ b/src/main/java/rockshift/distribution/Digest.java
@@ -1,8 +1,8 @@
 package rockshift.distribution;
 
 /**
- * The 64-bit hash behind the digests of items and the fingerprint of names: FNV-1a with a final
- * mix. It guards against mistakes only.
+ * The 64-bit hash used for the digests of items and for the fingerprint of a roster: FNV-1a with a
+ * final mixing step. It detects accidental differences, not deliberate ones.
  */
 final class Digest {
     private static final long OFFSET = 0xcbf29ce484222325L;
@@ -12,8 +12,8 @@
 
     static long of(Item item) {
         long hash = addText(addText(addText(OFFSET, item.key()), item.service()), item.zone());
-        for (byte each : item.value()) {
-            hash = (hash ^ (each & 0xff)) * PRIME;
+        for (byte value : item.value()) {
+            hash = (hash ^ (value & 0xff)) * PRIME;
         }
         return mix(hash);
     }
--- a/src/main/java/rockshift/distribution/InForceReport.java
+++ b/src/main/java/rockshift/distribution/InForceReport.java
@@ -56,9 +56,9 @@
         }
         long lowest = Math.min(inForce.number(), summary.lowestRevision());
         boolean pending = delivery.outdated() || delivery.transfer() != null;
-        boolean hasAll = !pending && inForce.number() >= delivery.lastRelevantNumber();
+        boolean hasAll = !pending && inForce.number() >= delivery.lastChangeNumber();
         return new SummaryAggregator.Contribution(
-                !pending && lowest >= delivery.lastRelevantNumber(),
+                !pending && lowest >= delivery.lastChangeNumber(),
                 lowest,
                 summary.subscribers(),
                 hasAll ? summary.behind() : summary.subscribers(),
--- a/src/main/java/rockshift/distribution/Item.java
+++ b/src/main/java/rockshift/distribution/Item.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * One piece of configuration. The value is opaque here and must not be changed by whoever holds it.
+ * One piece of configuration. The value is opaque to this package and must not be modified.
  *
- * @param key names the item; unique in a state
- * @param service whom it concerns; empty: every service
- * @param zone whom it concerns; empty: every zone
+ * @param key the item's name, unique within a state
+ * @param service the service that the item applies to; empty: every service
+ * @param zone the zone that the item applies to; empty: every zone
  * @param value the content
  */
 public record Item(String key, String service, String zone, byte[] value) {
     private static final int OVERHEAD_BYTES = 16;
 
-    /** Fails on a null part. */
+    /** Requires all components to be non-null. */
     public Item {
         Objects.requireNonNull(key);
         Objects.requireNonNull(service);
@@ -22,20 +22,20 @@
         Objects.requireNonNull(value);
     }
 
-    /** About how many bytes the item takes in a message. */
+    /** Returns the approximate encoded size in bytes. */
     public int bytes() {
         return key.length() + service.length() + zone.length() + value.length + OVERHEAD_BYTES;
     }
 
     /**
-     * A 64-bit digest; the digest of a state is the sum of its items', so that it can follow each
-     * change.
+     * Returns the 64-bit digest of the item. The digest of a state is the sum of the digests of its
+     * items, so that it can be updated incrementally.
      */
     public long digest() {
         return Digest.of(this);
     }
 
-    /** The item without its value, as a deletion names it. */
+    /** Returns the item without its value, as it appears in a deletion. */
     public Item withoutValue() {
         return new Item(key, service, zone, new byte[0]);
     }
--- a/src/main/java/rockshift/distribution/ItemChange.java
+++ b/src/main/java/rockshift/distribution/ItemChange.java
@@ -1,12 +1,12 @@
 package rockshift.distribution;
 
 /**
- * An update with what it replaced in the store.
+ * An update together with the item that it replaced in the store.
  *
- * @param serviceBefore whom the item concerned before; null if there was none
- * @param zoneBefore likewise
- * @param digestBefore the item's digest before; 0 if there was none
- * @param digestAfter the item's digest now; 0 if it is gone
+ * @param serviceBefore the service of the replaced item; null if there was none
+ * @param zoneBefore the zone of the replaced item; null if there was none
+ * @param digestBefore the digest of the replaced item; 0 if there was none
+ * @param digestAfter the digest of the new item; 0 if the item was deleted
  */
 record ItemChange(
         Update update,
@@ -15,7 +15,7 @@
         long digestBefore,
         long digestAfter) {
 
-    /** Whether a scope held the item before. */
+    /** Returns whether the replaced item was in a scope. */
     boolean matchedBefore(Scope scope) {
         return serviceBefore != null && scope.matches(serviceBefore, zoneBefore);
     }
--- a/src/main/java/rockshift/distribution/Limits.java
+++ b/src/main/java/rockshift/distribution/Limits.java
@@ -1,11 +1,11 @@
 package rockshift.distribution;
 
 /**
- * Every bound of the distribution, with what happens there.
+ * The limits of the distribution and what happens when one is reached.
  *
- * @param timing intervals and deadlines
- * @param sizes what a message, a state and a history may hold
- * @param admission what one publisher takes on at a time
+ * @param timing intervals and timeouts
+ * @param sizes maximum sizes of messages, states and histories
+ * @param admission limits on the load that one publisher accepts
  */
 public record Limits(Timing timing, Sizes sizes, Admission admission) {
     private static final Limits STANDARD =
@@ -16,26 +16,31 @@
                             4_096, 200),
                     new Admission(4_096, 200, 32, 4, 4, 30_000));
 
-    /** The limits of a member, relay or controller where nothing else is configured. */
+    /** Returns the default limits of a member, relay or controller. */
     public static Limits standard() {
         return STANDARD;
     }
 
     /**
-     * Intervals and deadlines, in milliseconds.
+     * Intervals and timeouts, in milliseconds.
      *
-     * @param heartbeatIntervalMillis between two heartbeats to a subscriber
-     * @param silenceTimeoutMillis after which either side ends a connection, also one that never
-     *     subscribed
-     * @param connectTimeoutMillis for a connection to come about; then the next upstream is tried
-     * @param initialBackoffMillis before the first reconnection, doubled each time, with jitter
-     * @param maxBackoffMillis where doubling ends
-     * @param staleThresholdMillis age from which a subscriber tries another upstream
-     * @param staleRetryMillis how long it stays where it is once all upstreams were found stale
-     * @param acknowledgeIntervalMillis least time between two acknowledgements that only carry a
+     * @param heartbeatIntervalMillis interval between heartbeats to a subscriber
+     * @param silenceTimeoutMillis time without a message after which either side closes the
+     *     connection, also one that never subscribed
+     * @param connectTimeoutMillis time for a connection to be established; then the next upstream
+     *     is tried
+     * @param initialBackoffMillis delay before the first reconnection, doubled on each further one,
+     *     with jitter
+     * @param maxBackoffMillis upper limit of the reconnection delay
+     * @param staleThresholdMillis age of the state from which a subscriber tries another upstream
+     * @param staleRetryMillis time a subscriber stays with its upstream once all upstreams were
+     *     found stale
+     * @param acknowledgeIntervalMillis minimum interval between acknowledgements that only carry a
      *     new summary
-     * @param snapshotTimeoutMillis for a subscriber to take a snapshot; then it is closed as slow
-     * @param lostSubscriberRetentionMillis how long a lost subscriber counts as unreachable
+     * @param snapshotTimeoutMillis time for a subscriber to receive a snapshot; then its connection
+     *     is closed as slow
+     * @param lostSubscriberRetentionMillis time for which a disconnected subscriber counts as
+     *     unreachable
      */
     public record Timing(
             long heartbeatIntervalMillis,
@@ -50,18 +55,19 @@
             long lostSubscriberRetentionMillis) {}
 
     /**
-     * What a message, a state and a history may hold.
+     * Maximum sizes of messages, states and histories.
      *
-     * @param maxItemBytes of one item; a larger one is rejected
-     * @param maxStateItems items of a state; more are rejected, the state stays as it was
-     * @param maxHistoryUpdates updates kept to resume from; the oldest go first
-     * @param maxHistoryBytes bytes of these; the oldest go first
+     * @param maxItemBytes size of an item; a larger one is rejected
+     * @param maxStateItems items in a state; a larger state is rejected and the current one is kept
+     * @param maxHistoryUpdates updates retained for resuming; the oldest are dropped first
+     * @param maxHistoryBytes bytes of the retained updates; the oldest are dropped first
      * @param maxPartItems items in a part of a snapshot
-     * @param maxPartBytes bytes after which a part ends
+     * @param maxPartBytes bytes in a part of a snapshot; a part holds at least one item
      * @param maxDifferenceUpdates updates in a difference; a larger one is sent as a snapshot
-     * @param maxDifferenceBytes bytes of these; likewise
-     * @param maxScopeNames services and zones in a scope; more are rejected
-     * @param maxNameLength of a subscriber's name, a service or a zone
+     * @param maxDifferenceBytes bytes of the updates in a difference; a larger one is sent as a
+     *     snapshot
+     * @param maxScopeNames services and zones in a scope; a scope with more is rejected
+     * @param maxNameLength length of a subscriber's name, a service or a zone
      */
     public record Sizes(
             int maxItemBytes,
@@ -74,38 +80,43 @@
             int maxDifferenceBytes,
             int maxScopeNames,
             int maxNameLength) {
-        /** Rejects a state of more items than are allowed, reached by updates. */
+        /** Rejects a set of updates that results in a state of more items than are allowed. */
         void checkStateItems(int count) throws RejectionException {
             if (count > maxStateItems) {
                 throw new RejectionException(
                         RejectionReason.TOO_LARGE,
-                        "updates: more than " + maxStateItems + " items");
+                        "updates: state would hold "
+                                + count
+                                + " items, maximum is "
+                                + maxStateItems);
             }
         }
 
-        /** Rejects an item that is too large, or without a key. */
-        void check(Item item, String detail) throws RejectionException {
+        /** Rejects an item that is too large or has no key. */
+        void check(Item item, String field) throws RejectionException {
             if (item.key().isEmpty()) {
-                throw new RejectionException(RejectionReason.MALFORMED, detail + ".key: empty");
+                throw new RejectionException(
+                        RejectionReason.MALFORMED, field + ".key: must not be empty");
             } else if (item.bytes() > maxItemBytes) {
                 throw new RejectionException(
                         RejectionReason.TOO_LARGE,
-                        detail + ": " + item.bytes() + " of " + maxItemBytes + " bytes");
+                        field + ": " + item.bytes() + " bytes, maximum is " + maxItemBytes);
             }
         }
     }
 
     /**
-     * What one publisher takes on at a time.
+     * Limits on the load that one publisher accepts.
      *
-     * @param maxConnections open ones; the next is rejected as busy
-     * @param subscriptionsPerSecond the next is rejected as busy, with a time to come back
-     * @param maxConcurrentSnapshots a new subscription over it is rejected as busy; one that goes
-     *     on waits
-     * @param maxUnacknowledgedDifferences differences not acknowledged to a subscriber; further
+     * @param maxConnections open connections; further ones are rejected as busy
+     * @param subscriptionsPerSecond rate of new subscriptions; further ones are rejected as busy,
+     *     with a time to retry after
+     * @param maxConcurrentSnapshots snapshots in progress; beyond it a new subscription that needs
+     *     a snapshot is rejected as busy, and an existing subscription waits for its snapshot
+     * @param maxUnacknowledgedDifferences unacknowledged differences per subscriber; further
      *     changes are coalesced
-     * @param maxUnacknowledgedParts parts not acknowledged to a subscriber
-     * @param maxRetryMillis the latest time to come back that is told
+     * @param maxUnacknowledgedParts unacknowledged snapshot parts per subscriber
+     * @param maxRetryMillis upper limit of the time to retry after
      */
     public record Admission(
             int maxConnections,
--- a/src/main/java/rockshift/distribution/RejectionCounters.java
+++ b/src/main/java/rockshift/distribution/RejectionCounters.java
@@ -4,7 +4,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** How often each reason was given. */
+/** Counts of rejections by reason. */
 final class RejectionCounters {
     private final Map<RejectionReason, Long> counts = new EnumMap<>(RejectionReason.class);
 
--- a/src/main/java/rockshift/distribution/RejectionException.java
+++ b/src/main/java/rockshift/distribution/RejectionException.java
@@ -1,15 +1,15 @@
 package rockshift.distribution;
 
-/** Thrown where a message or a change can't be taken; nothing has been changed. */
+/** Thrown if a message or change is rejected. No state has been changed. */
 public final class RejectionException extends Exception {
     private static final long serialVersionUID = 1;
     private final RejectionReason reason;
     private final String detail;
 
     /**
-     * A rejection at a field of the message.
+     * Creates a rejection.
      *
-     * @param detail the field, and what is wrong there
+     * @param detail the field and what is wrong with it
      */
     public RejectionException(RejectionReason reason, String detail) {
         super(reason.code() + ": " + detail, null, false, false);
@@ -17,12 +17,12 @@
         this.detail = detail;
     }
 
-    /** The reason that counters and messages show. */
+    /** Returns the reason that counters and messages show. */
     public RejectionReason reason() {
         return reason;
     }
 
-    /** The field, and what is wrong there. */
+    /** Returns the field and what is wrong with it. */
     public String detail() {
         return detail;
     }
--- a/src/main/java/rockshift/distribution/RejectionReason.java
+++ b/src/main/java/rockshift/distribution/RejectionReason.java
@@ -4,41 +4,41 @@
 import java.util.Map;
 
 /**
- * Why a message or a connection was rejected or ended. The code is what logs, counters and messages
- * show.
+ * The reason why a message was rejected or a connection ended. Logs, counters and messages show its
+ * code.
  */
 public enum RejectionReason {
-    /** A field is missing, out of range, or the message does not belong in this direction. */
+    /** A field is missing or out of range, or the message is not allowed in this direction. */
     MALFORMED("malformed"),
-    /** More or larger than the bound allows. */
+    /** A size or count exceeds its limit. */
     TOO_LARGE("too-large"),
-    /** Repeated, skipped, or for a state that the receiver does not hold. */
+    /** A message was repeated or skipped, or is for a state that the receiver does not hold. */
     OUT_OF_ORDER("out-of-order"),
-    /** An item outside the scope that was asked for. */
+    /** An item is outside the subscribed scope. */
     OUT_OF_SCOPE("out-of-scope"),
-    /** The scope asks for nothing. */
+    /** The scope names no service and no zone. */
     EMPTY_SCOPE("empty-scope"),
-    /** The server does not hold all of that scope. */
+    /** The publisher does not serve the whole scope. */
     UNKNOWN_SCOPE("unknown-scope"),
-    /** A notice only: a service or zone of the scope has no item yet. */
+    /** Notice only: there is no item yet for one of the services or zones of the scope. */
     MATCHES_NOTHING("matches-nothing"),
-    /** Admission: come back after the time told. */
+    /** The publisher is at an admission limit; the subscriber should retry after the time given. */
     BUSY("busy"),
-    /** The state of one side was written by another cluster. */
+    /** The two sides hold states of different clusters. */
     OTHER_CLUSTER("other-cluster"),
-    /** The subscriber is at a later revision than the server. */
+    /** The subscriber is at a later revision than its upstream. */
     FUTURE_REVISION("future-revision"),
-    /** The state of the subscriber is not the one that the server expects. */
+    /** The subscriber's state differs from the one that the publisher expects. */
     DIGEST_MISMATCH("digest-mismatch"),
-    /** The server has been cut off from its own source, or has nothing yet. */
+    /** The upstream's state is out of date, or it has none yet. */
     STALE_UPSTREAM("stale-upstream"),
-    /** Nothing was heard for too long. */
+    /** Nothing was received within the silence timeout. */
     SILENT("silent"),
-    /** The subscriber answers but takes too long over a snapshot. */
+    /** The subscriber acknowledges too slowly, during a snapshot or after scope changes. */
     SLOW("slow"),
-    /** The subscriber connected again. */
+    /** The subscriber has subscribed on another connection. */
     REPLACED("replaced"),
-    /** No connection came about in time. */
+    /** No connection could be established in time. */
     UNREACHABLE("unreachable");
 
     private static final Map<String, RejectionReason> BY_CODE = new HashMap<>();
@@ -55,12 +55,12 @@
         this.code = code;
     }
 
-    /** What logs, counters and messages show. */
+    /** Returns the code that logs, counters and messages show. */
     public String code() {
         return code;
     }
 
-    /** The reason with this code; null if there is none. */
+    /** Returns the reason with this code; null if there is none. */
     public static RejectionReason byCode(String code) {
         return BY_CODE.get(code);
     }
--- a/src/main/java/rockshift/distribution/RequestValidator.java
+++ b/src/main/java/rockshift/distribution/RequestValidator.java
@@ -30,12 +30,12 @@
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "scopeEpoch: " + message.scopeEpoch() + " after " + subscription.scopeEpoch());
-        } else if (subscription.unconfirmedScopes()
+        } else if (subscription.unconfirmedScopeChanges()
                 > limits.admission().maxUnacknowledgedDifferences()) {
             throw new RejectionException(
                     RejectionReason.SLOW,
                     "scopeEpoch: "
-                            + subscription.unconfirmedScopes()
+                            + subscription.unconfirmedScopeChanges()
                             + " changes that were not confirmed");
         } else if (message.held().number() < 0
                 || message.held().cluster() == 0 && message.held().number() != 0) {
@@ -104,9 +104,9 @@
         }
         checkNames("services", scope.services(), sizes);
         checkNames("zones", scope.zones(), sizes);
-        String missing = served.missing(scope);
-        if (missing != null) {
-            throw new RejectionException(RejectionReason.UNKNOWN_SCOPE, missing);
+        String firstUncovered = served.firstUncovered(scope);
+        if (firstUncovered != null) {
+            throw new RejectionException(RejectionReason.UNKNOWN_SCOPE, firstUncovered);
         }
     }
 
--- a/src/main/java/rockshift/distribution/Scope.java
+++ b/src/main/java/rockshift/distribution/Scope.java
@@ -6,72 +6,75 @@
 import java.util.TreeSet;
 
 /**
- * What a subscriber asks for. Services and zones both bound it; where one of them is left empty it
- * is not bounded by that. An item that names no service or no zone concerns every one.
+ * The set of items that a subscriber subscribes to. An item is in the scope if both its service and
+ * its zone match. An empty set of services or zones does not restrict the scope, and an item
+ * without a service or zone matches every service or zone.
  *
- * @param everything asks for all, whatever else is named
- * @param services the services asked for
- * @param zones the zones asked for
+ * @param everything whether every item matches, whatever the services and zones
+ * @param services the services to match
+ * @param zones the zones to match
  */
 public record Scope(boolean everything, SortedSet<String> services, SortedSet<String> zones) {
     private static final Scope EVERYTHING = new Scope(true, new TreeSet<>(), new TreeSet<>());
 
-    /** Copies the names, so that the scope does not change. */
+    /** Copies the sets, so that the scope is immutable. */
     public Scope {
         services = Collections.unmodifiableSortedSet(new TreeSet<>(services));
         zones = Collections.unmodifiableSortedSet(new TreeSet<>(zones));
     }
 
-    /** The scope of every item. */
+    /** Returns the scope that matches every item. */
     public static Scope all() {
         return EVERYTHING;
     }
 
-    /** The items of these services in these zones; an empty list does not bound the scope. */
+    /**
+     * Returns the scope of these services in these zones; an empty collection does not restrict it.
+     */
     public static Scope of(Collection<String> services, Collection<String> zones) {
         return new Scope(false, new TreeSet<>(services), new TreeSet<>(zones));
     }
 
-    /** Whether it asks for nothing at all, which no server takes. */
+    /** Returns whether the scope names no service and no zone; publishers reject such a scope. */
     public boolean isEmpty() {
         return !everything && services.isEmpty() && zones.isEmpty();
     }
 
-    /** Whether it takes the item. */
+    /** Returns whether the item is in the scope. */
     public boolean matches(Item item) {
         return matches(item.service(), item.zone());
     }
 
-    /** Whether it takes the item that was updated. */
+    /** Returns whether the updated item is in the scope. */
     public boolean matches(Update update) {
         return matches(update.item());
     }
 
-    /** Whether it takes what concerns this service in this zone. */
+    /** Returns whether an item of this service and zone is in the scope. */
     public boolean matches(String service, String zone) {
         return everything || matches(services, service) && matches(zones, zone);
     }
 
     /**
-     * The first service or zone of the other scope that this one does not include; null if it
-     * includes all of it.
+     * Returns the first service or zone of the other scope that this scope does not cover; null if
+     * it covers the other scope entirely.
      */
-    public String missing(Scope other) {
+    public String firstUncovered(Scope other) {
         if (everything) {
             return null;
         } else if (other.everything) {
             return "everything";
         }
-        String service = missing("services", services, other.services);
-        return service == null ? missing("zones", zones, other.zones) : service;
+        String service = firstUncovered("services", services, other.services);
+        return service == null ? firstUncovered("zones", zones, other.zones) : service;
     }
 
-    /** Whether services bound it. */
+    /** Returns whether the scope is restricted to its services. */
     boolean boundByService() {
         return !everything && !services.isEmpty();
     }
 
-    /** Whether zones bound it. */
+    /** Returns whether the scope is restricted to its zones. */
     boolean boundByZone() {
         return !everything && !zones.isEmpty();
     }
@@ -80,15 +83,15 @@
         return requested.isEmpty() || name.isEmpty() || requested.contains(name);
     }
 
-    private static String missing(
-            String field, SortedSet<String> present, SortedSet<String> requested) {
-        if (present.isEmpty()) {
+    private static String firstUncovered(
+            String field, SortedSet<String> covered, SortedSet<String> requested) {
+        if (covered.isEmpty()) {
             return null;
         } else if (requested.isEmpty()) {
-            return field + " (every)";
+            return "all " + field;
         }
         for (String name : requested) {
-            if (!present.contains(name)) {
+            if (!covered.contains(name)) {
                 return field + " '" + name + "'";
             }
         }
--- a/src/main/java/rockshift/distribution/ScopeDelta.java
+++ b/src/main/java/rockshift/distribution/ScopeDelta.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What changed in a scope since a revision.
+ * The changes in a scope since a revision.
  *
- * @param updates at most one an item
- * @param digestChange what the digest of the scope's state grew by, where the start is a revision
- *     that the store itself was at
- * @param bytes about how many the updates take
+ * @param updates at most one update per item
+ * @param digestChange the change of the digest of the scope's state; valid only if the store itself
+ *     was at the starting revision
+ * @param bytes the approximate size of the updates
  */
 record ScopeDelta(List<Update> updates, long digestChange, long bytes) {}
--- a/src/main/java/rockshift/distribution/Subscription.java
+++ b/src/main/java/rockshift/distribution/Subscription.java
@@ -1,8 +1,8 @@
 package rockshift.distribution;
 
 /**
- * One connection of a publisher and the subscription on it: who subscribes to which scope, and when
- * it needs attention next. Owned by the publisher's thread.
+ * A downstream connection and its subscription: the subscriber, its scope, and the time at which
+ * the subscription is next due. Confined to the publisher's thread.
  */
 final class Subscription {
     private final long connection;
@@ -12,7 +12,7 @@
     private String name;
     private long scopeEpoch;
     private Scope scope;
-    private int unconfirmedScopes;
+    private int unconfirmedScopeChanges;
 
     private long lastReceivedAtMillis;
     private long echoMillis;
@@ -28,7 +28,7 @@
         return connection;
     }
 
-    /** The subscriber's name; null before it has subscribed. */
+    /** Returns the subscriber's name; null until it has subscribed. */
     String name() {
         return name;
     }
@@ -45,22 +45,22 @@
         return scope;
     }
 
-    /** What was sent, and what is still to be. */
+    /** Returns what was sent to the subscriber and what is still to be sent. */
     DeliveryState delivery() {
         return delivery;
     }
 
-    /** What the subscriber reports to be in force. */
+    /** Returns what the subscriber reports to be in force. */
     InForceReport report() {
         return report;
     }
 
-    /** Begins with a scope, or goes on with another one; nothing is in force of it yet. */
+    /** Starts the subscription, or replaces its scope; nothing of the new scope is in force yet. */
     void subscribe(DistributionMessage.Subscribe message, int controllersLostBefore) {
         if (name == null) {
             report.lostBefore(controllersLostBefore);
         } else {
-            unconfirmedScopes++;
+            unconfirmedScopeChanges++;
         }
         name = message.subscriber();
         scopeEpoch = message.scopeEpoch();
@@ -69,27 +69,31 @@
         delivery.restart();
     }
 
-    /** The subscriber confirms the scope, and what of it is in force. */
+    /** Handles an acknowledgement of the current scope. */
     void acknowledge(DistributionMessage.Acknowledge message) {
-        unconfirmedScopes = 0;
+        unconfirmedScopeChanges = 0;
         report.receive(message);
         delivery.acknowledged(message.inForce().number());
     }
 
-    /** Changes of scope since the subscriber last showed that it reads. */
-    int unconfirmedScopes() {
-        return unconfirmedScopes;
+    /** Returns the number of scope changes since the last acknowledgement of the current scope. */
+    int unconfirmedScopeChanges() {
+        return unconfirmedScopeChanges;
     }
 
     /**
-     * Whether all that was sent before has been read, so that no more than one snapshot waits to be
-     * read.
+     * Returns whether the subscriber has acknowledged everything sent so far, so that at most one
+     * snapshot is in transit to it.
      */
     boolean mayStartTransfer() {
-        return delivery.unacknowledged() == 0 && unconfirmedScopes == 0;
+        return delivery.unacknowledged() == 0 && unconfirmedScopeChanges == 0;
     }
 
-    /** A valid message came, sent at this time by the subscriber's clock. */
+    /**
+     * Handles the receipt of a valid message.
+     *
+     * @param sentMillis the subscriber's clock when it sent the message
+     */
     void received(long sentMillis, long nowMillis) {
         lastReceivedAtMillis = nowMillis;
         echoMillis = sentMillis;
@@ -99,7 +103,7 @@
         return lastReceivedAtMillis;
     }
 
-    /** The subscriber's clock in its last message, which the next heartbeat returns. */
+    /** Returns the subscriber's clock in its last message, which the next heartbeat echoes. */
     long echoMillis() {
         return echoMillis;
     }
@@ -108,7 +112,10 @@
         heartbeatAtMillis = atMillis;
     }
 
-    /** When the next heartbeat is due; never before the subscription stands. */
+    /**
+     * Returns when the next heartbeat is due; {@link Long#MAX_VALUE} until the subscription is
+     * active.
+     */
     long heartbeatAtMillis() {
         return heartbeatAtMillis;
     }
--- a/src/main/java/rockshift/distribution/SubscriptionUpdater.java
+++ b/src/main/java/rockshift/distribution/SubscriptionUpdater.java
@@ -48,7 +48,9 @@
         if (store.generation() == publishedGeneration) {
             concerned = concerned(index);
             concerned.forEach(
-                    each -> each.delivery().outdate(publishedRevision.number(), freshAtMillis));
+                    each ->
+                            each.delivery()
+                                    .markOutdated(publishedRevision.number(), freshAtMillis));
         } else {
             publishedGeneration = store.generation();
             concerned = index.all();
@@ -74,7 +76,7 @@
         long digest = store.digest(subscription.scope());
         subscription.delivery().resumeFrom(held, digest);
         if (delta.get().updates().isEmpty()) {
-            subscription.delivery().unchangedAt(store.current());
+            subscription.delivery().advanceTo(store.current());
         } else {
             sendDifference(subscription, delta.get().updates(), digest);
         }
@@ -100,7 +102,7 @@
     void sendHeartbeat(Subscription subscription, long nowMillis) {
         DeliveryState delivery = subscription.delivery();
         if (!delivery.sentRevision().isNone() && !delivery.outdated()) {
-            delivery.unchangedAt(store.current());
+            delivery.advanceTo(store.current());
         }
         transport.send(
                 subscription.connection(),
--- a/src/main/java/rockshift/distribution/Update.java
+++ b/src/main/java/rockshift/distribution/Update.java
@@ -3,35 +3,41 @@
 import java.util.Objects;
 
 /**
- * What an item became at a revision. It is absolute: applying it twice, or skipping one in between,
- * does no harm.
+ * The state of an item after a change. An update carries the whole item, so it can be applied
+ * twice, or after an earlier update to the same item was skipped.
  *
  * @param revision the number of the revision that last changed the item
- * @param item the item as of then; of a deletion only its name and whom it concerned
- * @param deleted whether it is gone
+ * @param item the item at that revision; for a deletion without its value
+ * @param deleted whether the item was deleted
  */
 public record Update(long revision, Item item, boolean deleted) {
-    /** Fails on a null part. */
+    /** Requires the item to be non-null. */
     public Update {
         Objects.requireNonNull(item);
     }
 
-    /** An item that was added or replaced. */
+    /** Returns an update that adds or replaces an item. */
     public static Update put(long revision, Item item) {
         return new Update(revision, item, false);
     }
 
-    /** An item that is gone; its value is left out. */
+    /** Returns an update that deletes an item. */
     public static Update delete(long revision, Item item) {
         return new Update(revision, item.withoutValue(), true);
     }
 
-    /** Rejects an update that is not of a revision after one and up to another. */
+    /** Rejects an update whose revision is not in the range from (exclusive) to (inclusive). */
     void checkBetween(long from, long to, String field) throws RejectionException {
         if (revision <= from || revision > to) {
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
-                    field + ".revision: " + revision + " is not after " + from + " up to " + to);
+                    field
+                            + ".revision: expected after "
+                            + from
+                            + " and up to "
+                            + to
+                            + ", got "
+                            + revision);
         }
     }
 }
