--- a/src/main/java/rockshift/distribution/InForceTracker.java
+++ b/src/main/java/rockshift/distribution/InForceTracker.java
@@ -3,27 +3,30 @@
 import java.util.ArrayDeque;
 
 /**
- * What a subscriber's host has put in force of the states delivered to it. Owned by the
+ * Tracks which of the states delivered to a subscriber's host are in force. Confined to the
  * subscriber's thread.
  */
 final class InForceTracker {
-    /** A state or difference handed over and not yet in force. */
+    /** A snapshot or difference that was delivered and is not in force yet. */
     private record Delivery(Revision revision, long scopeEpoch) {}
 
-    /** More deliveries are not tracked one by one: the oldest is taken as part of the next. */
+    /** Beyond this number of pending deliveries the oldest is merged into the next. */
     private static final int MAX_DELIVERIES = 64;
 
     private final ArrayDeque<Delivery> deliveries = new ArrayDeque<>();
     private Revision inForce = Revision.NONE;
     private long scopeEpoch;
 
-    /** What is in force of a scope; none while it is still an earlier scope's. */
-    Revision of(long epoch) {
+    /**
+     * Returns the revision in force of a scope; {@link Revision#NONE} while that of an earlier
+     * scope is still in force.
+     */
+    Revision inForce(long epoch) {
         return scopeEpoch == epoch ? inForce : Revision.NONE;
     }
 
-    /** Begins with what was in force in an earlier run, or with nothing. */
-    void begin(Revision revision, long epoch) {
+    /** Resets to the revision that was in force in an earlier run, or to {@link Revision#NONE}. */
+    void reset(Revision revision, long epoch) {
         deliveries.clear();
         inForce = revision;
         scopeEpoch = epoch;
@@ -37,23 +40,26 @@
     }
 
     /**
-     * The host says so of a delivery, and with it of all before; returns whether there was such a
-     * one.
+     * Marks a delivery and all before it as in force.
+     *
+     * @return whether a delivery of this revision was pending
      */
     boolean acknowledged(Revision revision, Revision current) {
         if (deliveries.stream().noneMatch(each -> each.revision().equals(revision))) {
             return false;
         }
-        Delivery done = deliveries.poll();
-        while (!done.revision().equals(revision)) {
-            done = deliveries.poll();
+        Delivery applied = deliveries.poll();
+        while (!applied.revision().equals(revision)) {
+            applied = deliveries.poll();
         }
-        inForce = deliveries.isEmpty() ? current : done.revision();
-        scopeEpoch = done.scopeEpoch();
+        inForce = deliveries.isEmpty() ? current : applied.revision();
+        scopeEpoch = applied.scopeEpoch();
         return true;
     }
 
-    /** The state stands unchanged at a later revision. */
+    /**
+     * Advances to a later revision at which the state is unchanged, unless a delivery is pending.
+     */
     void advanced(Revision current) {
         if (deliveries.isEmpty()) {
             inForce = current;
--- a/src/main/java/rockshift/distribution/ReconnectBackoff.java
+++ b/src/main/java/rockshift/distribution/ReconnectBackoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before the next connection: doubled each time up to a bound, half of it random.
- * Owned by the subscriber's thread.
+ * The delay before the next connection attempt: doubled on each attempt up to a maximum, with half
+ * of it random. Confined to the subscriber's thread.
  */
 final class ReconnectBackoff {
     private static final int MAX_DOUBLINGS = 20;
@@ -23,15 +23,15 @@
                         timing.maxBackoffMillis(),
                         timing.initialBackoffMillis() << Math.min(attempts, MAX_DOUBLINGS));
         attempts++;
-        return upperMillis / 2 + upToMillis(upperMillis / 2);
+        return upperMillis / 2 + randomUpToMillis(upperMillis / 2);
     }
 
-    /** A random time, no longer than this. */
-    long upToMillis(long maxMillis) {
+    /** Returns a random time up to the given maximum, inclusive. */
+    long randomUpToMillis(long maxMillis) {
         return random.nextLong(maxMillis + 1);
     }
 
-    /** A connection has proved good: the next wait is the shortest again. */
+    /** Resets the delay to its minimum after a connection has proved stable. */
     void reset() {
         attempts = 0;
     }
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -4,14 +4,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An intermediate reader: subscribes upstream, keeps the state and its history, and serves
- * subscribers of its own. It never votes. The age of its state that it tells downstream is the one
- * that it knows from upstream.
+ * An intermediate node that subscribes upstream, stores the state and its history, and serves
+ * downstream subscribers. It never votes. The age of its state that it reports downstream is the
+ * age known from its upstream.
  *
  * <p>Not thread-safe: the host calls it from one thread at a time.
  */
 public final class Relay {
-    /** Hears what the upstream tells while the subscription goes on. */
+    /** Receives the notices of the upstream. */
     public interface NoticeListener {
         /** See {@link Subscriber.Listener#notice}. */
         void notice(RejectionReason reason, String detail);
@@ -23,10 +23,10 @@
     private long nowMillis;
 
     /**
-     * A relay without a state; the first {@link #tick} begins.
+     * Creates a relay without a state; the first {@link #tick} starts it.
      *
-     * @param scope what it subscribes to, and so the most that it can serve
-     * @param upstreams how many there are to choose from
+     * @param scope the scope it subscribes to, and so the widest scope that it can serve
+     * @param upstreams the number of upstreams to choose from
      */
     public Relay(
             String name,
@@ -51,54 +51,56 @@
                         publisher::summary);
     }
 
-    /** The connection upstream that was asked for is up. */
+    /** Handles the establishment of the requested upstream connection. */
     public void upstreamConnected(long atMillis) {
         nowMillis = atMillis;
         subscriber.connected(atMillis);
     }
 
-    /** The connection upstream, or the attempt at one, has ended. */
+    /** Handles the end of the upstream connection, or a failed connection attempt. */
     public void upstreamDisconnected(long atMillis) {
         nowMillis = atMillis;
         subscriber.disconnected(atMillis);
     }
 
-    /** A message came from upstream. */
+    /** Handles a message from upstream. */
     public void upstreamReceived(DistributionMessage message, long atMillis) {
         nowMillis = atMillis;
         subscriber.received(message, atMillis);
         publisher.freshAt(subscriber.freshAtMillis());
     }
 
-    /** The host could not decode a message from upstream. */
+    /** Handles a message from upstream that the host could not decode. */
     public void upstreamUndecodable(RejectionReason reason, String detail, long atMillis) {
         nowMillis = atMillis;
         subscriber.undecodable(reason, detail, atMillis);
     }
 
-    /** Does what is due on both sides. To be called every 50 ms or so. */
+    /** Runs the due timers of both sides. Must be called about every 50 ms. */
     public void tick(long atMillis) {
         nowMillis = atMillis;
         subscriber.tick(atMillis);
         publisher.tick(atMillis);
     }
 
-    /** Its state. */
+    /** Returns the store with the relay's state. */
     public ConfigurationStore store() {
         return store;
     }
 
-    /** Its downstream side, to which the host hands the events of subscribers' connections. */
+    /**
+     * Returns the downstream side, to which the host passes the events of downstream connections.
+     */
     public Publisher publisher() {
         return publisher;
     }
 
-    /** Its upstream side. */
+    /** Returns the upstream side. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** Applies what comes from upstream to the store, and publishes it. */
+    /** Applies the upstream's snapshots and differences to the store and publishes them. */
     private final class StoreUpdater implements Subscriber.Listener {
         private final NoticeListener notices;
 
@@ -111,7 +113,7 @@
             try {
                 store.reset(revision, items);
             } catch (RejectionException impossible) {
-                throw checkedBefore(impossible);
+                throw unexpectedRejection(impossible);
             }
             publish(revision);
         }
@@ -121,7 +123,7 @@
             try {
                 store.apply(revision, updates);
             } catch (RejectionException impossible) {
-                throw checkedBefore(impossible);
+                throw unexpectedRejection(impossible);
             }
             publish(revision);
         }
@@ -141,9 +143,11 @@
             subscriber.acknowledged(revision, nowMillis);
         }
 
-        private static IllegalStateException checkedBefore(RejectionException impossible) {
+        private static IllegalStateException unexpectedRejection(RejectionException impossible) {
             return new IllegalStateException(
-                    "checked by the subscriber: " + impossible.getMessage(), impossible);
+                    "the store rejected a state that the subscriber had validated: "
+                            + impossible.getMessage(),
+                    impossible);
         }
     }
 }
--- a/src/main/java/rockshift/distribution/SnapshotAssembly.java
+++ b/src/main/java/rockshift/distribution/SnapshotAssembly.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The parts of a snapshot that have come so far. None of them takes effect before all are there and
- * the digest agrees. Owned by the subscriber's thread.
+ * The parts of a snapshot received so far. The snapshot takes effect only once all parts are
+ * present and the digest matches. Confined to the subscriber's thread.
  */
 final class SnapshotAssembly {
     private final DistributionMessage.SnapshotPart first;
@@ -21,19 +21,21 @@
             throws RejectionException {
         if (first.part() != 0) {
             throw new RejectionException(
-                    RejectionReason.OUT_OF_ORDER, "part: begins with " + first.part());
+                    RejectionReason.OUT_OF_ORDER,
+                    "part: expected the first part to be 0, got " + first.part());
         } else if (first.parts() < 1) {
-            throw new RejectionException(RejectionReason.MALFORMED, "parts: " + first.parts());
+            throw new RejectionException(
+                    RejectionReason.MALFORMED, "parts: " + first.parts() + ", must be at least 1");
         } else if (first.parts() > sizes.maxStateItems()) {
             throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "parts: " + first.parts() + " of " + sizes.maxStateItems());
+                    "parts: " + first.parts() + " parts, maximum is " + sizes.maxStateItems());
         }
         this.first = first;
         this.sizes = sizes;
     }
 
-    /** Takes the next part. */
+    /** Adds the next part. */
     void add(DistributionMessage.SnapshotPart part, Scope scope) throws RejectionException {
         if (!part.revision().equals(first.revision())
                 || part.parts() != first.parts()
@@ -41,25 +43,36 @@
                 || part.part() != received) {
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
-                    "part: "
+                    "part: expected "
+                            + received
+                            + " of "
+                            + first.parts()
+                            + " at "
+                            + first.revision()
+                            + " with digest "
+                            + first.digest()
+                            + ", got "
                             + part.part()
                             + " of "
                             + part.parts()
                             + " at "
                             + part.revision()
-                            + " after "
-                            + received
-                            + " of "
-                            + first.parts()
-                            + " at "
-                            + first.revision());
+                            + " with digest "
+                            + part.digest());
         } else if (part.items().size() > sizes.maxPartItems()) {
             throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "items: " + part.items().size() + " of " + sizes.maxPartItems());
+                    "items: "
+                            + part.items().size()
+                            + " items in a part, maximum is "
+                            + sizes.maxPartItems());
         } else if (items.size() + part.items().size() > sizes.maxStateItems()) {
             throw new RejectionException(
-                    RejectionReason.TOO_LARGE, "items: more than " + sizes.maxStateItems());
+                    RejectionReason.TOO_LARGE,
+                    "items: state would hold "
+                            + (items.size() + part.items().size())
+                            + " items, maximum is "
+                            + sizes.maxStateItems());
         }
         received++;
         for (Item item : part.items()) {
@@ -67,7 +80,8 @@
         }
         if (complete() && digest != first.digest()) {
             throw new RejectionException(
-                    RejectionReason.DIGEST_MISMATCH, "snapshot: " + first.revision());
+                    RejectionReason.DIGEST_MISMATCH,
+                    "snapshot: digest does not match the items at " + first.revision());
         }
     }
 
@@ -75,12 +89,13 @@
         String field = "items[" + items.size() + "]";
         sizes.check(item, field);
         if (!scope.matches(item)) {
-            throw new RejectionException(RejectionReason.OUT_OF_SCOPE, field + ": " + item);
+            throw new RejectionException(
+                    RejectionReason.OUT_OF_SCOPE, field + ": " + item + " is outside the scope");
         }
         long itemDigest = item.digest();
         if (digests.put(item.key(), itemDigest) != null) {
             throw new RejectionException(
-                    RejectionReason.MALFORMED, field + ".key: '" + item.key() + "' comes twice");
+                    RejectionReason.MALFORMED, field + ".key: '" + item.key() + "' is duplicated");
         }
         items.add(item);
         digest += itemDigest;
--- a/src/main/java/rockshift/distribution/StateReceiver.java
+++ b/src/main/java/rockshift/distribution/StateReceiver.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Takes the snapshots, differences and heartbeats of the scope that is asked for, and hands what is
- * valid to the host. A message that is rejected leaves the state as it was. Owned by the
- * subscriber's thread.
+ * Validates the snapshots, differences and heartbeats of the subscribed scope and passes the valid
+ * ones to the host. A rejected message leaves the state unchanged. Confined to the subscriber's
+ * thread.
  */
 final class StateReceiver {
     private static final long NEVER = Long.MIN_VALUE;
@@ -15,7 +15,7 @@
     private final Limits.Sizes sizes;
     private final Subscriber.Listener listener;
     private final SubscribedState state;
-    private final InForceTracker inForce = new InForceTracker();
+    private final InForceTracker tracker = new InForceTracker();
 
     private Scope scope;
     private long scopeEpoch = 1;
@@ -31,12 +31,12 @@
         this.state = new SubscribedState(sizes);
     }
 
-    /** Takes up a state that was kept from an earlier run; it counts as in force. */
+    /** Restores a state retained from an earlier run; it counts as in force. */
     void restore(Revision revision, Collection<Item> items) {
         Map<String, Long> digests = new HashMap<>();
         items.forEach(item -> digests.put(item.key(), item.digest()));
         state.replace(revision, scopeEpoch, digests);
-        inForce.begin(revision, scopeEpoch);
+        tracker.reset(revision, scopeEpoch);
     }
 
     Scope scope() {
@@ -51,101 +51,112 @@
         return state.revision();
     }
 
-    /** What is in force of the present scope. */
+    /** Returns the revision that is in force of the current scope. */
     Revision inForce() {
-        return inForce.of(scopeEpoch);
+        return tracker.inForce(scopeEpoch);
     }
 
-    /** When the state was last known to be the newest; the lowest long if it never was. */
+    /**
+     * Returns when the state was last known to be current; {@link Long#MIN_VALUE} if it never was.
+     */
     long freshAtMillis() {
         return freshAtMillis;
     }
 
-    /** Asks for another scope. The state stays until the first snapshot of the new one. */
-    void changeScope(Scope wanted) {
-        scope = wanted;
+    /** Changes the scope. The state is kept until the first snapshot of the new scope. */
+    void changeScope(Scope newScope) {
+        scope = newScope;
         scopeEpoch++;
     }
 
-    /** Follows another cluster. The state stays until its first snapshot. */
+    /** Switches to another cluster. The state is kept until its first snapshot. */
     void adopt(long cluster) {
         adoptedCluster = cluster;
         snapshotRequired |= state.revision().cluster() != cluster;
     }
 
-    /** The state is not what the upstream says that it should be. */
+    /** Requires a snapshot, because the state differs from the one that the upstream expects. */
     void requireSnapshot() {
         snapshotRequired = true;
     }
 
-    /** What the upstream may resume from; none if it must send a snapshot. */
+    /**
+     * Returns the revision that the upstream may resume from; {@link Revision#NONE} if it must send
+     * a snapshot.
+     */
     Revision resumableRevision() {
         boolean resumes = !snapshotRequired && state.scopeEpoch() == scopeEpoch;
         return resumes ? state.revision() : Revision.NONE;
     }
 
-    /** Drops the parts of a snapshot that have come so far. */
+    /** Discards the parts of a snapshot received so far. */
     void abandonSnapshot() {
         assembly = null;
     }
 
-    /** Whether a snapshot is under way. */
+    /** Returns whether a snapshot is in progress. */
     boolean snapshotPending() {
         return assembly != null;
     }
 
-    /** How many parts have come of the snapshot under way. */
+    /** Returns the number of parts received of the snapshot in progress. */
     int snapshotParts() {
         return assembly == null ? 0 : assembly.received();
     }
 
     void receive(DistributionMessage.SnapshotPart part) throws RejectionException {
         if (assembly == null) {
-            state.checkFollows(part.revision(), adoptedCluster);
+            state.checkSuccessor(part.revision(), adoptedCluster);
             assembly = new SnapshotAssembly(part, sizes);
         }
         assembly.add(part, scope);
         if (!assembly.complete()) {
             return;
         }
-        SnapshotAssembly whole = assembly;
+        SnapshotAssembly snapshot = assembly;
         assembly = null;
         snapshotRequired = false;
         adoptedCluster = 0;
-        if (!state.revision().sameCluster(whole.revision())) {
-            inForce.begin(Revision.NONE, scopeEpoch);
+        if (!state.revision().sameCluster(snapshot.revision())) {
+            tracker.reset(Revision.NONE, scopeEpoch);
             freshAtMillis = NEVER;
         }
-        state.replace(whole.revision(), scopeEpoch, whole.digests());
-        inForce.delivered(state.revision(), scopeEpoch);
-        listener.snapshot(whole.revision(), whole.items());
+        state.replace(snapshot.revision(), scopeEpoch, snapshot.digests());
+        tracker.delivered(state.revision(), scopeEpoch);
+        listener.snapshot(snapshot.revision(), snapshot.items());
     }
 
     void receive(DistributionMessage.Difference difference) throws RejectionException {
         if (assembly != null) {
             throw new RejectionException(
-                    RejectionReason.OUT_OF_ORDER, "difference within a snapshot");
+                    RejectionReason.OUT_OF_ORDER, "difference received during a snapshot");
         }
         state.apply(difference, scope);
-        inForce.delivered(state.revision(), scopeEpoch);
+        tracker.delivered(state.revision(), scopeEpoch);
         listener.difference(difference.to(), difference.updates());
     }
 
-    /** A heartbeat that confirms the state at a revision. */
+    /** Handles a heartbeat that confirms the state at a revision. */
     void receive(DistributionMessage.Heartbeat heartbeat) throws RejectionException {
         if (assembly != null || state.scopeEpoch() != scopeEpoch || snapshotRequired) {
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
-                    "current: " + heartbeat.current() + " before the whole snapshot");
+                    "current: "
+                            + heartbeat.current()
+                            + " received before the snapshot was complete");
         }
-        state.checkStandsAt(heartbeat);
+        state.checkConfirmedBy(heartbeat);
         advance(heartbeat.current());
         freshAtMillis = Math.max(freshAtMillis, heartbeat.echoMillis() - heartbeat.staleMillis());
     }
 
-    /** The host has put a delivery in force; returns whether there was such a one. */
+    /**
+     * Handles the host's acknowledgement that a delivery is in force.
+     *
+     * @return whether a delivery of this revision was pending
+     */
     boolean acknowledged(Revision revision) {
-        return inForce.acknowledged(revision, state.revision());
+        return tracker.acknowledged(revision, state.revision());
     }
 
     private void advance(Revision current) {
@@ -153,7 +164,7 @@
             return;
         }
         state.advance(current);
-        inForce.advanced(current);
+        tracker.advanced(current);
         listener.advanced(current);
     }
 }
--- a/src/main/java/rockshift/distribution/SubscribedState.java
+++ b/src/main/java/rockshift/distribution/SubscribedState.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * The state that a subscriber has received, by the digests of its items alone: the items are with
- * the host. It never goes back a revision of its cluster. Owned by the subscriber's thread.
+ * The state that a subscriber has received, reduced to the digests of its items; the host holds the
+ * items themselves. Within a cluster its revision never decreases. Confined to the subscriber's
+ * thread.
  */
 final class SubscribedState {
     private final Limits.Sizes sizes;
@@ -25,7 +26,7 @@
         return revision;
     }
 
-    /** The epoch of the scope that the state is of. */
+    /** Returns the epoch of the scope that the state belongs to. */
     long scopeEpoch() {
         return scopeEpoch;
     }
@@ -35,26 +36,28 @@
     }
 
     /**
-     * Rejects a snapshot that would go back, or that another cluster wrote.
+     * Rejects a snapshot that is older than the state or was written by another cluster.
      *
-     * @param adopted the cluster to go over to; 0 if there is none
+     * @param adopted the cluster to switch to; 0 if there is none
      */
-    void checkFollows(Revision next, long adopted) throws RejectionException {
+    void checkSuccessor(Revision next, long adopted) throws RejectionException {
         boolean follows = revision.isNone() || revision.sameCluster(next);
         if (next.isNone() || next.number() < 0) {
-            throw new RejectionException(RejectionReason.MALFORMED, "revision: " + next);
+            throw new RejectionException(
+                    RejectionReason.MALFORMED, "revision: invalid revision " + next);
         } else if (next.cluster() != adopted && (!follows || adopted != 0)) {
             throw new RejectionException(
-                    RejectionReason.OTHER_CLUSTER, "revision: " + next + ", held " + revision);
+                    RejectionReason.OTHER_CLUSTER,
+                    "revision: " + next + " is of another cluster, held " + revision);
         } else if (follows && next.number() < revision.number()) {
             throw new RejectionException(
                     RejectionReason.FUTURE_REVISION,
-                    "revision: " + next + " is older than " + revision);
+                    "revision: " + next + " is older than the held " + revision);
         }
     }
 
     /** Rejects a heartbeat that does not confirm this state. */
-    void checkStandsAt(DistributionMessage.Heartbeat heartbeat) throws RejectionException {
+    void checkConfirmedBy(DistributionMessage.Heartbeat heartbeat) throws RejectionException {
         Revision current = heartbeat.current();
         String detail = "current: " + current + ", held " + revision;
         if (!revision.sameCluster(current)) {
@@ -66,15 +69,15 @@
         }
     }
 
-    /** Takes a whole state in place of the one before. */
-    void replace(Revision at, long epoch, Map<String, Long> whole) {
-        revision = at;
+    /** Replaces the state. */
+    void replace(Revision newRevision, long epoch, Map<String, Long> itemDigests) {
+        revision = newRevision;
         scopeEpoch = epoch;
-        digests = whole;
-        digest = whole.values().stream().mapToLong(Long::longValue).sum();
+        digests = itemDigests;
+        digest = itemDigests.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** Applies a difference whole, or rejects it and stays as it was. */
+    /** Applies a difference entirely, or rejects it and leaves the state unchanged. */
     void apply(DistributionMessage.Difference difference, Scope scope) throws RejectionException {
         check(difference, scope);
         long after = digest;
@@ -88,14 +91,15 @@
         sizes.checkStateItems(digests.size() + added);
         if (after != difference.digest()) {
             throw new RejectionException(
-                    RejectionReason.DIGEST_MISMATCH, "difference: to " + difference.to());
+                    RejectionReason.DIGEST_MISMATCH,
+                    "difference: digest does not match the resulting state at " + difference.to());
         }
         difference.updates().forEach(this::put);
         digest = after;
         revision = difference.to();
     }
 
-    /** The state stands unchanged at a later revision. */
+    /** Advances to a later revision at which the state is unchanged. */
     void advance(Revision to) {
         revision = to;
     }
@@ -114,16 +118,24 @@
         Revision to = difference.to();
         if (difference.scopeEpoch() != scopeEpoch || !from.equals(revision)) {
             throw new RejectionException(
-                    RejectionReason.OUT_OF_ORDER, "from: " + from + ", held " + revision);
+                    RejectionReason.OUT_OF_ORDER,
+                    "from: "
+                            + from
+                            + " in scope epoch "
+                            + difference.scopeEpoch()
+                            + ", held "
+                            + revision
+                            + " in scope epoch "
+                            + scopeEpoch);
         } else if (!to.sameCluster(from) || to.number() <= from.number()) {
             throw new RejectionException(
-                    RejectionReason.OUT_OF_ORDER, "to: " + to + " after " + from);
+                    RejectionReason.OUT_OF_ORDER, "to: " + to + " does not follow " + from);
         } else if (difference.updates().size() > sizes.maxDifferenceUpdates()) {
             throw new RejectionException(
                     RejectionReason.TOO_LARGE,
                     "updates: "
                             + difference.updates().size()
-                            + " of "
+                            + " updates, maximum is "
                             + sizes.maxDifferenceUpdates());
         }
         check(difference.updates(), from.number(), to.number(), scope);
@@ -139,11 +151,12 @@
             update.checkBetween(from, to, field);
             if (!update.deleted() && !scope.matches(update)) {
                 throw new RejectionException(
-                        RejectionReason.OUT_OF_SCOPE, field + ": " + update.item());
+                        RejectionReason.OUT_OF_SCOPE,
+                        field + ": " + update.item() + " is outside the scope");
             } else if (!keys.add(update.item().key())) {
                 throw new RejectionException(
                         RejectionReason.MALFORMED,
-                        field + ".key: '" + update.item().key() + "' comes twice");
+                        field + ".key: '" + update.item().key() + "' is duplicated");
             }
         }
     }
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -7,48 +7,47 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The upstream side of a controller or relay: keeps one subscription going over a choice of
- * upstreams, and knows how old its state may be. An invalid message ends the connection and leaves
- * the state as it was.
+ * The upstream side of a controller or relay: maintains one subscription across several upstreams
+ * and tracks how old its state may be. An invalid message ends the connection and leaves the state
+ * unchanged.
  *
- * <p>Not thread-safe: the host calls it from one thread at a time. To read on: {@link
- * UpstreamRotation} decides where and when to dial, {@link StateReceiver} what becomes of the
- * state.
+ * <p>Not thread-safe: the host calls it from one thread at a time. {@link UpstreamRotation} decides
+ * where and when to connect, {@link StateReceiver} validates and applies what is received.
  */
 public final class Subscriber {
     /**
-     * The host's connection to one upstream at a time. Calls into the subscriber from within these
-     * are not allowed.
+     * The host's connection, to one upstream at a time. Its methods must not call back into the
+     * subscriber.
      */
     public interface Transport {
         /**
-         * Opens a connection to an upstream, by its index in the host's list; answered by connected
-         * or disconnected.
+         * Opens a connection to an upstream, given by its index in the host's list. The host
+         * reports the result by calling {@link #connected} or {@link #disconnected}.
          */
         void connect(int upstream);
 
-        /** Ends the connection, or the attempt at one. No {@link #disconnected} need follow. */
+        /**
+         * Closes the connection or abandons the connection attempt. The host need not call {@link
+         * #disconnected} afterwards.
+         */
         void disconnect(RejectionReason reason, String detail);
 
-        /** Sends a message, in order. */
+        /** Sends a message; messages keep their order. */
         void send(DistributionMessage message);
     }
 
-    /**
-     * Takes the state and what changes in it. From within these only {@link #acknowledged} may be
-     * called.
-     */
+    /** Receives the state and its changes. Its methods may call back only {@link #acknowledged}. */
     public interface Listener {
-        /** A whole state takes the place of the one before. */
+        /** Called with a whole state that replaces the previous one. */
         void snapshot(Revision revision, List<Item> items);
 
-        /** Updates to the state. */
+        /** Called with updates to the state. */
         void difference(Revision revision, List<Update> updates);
 
-        /** The state stands unchanged at a later revision. */
+        /** Called when the state is unchanged at a later revision. */
         default void advanced(Revision revision) {}
 
-        /** The upstream tells something while the subscription goes on. */
+        /** Called with a notice of the upstream that does not end the subscription. */
         default void notice(RejectionReason reason, String detail) {}
     }
 
@@ -76,9 +75,9 @@
     private Summary lastSentSummary;
 
     /**
-     * A subscriber that has no state and is not connected; the first {@link #tick} begins.
+     * Creates a subscriber without a state or connection; the first {@link #tick} starts it.
      *
-     * @param upstreams how many there are to choose from
+     * @param upstreams the number of upstreams to choose from
      */
     public Subscriber(
             String name,
@@ -91,7 +90,11 @@
         this(name, scope, upstreams, limits, random, transport, listener, null);
     }
 
-    /** As above, with the sum of what is in force below; null: there is nobody below. */
+    /**
+     * Creates a subscriber that reports a summary of its downstream side.
+     *
+     * @param downstreamSummary supplies the summary; null if there is no downstream side
+     */
     Subscriber(
             String name,
             Scope scope,
@@ -100,23 +103,28 @@
             RandomGenerator random,
             Transport transport,
             Listener listener,
-            Supplier<Summary> below) {
+            Supplier<Summary> downstreamSummary) {
         this.name = name;
         this.limits = limits;
         this.transport = transport;
         this.listener = listener;
         this.receiver = new StateReceiver(scope, limits.sizes(), listener);
         this.summary =
-                below == null ? () -> Summary.ofOne(name, receiver.inForce().number()) : below;
+                downstreamSummary == null
+                        ? () -> Summary.ofOne(name, receiver.inForce().number())
+                        : downstreamSummary;
         this.upstreams = new UpstreamRotation(upstreams, limits, random);
     }
 
-    /** Takes up a state kept from an earlier run, before the first tick; it counts as in force. */
+    /**
+     * Restores a state retained from an earlier run; it counts as in force. Must be called before
+     * the first tick.
+     */
     public void restore(Revision revision, Collection<Item> items) {
         receiver.restore(revision, items);
     }
 
-    /** The connection that was asked for is up. */
+    /** Handles the establishment of the requested connection. */
     public void connected(long nowMillis) {
         if (phase != Phase.CONNECTING) {
             return;
@@ -127,7 +135,7 @@
         subscribe(nowMillis);
     }
 
-    /** The connection, or the attempt at one, has ended. */
+    /** Handles the end of the connection, or a failed connection attempt. */
     public void disconnected(long nowMillis) {
         if (phase != Phase.WAITING) {
             upstreams.failed(nowMillis);
@@ -135,7 +143,7 @@
         }
     }
 
-    /** A message came over the connection. */
+    /** Handles a message received on the connection. */
     public void received(DistributionMessage message, long nowMillis) {
         if (phase != Phase.CONNECTED) {
             return;
@@ -147,7 +155,10 @@
             } else if (message.scopeEpoch() > receiver.scopeEpoch()) {
                 throw new RejectionException(
                         RejectionReason.MALFORMED,
-                        "scopeEpoch: " + message.scopeEpoch() + " of " + receiver.scopeEpoch());
+                        "scopeEpoch: "
+                                + message.scopeEpoch()
+                                + " was never subscribed to, latest is "
+                                + receiver.scopeEpoch());
             } else if (message.scopeEpoch() == receiver.scopeEpoch()) {
                 receive(message, nowMillis);
             }
@@ -155,20 +166,20 @@
             if (rejection.reason() == RejectionReason.DIGEST_MISMATCH) {
                 receiver.requireSnapshot();
             }
-            end(rejection.reason(), rejection.detail(), nowMillis);
+            closeConnection(rejection.reason(), rejection.detail(), nowMillis);
         }
     }
 
-    /** The host could not decode a message: counts it and ends the connection. */
+    /** Handles a message that the host could not decode: counts it and closes the connection. */
     public void undecodable(RejectionReason reason, String detail, long nowMillis) {
         if (phase != Phase.WAITING) {
-            end(reason, detail, nowMillis);
+            closeConnection(reason, detail, nowMillis);
         }
     }
 
     /**
-     * The state that was handed over at this revision is in force. To be called for each, in order,
-     * or for the last of several.
+     * Acknowledges that the state delivered at this revision is in force. Must be called for each
+     * delivery in order, or for the last of several.
      */
     public void acknowledged(Revision revision, long nowMillis) {
         if (receiver.acknowledged(revision) && phase == Phase.CONNECTED) {
@@ -176,7 +187,7 @@
         }
     }
 
-    /** Does what is due: silence, reconnection. To be called every 50 ms or so. */
+    /** Runs the due timers: silence timeout and reconnection. Must be called about every 50 ms. */
     public void tick(long nowMillis) {
         switch (phase) {
             case WAITING -> {
@@ -188,8 +199,13 @@
             }
             case CONNECTING -> {
                 if (nowMillis >= connectDeadlineMillis) {
-                    String detail = "upstream " + upstreams.current();
-                    end(RejectionReason.UNREACHABLE, detail, nowMillis);
+                    String detail =
+                            "upstream "
+                                    + upstreams.current()
+                                    + " did not connect within "
+                                    + limits.timing().connectTimeoutMillis()
+                                    + " ms";
+                    closeConnection(RejectionReason.UNREACHABLE, detail, nowMillis);
                 }
             }
             default -> tickConnected(nowMillis);
@@ -199,7 +215,8 @@
     private void tickConnected(long nowMillis) {
         long silentMillis = nowMillis - lastReceivedAtMillis;
         if (silentMillis >= limits.timing().silenceTimeoutMillis()) {
-            end(RejectionReason.SILENT, silentMillis + " ms", nowMillis);
+            String detail = "no message received for " + silentMillis + " ms";
+            closeConnection(RejectionReason.SILENT, detail, nowMillis);
         } else if (nowMillis - lastAcknowledgedAtMillis
                         >= limits.timing().acknowledgeIntervalMillis()
                 && !summary.get().equals(lastSentSummary)) {
@@ -207,50 +224,51 @@
         }
     }
 
-    /**
-     * Asks for another scope from now on. The state stays until the first snapshot of the new one.
-     */
-    public void scope(Scope wanted, long nowMillis) {
-        receiver.changeScope(wanted);
+    /** Changes the scope. The state is kept until the first snapshot of the new scope. */
+    public void scope(Scope newScope, long nowMillis) {
+        receiver.changeScope(newScope);
         if (phase == Phase.CONNECTED) {
             subscribe(nowMillis);
         }
     }
 
-    /** An operator decided to follow another cluster: the state stays until its first snapshot. */
+    /**
+     * Switches to another cluster by decision of an operator. The state is kept until the first
+     * snapshot of that cluster.
+     */
     public void adopt(long cluster, long nowMillis) {
         receiver.adopt(cluster);
         if (phase != Phase.WAITING) {
-            String detail = "adopts " + Long.toHexString(cluster);
-            end(RejectionReason.OTHER_CLUSTER, detail, nowMillis);
+            String detail = "adopts cluster " + Long.toHexString(cluster);
+            closeConnection(RejectionReason.OTHER_CLUSTER, detail, nowMillis);
         }
     }
 
-    /** The revision of the state. */
+    /** Returns the revision of the state. */
     public Revision revision() {
         return receiver.revision();
     }
 
     /**
-     * The state was the newest there is at this time, by the clock that is handed in; the lowest
-     * long if it never was.
+     * Returns when the state was last known to be current, by the clock of the caller; {@link
+     * Long#MIN_VALUE} if it never was.
      */
     public long freshAtMillis() {
         return receiver.freshAtMillis();
     }
 
-    /** How old the state may be; the highest long if it never was the newest. */
+    /** Returns how old the state may be; {@link Long#MAX_VALUE} if it never was current. */
     public long ageMillis(long nowMillis) {
         long freshAtMillis = receiver.freshAtMillis();
         return freshAtMillis == Long.MIN_VALUE ? Long.MAX_VALUE : nowMillis - freshAtMillis;
     }
 
-    /** Whether a subscription stands, so that the state is kept up to date. */
+    /** Returns whether the subscription is active, so that the state is kept up to date. */
     public boolean subscribed() {
         return phase == Phase.CONNECTED && subscribed;
     }
 
-    /** How often each reason was given, by either side. */
+    /** Returns the count of each rejection reason, given by either side. */
     public Map<RejectionReason, Long> rejectionCounts() {
         return rejections.counts();
     }
@@ -292,11 +310,11 @@
         if (heartbeat.staleMillis() < 0 || heartbeat.echoMillis() > nowMillis) {
             throw new RejectionException(
                     RejectionReason.MALFORMED,
-                    "heartbeat: stale for "
+                    "heartbeat: staleMillis "
                             + heartbeat.staleMillis()
-                            + " ms, answers "
+                            + " must not be negative, echoMillis "
                             + heartbeat.echoMillis()
-                            + " at "
+                            + " must not be after "
                             + nowMillis);
         }
         boolean hasState = !heartbeat.current().isNone();
@@ -304,13 +322,13 @@
             receiver.receive(heartbeat);
             subscribed = true;
             if (nowMillis - connectedAtMillis >= limits.timing().silenceTimeoutMillis()) {
-                upstreams.proved();
+                upstreams.connectionStable();
             }
         }
         acknowledge(nowMillis);
         if (upstreams.shouldLeaveStale(hasState, heartbeat.staleMillis(), nowMillis)) {
-            String detail = "stale for " + heartbeat.staleMillis() + " ms";
-            end(RejectionReason.STALE_UPSTREAM, detail, nowMillis);
+            String detail = "upstream state is stale for " + heartbeat.staleMillis() + " ms";
+            closeConnection(RejectionReason.STALE_UPSTREAM, detail, nowMillis);
         }
     }
 
@@ -321,7 +339,7 @@
         awaitRetry();
     }
 
-    private void end(RejectionReason reason, String detail, long nowMillis) {
+    private void closeConnection(RejectionReason reason, String detail, long nowMillis) {
         rejections.count(reason);
         transport.disconnect(reason, detail);
         upstreams.failed(nowMillis);
--- a/src/main/java/rockshift/distribution/UpstreamRotation.java
+++ b/src/main/java/rockshift/distribution/UpstreamRotation.java
@@ -3,8 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which upstream a subscriber dials, and when: the next in turn after each failure, with a backoff,
- * and once through all of them when they are out of date. Owned by the subscriber's thread.
+ * Selects the upstream that a subscriber connects to, and when: after each failure the next one in
+ * turn, with a backoff; when upstreams are out of date, each of them once. Confined to the
+ * subscriber's thread.
  */
 final class UpstreamRotation {
     private final int upstreams;
@@ -13,10 +14,13 @@
     private int current;
     private boolean started;
     private long dialAtMillis;
-    private int staleInTurn;
-    private long mayLeaveStaleAtMillis;
+    private int consecutiveStale;
+    private long nextStaleSwitchAtMillis;
 
-    /** Begins at an upstream by chance, so that a fleet that starts at once spreads over them. */
+    /**
+     * Starts at a random upstream, so that a fleet that starts all at once is spread over the
+     * upstreams.
+     */
     UpstreamRotation(int upstreams, Limits limits, RandomGenerator random) {
         this.upstreams = upstreams;
         this.limits = limits;
@@ -24,27 +28,28 @@
         this.current = random.nextInt(upstreams);
     }
 
-    /** The upstream that is dialled next or was dialled last. */
+    /** Returns the index of the upstream to connect to next, or connected to last. */
     int current() {
         return current;
     }
 
-    /** Whether it is time to dial; the first call sets a start by chance. */
+    /** Returns whether it is time to connect. The first call picks a random start time. */
     boolean dialDue(long nowMillis) {
         if (!started) {
             started = true;
-            dialAtMillis = nowMillis + backoff.upToMillis(limits.timing().initialBackoffMillis());
+            dialAtMillis =
+                    nowMillis + backoff.randomUpToMillis(limits.timing().initialBackoffMillis());
         }
         return nowMillis >= dialAtMillis;
     }
 
-    /** The connection failed or is given up: the next upstream follows after the backoff. */
+    /** Moves on to the next upstream after a failed or abandoned connection, with a backoff. */
     void failed(long nowMillis) {
         dialAtMillis = nowMillis + backoff.nextMillis();
-        moveOn();
+        selectNext();
     }
 
-    /** The upstream rejected the subscription and told a time to come back. */
+    /** Handles a rejection by the upstream, which may carry a time to retry after. */
     void rejected(DistributionMessage.Rejected rejected, long nowMillis) {
         long backoffMillis = backoff.nextMillis();
         long retryAfterMillis =
@@ -53,39 +58,41 @@
                         limits.admission().maxRetryMillis());
         dialAtMillis = nowMillis + Math.max(backoffMillis, retryAfterMillis);
         if (rejected.reason() != RejectionReason.BUSY) {
-            moveOn();
+            selectNext();
         }
     }
 
-    /** The connection has proved good. */
-    void proved() {
+    /** Resets the backoff after the connection has proved stable. */
+    void connectionStable() {
         backoff.reset();
     }
 
     /**
-     * Whether to leave the upstream because its state is out of date. Says so once for each
-     * upstream; where all are out of date it stays for a while before it looks again.
+     * Returns whether to leave the upstream because its state is out of date. Returns true at most
+     * once per upstream; if all of them are out of date, the subscriber stays for a while before it
+     * tries them again.
      *
      * @param hasState whether the upstream has sent a state at all
      */
     boolean shouldLeaveStale(boolean hasState, long staleMillis, long nowMillis) {
         if (staleMillis <= limits.timing().staleThresholdMillis()) {
-            staleInTurn = 0;
+            consecutiveStale = 0;
             return false;
-        } else if (!hasState || nowMillis < mayLeaveStaleAtMillis || upstreams == 1) {
+        } else if (!hasState || nowMillis < nextStaleSwitchAtMillis || upstreams == 1) {
             return false;
         }
-        staleInTurn++;
-        if (staleInTurn < upstreams) {
+        consecutiveStale++;
+        if (consecutiveStale < upstreams) {
             return true;
         }
-        staleInTurn = 0;
+        consecutiveStale = 0;
         long halfRetryMillis = limits.timing().staleRetryMillis() / 2;
-        mayLeaveStaleAtMillis = nowMillis + halfRetryMillis + backoff.upToMillis(halfRetryMillis);
+        nextStaleSwitchAtMillis =
+                nowMillis + halfRetryMillis + backoff.randomUpToMillis(halfRetryMillis);
         return false;
     }
 
-    private void moveOn() {
+    private void selectNext() {
         current = (current + 1) % upstreams;
     }
 }
