--- a/src/main/java/rockshift/distribution/ConfigurationStore.java
+++ b/src/main/java/rockshift/distribution/ConfigurationStore.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * The state at one revision, with a bounded history of the updates that led to it. Deletions live
- * on in the history only. Not thread-safe: its owner changes it and then tells the {@link
+ * The state at one revision, with a bounded history of the updates that led to it. Deleted items
+ * remain only in the history. Not thread-safe: its owner changes it and then notifies the {@link
  * Publisher}.
  */
 public final class ConfigurationStore {
@@ -20,39 +20,39 @@
     private Revision current = Revision.NONE;
     private long generation;
 
-    /** A store that holds nothing; {@link #reset} gives it its first state. */
+    /** Creates an empty store; {@link #reset} sets its first state. */
     public ConfigurationStore(Limits.Sizes sizes) {
         this.sizes = sizes;
         this.history = new UpdateHistory(sizes);
     }
 
-    /** What the state is at; {@link Revision#NONE} before the first reset. */
+    /** Returns the revision of the state; {@link Revision#NONE} before the first reset. */
     public Revision current() {
         return current;
     }
 
-    /** The oldest revision that can be resumed from. */
+    /** Returns the oldest revision that can be resumed from. */
     public Revision compactedThrough() {
         return new Revision(current.cluster(), history.compactedThrough());
     }
 
-    /** How many items it holds. */
+    /** Returns the number of items. */
     public int size() {
         return items.size();
     }
 
     /**
-     * Takes a whole state. Of the same cluster it must not be older; its differences to the state
-     * before go into the history.
+     * Replaces the whole state. Within the same cluster the revision must not be older than the
+     * current one, and the changes from the previous state are added to the history.
      */
-    public void reset(Revision revision, Collection<Item> whole) throws RejectionException {
+    public void reset(Revision revision, Collection<Item> newItems) throws RejectionException {
         boolean continues = !current.isNone() && current.sameCluster(revision);
         if (continues && revision.number() < current.number()) {
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
                     "revision: " + revision + " is older than " + current);
         }
-        List<Update> updates = items.updatesTo(revision.number(), validated(whole));
+        List<Update> updates = items.updatesTo(revision.number(), validatedByKey(newItems));
         if (!continues || revision.number() == current.number() && !updates.isEmpty()) {
             updates.forEach(items::apply);
             history.clear(revision.number());
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Takes all updates of the revisions after the current one up to this; none where nothing here
-     * changed. All or none is taken.
+     * Applies all updates of the revisions after the current one up to the given one; the list is
+     * empty if nothing in this store changed. Either all updates are applied or none.
      */
     public void apply(Revision revision, List<Update> updates) throws RejectionException {
         if (current.isNone() || !current.sameCluster(revision)) {
@@ -85,19 +85,19 @@
     }
 
     /**
-     * What changed in a scope since a revision, one update an item; empty if only a snapshot can
-     * tell.
+     * Returns the changes in a scope since a revision, one update per item; empty if only a
+     * snapshot can cover them.
      */
     public Optional<List<Update>> differenceSince(Revision revision, Scope scope) {
         return deltaSince(revision, scope).map(ScopeDelta::updates);
     }
 
-    /** The items of a scope, by key. */
+    /** Returns the items of a scope, sorted by key. */
     public List<Item> snapshot(Scope scope) {
         return items.items(scope);
     }
 
-    /** The digest of the items of a scope. */
+    /** Returns the digest of the items of a scope. */
     long digest(Scope scope) {
         return items.digest(scope);
     }
@@ -111,19 +111,22 @@
         return history.since(revision.number(), scope);
     }
 
-    /** All changes since a revision; empty if the history does not reach back. */
+    /** Returns all changes since a revision; empty if the history does not reach back to it. */
     Optional<List<ItemChange>> changesSince(long number) {
         return history.changesSince(number);
     }
 
-    /** Grows each time that the state was replaced without a history that leads there. */
+    /**
+     * Returns the generation of the state, which is incremented each time the state is replaced
+     * without a history that leads to it.
+     */
     long generation() {
         return generation;
     }
 
     /**
-     * The first service or zone that a scope names and no item does, as {@code services 'name'};
-     * null if there is none.
+     * Returns the first service or zone that a scope names and no item has, as {@code services
+     * 'name'}; null if there is none.
      */
     String firstUnknownName(Scope scope) {
         String service = firstUnknown("services", scope.services(), items::containsService);
@@ -147,18 +150,18 @@
                 new UpdateHistory.Segment(current.number(), revision.number(), complete, changes));
     }
 
-    private Map<String, Item> validated(Collection<Item> whole) throws RejectionException {
-        if (whole.size() > sizes.maxStateItems()) {
+    private Map<String, Item> validatedByKey(Collection<Item> newItems) throws RejectionException {
+        if (newItems.size() > sizes.maxStateItems()) {
             throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "items: " + whole.size() + " of " + sizes.maxStateItems());
+                    "items: " + newItems.size() + " items, maximum is " + sizes.maxStateItems());
         }
         Map<String, Item> byKey = new LinkedHashMap<>();
-        for (Item item : whole) {
+        for (Item item : newItems) {
             sizes.check(item, "items[" + byKey.size() + "]");
             if (byKey.put(item.key(), item) != null) {
                 throw new RejectionException(
-                        RejectionReason.MALFORMED, "items: '" + item.key() + "' comes twice");
+                        RejectionReason.MALFORMED, "items: duplicate key '" + item.key() + "'");
             }
         }
         return byKey;
--- a/src/main/java/rockshift/distribution/InForceReport.java
+++ b/src/main/java/rockshift/distribution/InForceReport.java
@@ -1,22 +1,22 @@
 package rockshift.distribution;
 
 /**
- * What a subscriber reports to be in force at it and below it, and what that contributes to the
- * publisher's {@link Summary}. Owned by the publisher's thread.
+ * What a subscriber reports to be in force at itself and downstream of it, and its contribution to
+ * the publisher's {@link Summary}. Confined to the publisher's thread.
  */
 final class InForceReport {
     private boolean received;
     private Revision inForce = Revision.NONE;
     private Summary summary;
-    private int lostBefore;
+    private int controllersLostBefore;
     private SummaryAggregator.Contribution contribution = SummaryAggregator.Contribution.NOTHING;
 
-    /** This many controllers were lost with the subscriber's last connection. */
-    void lostBefore(int controllers) {
-        lostBefore = controllers;
+    /** Sets the number of controllers that were lost with the subscriber's previous connection. */
+    void controllersLostBefore(int controllers) {
+        controllersLostBefore = controllers;
     }
 
-    /** Nothing is in force yet of the scope that was asked for. */
+    /** Resets the report for a new scope, of which nothing is in force yet. */
     void restart() {
         received = false;
         inForce = Revision.NONE;
@@ -32,17 +32,19 @@
         return inForce;
     }
 
-    /** How many controllers are lost if the connection ends. */
+    /** Returns the number of controllers that become unreachable if the connection ends. */
     int controllersLostIfDisconnected() {
-        return received ? summary.subscribers() + summary.unreachable() : Math.max(1, lostBefore);
+        return received
+                ? summary.subscribers() + summary.unreachable()
+                : Math.max(1, controllersLostBefore);
     }
 
-    /** What was last taken into the publisher's summary. */
+    /** Returns the contribution last added to the publisher's summary. */
     SummaryAggregator.Contribution contribution() {
         return contribution;
     }
 
-    /** Works the contribution out anew; returns the one before. */
+    /** Recomputes the contribution and returns the previous one. */
     SummaryAggregator.Contribution replaceContribution(String subscriber, DeliveryState delivery) {
         SummaryAggregator.Contribution before = contribution;
         contribution = currentContribution(subscriber, delivery);
--- a/src/main/java/rockshift/distribution/ItemIndex.java
+++ b/src/main/java/rockshift/distribution/ItemIndex.java
@@ -12,11 +12,12 @@
 import java.util.function.Consumer;
 
 /**
- * The items of a store by key, service and zone, so that reading a scope costs what it holds. Keeps
- * the digest of the whole. Owned by the store's thread.
+ * The items of a store, indexed by key, service and zone, so that the cost of reading a scope
+ * depends on the size of the scope. Maintains the digest of all items. Confined to the store's
+ * thread.
  */
 final class ItemIndex {
-    /** An item with its digest, so that it is computed once. */
+    /** An item with its cached digest. */
     private record DigestedItem(Item item, long digest) {}
 
     private final TreeMap<String, DigestedItem> byKey = new TreeMap<>();
@@ -40,7 +41,7 @@
         return byZone.containsKey(zone);
     }
 
-    /** The items of a scope, by key. */
+    /** Returns the items of a scope, sorted by key. */
     List<Item> items(Scope scope) {
         List<Item> found = new ArrayList<>();
         visit(scope, each -> found.add(each.item()));
@@ -48,7 +49,7 @@
         return found;
     }
 
-    /** The digest of the items of a scope. */
+    /** Returns the digest of the items of a scope. */
     long digest(Scope scope) {
         if (scope.everything()) {
             return digest;
@@ -58,7 +59,10 @@
         return sum[0];
     }
 
-    /** The updates that lead to another whole state: deletions first, each kind in key order. */
+    /**
+     * Returns the updates that lead to another whole state: deletions first, then additions and
+     * replacements, each in key order.
+     */
     List<Update> updatesTo(long revision, Map<String, Item> target) {
         List<Update> updates = new ArrayList<>();
         for (DigestedItem present : byKey.values()) {
@@ -75,13 +79,13 @@
         return updates;
     }
 
-    /** Applies an update; returns it with what it replaced. */
+    /** Applies an update and returns it with the item that it replaced. */
     ItemChange apply(Update update) {
         Item item = update.item();
         DigestedItem before = remove(item.key());
         if (update.deleted()) {
-            Item gone = before == null ? item.withoutValue() : before.item().withoutValue();
-            return change(Update.delete(update.revision(), gone), before, 0);
+            Item deleted = before == null ? item.withoutValue() : before.item().withoutValue();
+            return change(Update.delete(update.revision(), deleted), before, 0);
         }
         DigestedItem after = new DigestedItem(item, item.digest());
         byKey.put(item.key(), after);
@@ -137,7 +141,7 @@
             Scope scope,
             Consumer<DigestedItem> visitor) {
         Set<String> visited = new HashSet<>(names);
-        // Items that name no service or no zone concern every one.
+        // Items without a service or zone match every one.
         visited.add("");
         for (String name : visited) {
             for (DigestedItem each : index.getOrDefault(name, new TreeMap<>()).values()) {
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -6,22 +6,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The downstream side of a member or relay: serves subscribers from a store. Connections are
- * numbered by the host. A change costs those whom it concerns; heartbeats are spread over their
- * interval.
+ * The downstream side of a member or relay: serves subscribers from a store. The host assigns a
+ * number to each connection. The cost of a change depends on the number of affected subscriptions,
+ * and heartbeats are spread over their interval.
  *
- * <p>Not thread-safe: the host calls it from one thread at a time. To read on: {@link
- * SubscriptionAdmission} decides who may subscribe, {@link SubscriptionUpdater} what each
- * subscription is sent, {@link SummaryAggregator} what is in force below.
+ * <p>Not thread-safe: the host calls it from one thread at a time. {@link SubscriptionAdmission}
+ * decides who may subscribe, {@link SubscriptionUpdater} what each subscription is sent; {@link
+ * SummaryAggregator} sums up what is in force downstream.
  */
 public final class Publisher {
-    /** What the host carries out. Calls into the publisher from within these are not allowed. */
+    /** The operations that the host performs. They must not call back into the publisher. */
     public interface Transport {
-        /** Sends a message, in order. */
+        /** Sends a message; messages on a connection keep their order. */
         void send(long connection, DistributionMessage message);
 
         /**
-         * Ends a connection once all sent to it is written. No {@link #disconnected} need follow.
+         * Closes a connection once everything sent on it has been written. The host need not call
+         * {@link #disconnected} afterwards.
          */
         void close(long connection, RejectionReason reason, String detail);
     }
@@ -41,10 +42,10 @@
     private final Map<String, Subscription> byName = new HashMap<>();
 
     /**
-     * A publisher without subscribers.
+     * Creates a publisher without subscribers.
      *
-     * @param store what it serves; the owner changes it and then calls {@link #published}
-     * @param served what the store holds: wider scopes are rejected
+     * @param store the state to serve; its owner changes it and then calls {@link #published}
+     * @param served the scope that the store holds; subscriptions beyond it are rejected
      */
     public Publisher(
             ConfigurationStore store,
@@ -63,7 +64,7 @@
         this.summaries = new SummaryAggregator(limits.admission().maxConnections());
     }
 
-    /** A connection came up. */
+    /** Handles a new connection. */
     public void connected(long connection, long nowMillis) {
         if (connections.size() >= limits.admission().maxConnections()) {
             rejectConnection(connection, nowMillis);
@@ -74,15 +75,15 @@
         timers.schedule(subscription);
     }
 
-    /** A connection has ended. Unknown ones are ignored. */
+    /** Handles the end of a connection. Unknown connections are ignored. */
     public void disconnected(long connection, long nowMillis) {
         Subscription subscription = connections.get(connection);
         if (subscription != null) {
-            forget(subscription, nowMillis);
+            remove(subscription, nowMillis);
         }
     }
 
-    /** A message came. Those of connections already closed are ignored. */
+    /** Handles a message. Messages on a closed connection are ignored. */
     public void received(long connection, DistributionMessage message, long nowMillis) {
         Subscription subscription = connections.get(connection);
         if (subscription == null) {
@@ -104,7 +105,8 @@
     }
 
     /**
-     * The host could not decode a message: counts it, tells the subscriber, ends the connection.
+     * Handles a message that the host could not decode: counts it, sends a rejection, and closes
+     * the connection.
      */
     public void undecodable(
             long connection, RejectionReason reason, String detail, long nowMillis) {
@@ -114,22 +116,25 @@
         }
     }
 
-    /** The store has changed. To be called after each change, before anything else. */
+    /**
+     * Sends the changes of the store to the affected subscriptions. Must be called after each
+     * change of the store, before any other call.
+     */
     public void published(long nowMillis) {
-        updater.outdateConcerned(index).forEach(each -> flush(each, nowMillis));
+        updater.markAffectedOutdated(index).forEach(subscription -> flush(subscription, nowMillis));
     }
 
     /**
-     * What the store holds was the newest there is at this time; a member says so while it follows
-     * a leader, after it has published all that was agreed until then, and else leaves it.
+     * Records that the store held the newest state at this time. A member calls this while it
+     * follows a leader, after publishing everything agreed up to that time, and not otherwise.
      */
     public void freshAt(long atMillis) {
         updater.freshAt(atMillis);
     }
 
     /**
-     * Does what is due: heartbeats, silent connections, changes that waited. To be called every 50
-     * ms or so.
+     * Runs the due work: heartbeats, closing of silent connections, and delayed changes. Must be
+     * called about every 50 ms.
      */
     public void tick(long nowMillis) {
         summaries.expireLost(nowMillis);
@@ -137,7 +142,8 @@
         while (due != null) {
             long silentMillis = nowMillis - due.lastReceivedAtMillis();
             if (silentMillis >= limits.timing().silenceTimeoutMillis()) {
-                close(due, RejectionReason.SILENT, silentMillis + " ms", nowMillis);
+                String detail = "no message received for " + silentMillis + " ms";
+                close(due, RejectionReason.SILENT, detail, nowMillis);
             } else if (due.heartbeatAtMillis() <= nowMillis) {
                 heartbeat(due, nowMillis);
             } else {
@@ -147,24 +153,28 @@
         }
     }
 
-    /** What is in force below. */
+    /** Returns what is in force downstream. */
     public Summary summary() {
         return summaries.sum(store.current().number());
     }
 
-    /** How often each reason was given. */
+    /** Returns the count of each rejection reason. */
     public Map<RejectionReason, Long> rejectionCounts() {
         return rejections.counts();
     }
 
-    /** Connections open, subscribed or not. */
+    /** Returns the number of open connections, subscribed or not. */
     public int connections() {
         return connections.size();
     }
 
     private void rejectConnection(long connection, long nowMillis) {
         rejections.count(RejectionReason.BUSY);
-        String detail = "connections: " + connections.size();
+        String detail =
+                "connections: "
+                        + connections.size()
+                        + " open, maximum is "
+                        + limits.admission().maxConnections();
         transport.send(
                 connection,
                 new DistributionMessage.Rejected(
@@ -179,54 +189,56 @@
         Optional<SubscriptionAdmission.Deferral> deferral =
                 admission.defer(subscription, message, nowMillis);
         if (deferral.isPresent()) {
-            SubscriptionAdmission.Deferral later = deferral.get();
+            SubscriptionAdmission.Deferral deferred = deferral.get();
             reject(
                     subscription,
-                    later.reason(),
-                    later.detail(),
-                    later.retryAfterMillis(),
+                    deferred.reason(),
+                    deferred.detail(),
+                    deferred.retryAfterMillis(),
                     nowMillis);
             return;
         }
         subscription.received(message.sentMillis(), nowMillis);
-        boolean begins = !subscription.subscribed();
-        if (begins) {
-            replaceEarlier(message.subscriber(), nowMillis);
+        boolean newSubscription = !subscription.subscribed();
+        if (newSubscription) {
+            closeEarlierConnection(message.subscriber(), nowMillis);
         } else {
             index.remove(subscription);
             transfers.abandon(subscription);
         }
-        subscription.subscribe(message, begins ? summaries.forgetLost(message.subscriber()) : 0);
+        subscription.subscribe(
+                message, newSubscription ? summaries.removeLost(message.subscriber()) : 0);
         byName.put(message.subscriber(), subscription);
         index.add(subscription);
-        noticeUnmatched(subscription);
+        sendNoticeIfUnmatched(subscription);
         updater.begin(subscription, message.held(), nowMillis);
         updateSummary(subscription);
         timers.cancel(subscription);
         heartbeat(subscription, nowMillis);
-        if (begins) {
+        if (newSubscription) {
             timers.stagger(subscription, nowMillis);
         }
     }
 
     /**
-     * Ends an earlier connection of the same subscriber, which is dead though it is not noticed
-     * yet. If it is not, two processes share one name: the earlier is told to stay away for long,
-     * so that they do not drive each other out all the time.
+     * Closes an earlier connection of the same subscriber, which is usually dead without the
+     * publisher having noticed. If it is alive, two processes share one name: the earlier one is
+     * told to retry only after the maximum backoff, so that the two do not keep replacing each
+     * other.
      */
-    private void replaceEarlier(String name, long nowMillis) {
+    private void closeEarlierConnection(String name, long nowMillis) {
         Subscription earlier = byName.get(name);
         if (earlier != null) {
             reject(
                     earlier,
                     RejectionReason.REPLACED,
-                    "subscriber: " + name,
+                    "subscriber: '" + name + "' subscribed on another connection",
                     limits.timing().maxBackoffMillis(),
                     nowMillis);
         }
     }
 
-    private void noticeUnmatched(Subscription subscription) {
+    private void sendNoticeIfUnmatched(Subscription subscription) {
         String unmatched = store.firstUnknownName(subscription.scope());
         if (unmatched == null || subscription.scope().everything()) {
             return;
@@ -265,7 +277,7 @@
         if (transfer != null) {
             long transferMillis = nowMillis - transfer.startedAtMillis();
             if (transferMillis > limits.timing().snapshotTimeoutMillis()) {
-                String detail = "snapshot: " + transferMillis + " ms";
+                String detail = "snapshot: not complete after " + transferMillis + " ms";
                 close(subscription, RejectionReason.SLOW, detail, nowMillis);
                 return;
             }
@@ -298,11 +310,11 @@
     private void close(
             Subscription subscription, RejectionReason reason, String detail, long nowMillis) {
         rejections.count(reason);
-        forget(subscription, nowMillis);
+        remove(subscription, nowMillis);
         transport.close(subscription.connection(), reason, detail);
     }
 
-    private void forget(Subscription subscription, long nowMillis) {
+    private void remove(Subscription subscription, long nowMillis) {
         connections.remove(subscription.connection());
         timers.cancel(subscription);
         if (!subscription.subscribed()) {
@@ -313,7 +325,7 @@
         byName.remove(subscription.name(), subscription);
         InForceReport report = subscription.report();
         summaries.replace(report.contribution(), SummaryAggregator.Contribution.NOTHING);
-        summaries.rememberLost(
+        summaries.addLost(
                 subscription.name(),
                 report.controllersLostIfDisconnected(),
                 nowMillis + limits.timing().lostSubscriberRetentionMillis());
--- a/src/main/java/rockshift/distribution/RequestValidator.java
+++ b/src/main/java/rockshift/distribution/RequestValidator.java
@@ -2,15 +2,15 @@
 
 import java.util.Collection;
 
-/** Checks the messages of subscribers by themselves, before anything is spent on them. */
+/** Validation of subscribers' messages, before any resources are spent on them. */
 final class RequestValidator {
     private RequestValidator() {}
 
     /**
-     * Rejects a subscription that no publisher of this kind could ever take.
+     * Rejects a subscription that is invalid or that this publisher can never serve.
      *
-     * @param subscription what is known of the connection that it came over
-     * @param served what this publisher holds
+     * @param subscription the state of the connection that the message was received on
+     * @param served the scope that this publisher serves
      */
     static void check(
             DistributionMessage.Subscribe message,
@@ -22,31 +22,43 @@
         checkName("subscriber", message.subscriber(), sizes);
         if (subscription.subscribed() && !subscription.name().equals(message.subscriber())) {
             throw new RejectionException(
-                    RejectionReason.MALFORMED, "subscriber: was '" + subscription.name() + "'");
+                    RejectionReason.MALFORMED,
+                    "subscriber: expected '"
+                            + subscription.name()
+                            + "', got '"
+                            + message.subscriber()
+                            + "'");
         } else if (message.scopeEpoch() < 1) {
             throw new RejectionException(
-                    RejectionReason.MALFORMED, "scopeEpoch: " + message.scopeEpoch());
+                    RejectionReason.MALFORMED,
+                    "scopeEpoch: " + message.scopeEpoch() + ", must be at least 1");
         } else if (subscription.subscribed() && message.scopeEpoch() <= subscription.scopeEpoch()) {
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
-                    "scopeEpoch: " + message.scopeEpoch() + " after " + subscription.scopeEpoch());
+                    "scopeEpoch: "
+                            + message.scopeEpoch()
+                            + " after "
+                            + subscription.scopeEpoch()
+                            + ", must increase");
         } else if (subscription.unconfirmedScopeChanges()
                 > limits.admission().maxUnacknowledgedDifferences()) {
             throw new RejectionException(
                     RejectionReason.SLOW,
                     "scopeEpoch: "
                             + subscription.unconfirmedScopeChanges()
-                            + " changes that were not confirmed");
+                            + " unacknowledged scope changes, maximum is "
+                            + limits.admission().maxUnacknowledgedDifferences());
         } else if (message.held().number() < 0
                 || message.held().cluster() == 0 && message.held().number() != 0) {
-            throw new RejectionException(RejectionReason.MALFORMED, "held: " + message.held());
+            throw new RejectionException(
+                    RejectionReason.MALFORMED, "held: invalid revision " + message.held());
         }
         checkScope(message.scope(), served, sizes);
     }
 
     /**
-     * Rejects an acknowledgement on a connection that has not subscribed, or of a scope never asked
-     * for.
+     * Rejects an acknowledgement before the first subscription, or of a scope that was never
+     * subscribed to.
      */
     static void checkSubscribed(DistributionMessage.Acknowledge message, Subscription subscription)
             throws RejectionException {
@@ -56,13 +68,16 @@
         } else if (message.scopeEpoch() > subscription.scopeEpoch()) {
             throw new RejectionException(
                     RejectionReason.MALFORMED,
-                    "scopeEpoch: " + message.scopeEpoch() + " was never asked for");
+                    "scopeEpoch: "
+                            + message.scopeEpoch()
+                            + " was never subscribed to, latest is "
+                            + subscription.scopeEpoch());
         }
     }
 
     /**
-     * Rejects an acknowledgement of a revision that was never sent, or of an earlier one than
-     * before.
+     * Rejects an acknowledgement of a revision that was never sent, or that is earlier than the
+     * last acknowledged one.
      */
     static void check(
             DistributionMessage.Acknowledge message, Subscription subscription, Revision current)
@@ -73,13 +88,19 @@
                 || summary.subscribers() < 0
                 || summary.behind() < 0
                 || summary.unreachable() < 0) {
-            throw new RejectionException(RejectionReason.MALFORMED, "negative count");
+            throw new RejectionException(
+                    RejectionReason.MALFORMED, "snapshotParts or summary: negative count");
         } else if (!inForce.isNone() && !inForce.sameCluster(current)) {
-            throw new RejectionException(RejectionReason.OTHER_CLUSTER, "inForce: " + inForce);
+            throw new RejectionException(
+                    RejectionReason.OTHER_CLUSTER,
+                    "inForce: " + inForce + " is of another cluster than " + current);
         } else if (inForce.number() < subscription.report().inForce().number()) {
             throw new RejectionException(
                     RejectionReason.OUT_OF_ORDER,
-                    "inForce: " + inForce + " after " + subscription.report().inForce());
+                    "inForce: "
+                            + inForce
+                            + " is older than the last acknowledged "
+                            + subscription.report().inForce());
         }
         Revision newest =
                 subscription.delivery().transfer() == null
@@ -87,7 +108,8 @@
                         : current;
         if (inForce.number() > newest.number()) {
             throw new RejectionException(
-                    RejectionReason.FUTURE_REVISION, "inForce: " + inForce + ", told " + newest);
+                    RejectionReason.FUTURE_REVISION,
+                    "inForce: " + inForce + " is newer than the last sent " + newest);
         }
     }
 
@@ -96,17 +118,19 @@
         int names = scope.services().size() + scope.zones().size();
         if (scope.isEmpty()) {
             throw new RejectionException(
-                    RejectionReason.EMPTY_SCOPE, "scope: no service and no zone");
+                    RejectionReason.EMPTY_SCOPE, "scope: names no service and no zone");
         } else if (names > sizes.maxScopeNames()) {
             throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    "scope: " + names + " of " + sizes.maxScopeNames() + " names");
+                    "scope: " + names + " names, maximum is " + sizes.maxScopeNames());
         }
         checkNames("services", scope.services(), sizes);
         checkNames("zones", scope.zones(), sizes);
-        String firstUncovered = served.firstUncovered(scope);
-        if (firstUncovered != null) {
-            throw new RejectionException(RejectionReason.UNKNOWN_SCOPE, firstUncovered);
+        String uncovered = served.firstUncovered(scope);
+        if (uncovered != null) {
+            throw new RejectionException(
+                    RejectionReason.UNKNOWN_SCOPE,
+                    "scope: not served by this publisher: " + uncovered);
         }
     }
 
@@ -120,11 +144,16 @@
     private static void checkName(String field, String name, Limits.Sizes sizes)
             throws RejectionException {
         if (name.isEmpty()) {
-            throw new RejectionException(RejectionReason.MALFORMED, field + ": empty name");
+            throw new RejectionException(
+                    RejectionReason.MALFORMED, field + ": name must not be empty");
         } else if (name.length() > sizes.maxNameLength()) {
             throw new RejectionException(
                     RejectionReason.TOO_LARGE,
-                    field + ": " + name.length() + " of " + sizes.maxNameLength() + " characters");
+                    field
+                            + ": "
+                            + name.length()
+                            + " characters, maximum is "
+                            + sizes.maxNameLength());
         }
     }
 }
--- a/src/main/java/rockshift/distribution/SnapshotTransfer.java
+++ b/src/main/java/rockshift/distribution/SnapshotTransfer.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A snapshot on its way to one subscriber: taken at one revision, sent in parts as the subscriber
- * acknowledges them. Owned by the publisher's thread.
+ * A snapshot being sent to one subscriber: taken at one revision and sent in parts as the
+ * subscriber acknowledges them. Confined to the publisher's thread.
  */
 final class SnapshotTransfer {
     private final Revision revision;
@@ -35,7 +35,7 @@
         return startedAtMillis;
     }
 
-    /** The subscriber has received this many parts. */
+    /** Records that the subscriber has received this many parts. */
     void acknowledged(int count) {
         acknowledged = Math.max(acknowledged, Math.min(count, sent));
     }
@@ -44,7 +44,9 @@
         return sent == parts.size();
     }
 
-    /** Whether the next part may go, with this many not acknowledged at most. */
+    /**
+     * Returns whether the next part may be sent, given the maximum number of unacknowledged parts.
+     */
     boolean mayContinue(int window) {
         return !complete() && sent - acknowledged < window;
     }
--- a/src/main/java/rockshift/distribution/SnapshotTransfers.java
+++ b/src/main/java/rockshift/distribution/SnapshotTransfers.java
@@ -1,11 +1,12 @@
 package rockshift.distribution;
 
 /**
- * Sends snapshots part by part, a bounded number at a time. Owned by the publisher's thread.
+ * Sends snapshots part by part, with a limit on the number in progress. Confined to the publisher's
+ * thread.
  *
- * <p>The bound guards against a publisher that copies its state for every subscriber at once after
- * a restart: memory then grows with the fleet. Subscriptions beyond it are answered {@code busy} or
- * wait.
+ * <p>Without the limit, a publisher would copy its state for every subscriber at once after a
+ * restart, and its memory use would grow with the fleet. Beyond the limit new subscriptions are
+ * rejected as {@code busy} and existing ones wait.
  */
 final class SnapshotTransfers {
     private final ConfigurationStore store;
@@ -19,17 +20,17 @@
         this.transport = transport;
     }
 
-    /** How many are under way. */
+    /** Returns the number of transfers in progress. */
     int active() {
         return active;
     }
 
-    /** Whether no further one may begin. */
+    /** Returns whether no further transfer may start. */
     boolean atLimit() {
         return active >= limits.admission().maxConcurrentSnapshots();
     }
 
-    /** Begins a snapshot of the current state, unless it has to wait. */
+    /** Starts a snapshot of the current state, unless it has to wait. */
     void start(Subscription subscription, long nowMillis) {
         if (atLimit() || !subscription.mayStartTransfer()) {
             return;
@@ -48,7 +49,7 @@
         proceed(subscription);
     }
 
-    /** Sends the parts that the subscriber's window lets through. */
+    /** Sends the parts that the subscriber's window permits. */
     void proceed(Subscription subscription) {
         SnapshotTransfer transfer = subscription.delivery().transfer();
         while (transfer.mayContinue(limits.admission().maxUnacknowledgedParts())) {
@@ -60,7 +61,9 @@
         }
     }
 
-    /** The connection ended, or its scope changed: what was under way no longer counts. */
+    /**
+     * Stops counting the transfer of a subscription whose connection ended or whose scope changed.
+     */
     void abandon(Subscription subscription) {
         if (subscription.delivery().transfer() != null) {
             active--;
--- a/src/main/java/rockshift/distribution/Subscription.java
+++ b/src/main/java/rockshift/distribution/Subscription.java
@@ -58,7 +58,7 @@
     /** Starts the subscription, or replaces its scope; nothing of the new scope is in force yet. */
     void subscribe(DistributionMessage.Subscribe message, int controllersLostBefore) {
         if (name == null) {
-            report.lostBefore(controllersLostBefore);
+            report.controllersLostBefore(controllersLostBefore);
         } else {
             unconfirmedScopeChanges++;
         }
--- a/src/main/java/rockshift/distribution/SubscriptionAdmission.java
+++ b/src/main/java/rockshift/distribution/SubscriptionAdmission.java
@@ -4,14 +4,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides whether a publisher takes a valid subscription now, or sends the subscriber away for a
- * while. Owned by the publisher's thread.
+ * Decides whether a publisher accepts a valid subscription now or asks the subscriber to retry
+ * later. Confined to the publisher's thread.
  */
 final class SubscriptionAdmission {
-    /** Why a subscription is not taken now, and when the subscriber should try again. */
+    /** Why a subscription is not accepted now, and after how long the subscriber should retry. */
     record Deferral(RejectionReason reason, String detail, long retryAfterMillis) {}
 
-    private record Obstacle(RejectionReason reason, String detail) {}
+    private record Refusal(RejectionReason reason, String detail) {}
 
     private final ConfigurationStore store;
     private final Limits limits;
@@ -32,28 +32,31 @@
     }
 
     /**
-     * Empty where the subscription may begin.
+     * Returns why the subscription must be deferred; empty if it is accepted.
      *
      * @throws RejectionException if the subscriber's state is of another cluster
      */
     Optional<Deferral> defer(
             Subscription subscription, DistributionMessage.Subscribe message, long nowMillis)
             throws RejectionException {
-        Obstacle obstacle = upstreamObstacle(message.held());
-        if (obstacle == null && !subscription.subscribed()) {
-            obstacle = capacityObstacle(message.held(), nowMillis);
+        Refusal refusal = revisionRefusal(message.held());
+        if (refusal == null && !subscription.subscribed()) {
+            refusal = capacityRefusal(message.held(), nowMillis);
         }
-        if (obstacle == null) {
+        if (refusal == null) {
             return Optional.empty();
         }
         long retryAfterMillis =
-                obstacle.reason() == RejectionReason.BUSY
+                refusal.reason() == RejectionReason.BUSY
                         ? retryWhenBusy(nowMillis)
                         : retryElsewhere();
-        return Optional.of(new Deferral(obstacle.reason(), obstacle.detail(), retryAfterMillis));
+        return Optional.of(new Deferral(refusal.reason(), refusal.detail(), retryAfterMillis));
     }
 
-    /** When a subscriber that was told {@code busy} should come back, in milliseconds from now. */
+    /**
+     * Returns the time after which a subscriber rejected as {@code busy} should retry, in
+     * milliseconds.
+     */
     long retryWhenBusy(long nowMillis) {
         return rateLimiter.retryAfterMillis(nowMillis);
     }
@@ -63,27 +66,34 @@
         return random.nextLong(backoffMillis, 2 * backoffMillis + 1);
     }
 
-    private Obstacle upstreamObstacle(Revision held) throws RejectionException {
+    private Refusal revisionRefusal(Revision held) throws RejectionException {
         Revision current = store.current();
-        String detail = "held: " + held + ", here " + current;
+        String detail = "held: " + held + ", publisher is at " + current;
         if (current.isNone()) {
-            return new Obstacle(RejectionReason.STALE_UPSTREAM, detail);
+            return new Refusal(RejectionReason.STALE_UPSTREAM, detail);
         } else if (!held.isNone() && !held.sameCluster(current)) {
             throw new RejectionException(RejectionReason.OTHER_CLUSTER, detail);
         } else if (held.number() > current.number()) {
-            return new Obstacle(RejectionReason.FUTURE_REVISION, detail);
+            return new Refusal(RejectionReason.FUTURE_REVISION, detail);
         }
         return null;
     }
 
-    private Obstacle capacityObstacle(Revision held, long nowMillis) {
+    private Refusal capacityRefusal(Revision held, long nowMillis) {
         boolean snapshot = held.isNone() || held.number() < store.compactedThrough().number();
         if (snapshot && transfers.atLimit()) {
-            return new Obstacle(RejectionReason.BUSY, "snapshots: " + transfers.active());
+            return new Refusal(
+                    RejectionReason.BUSY,
+                    "snapshots: "
+                            + transfers.active()
+                            + " in progress, maximum is "
+                            + limits.admission().maxConcurrentSnapshots());
         } else if (!rateLimiter.admit(nowMillis)) {
-            return new Obstacle(
+            return new Refusal(
                     RejectionReason.BUSY,
-                    "subscriptions: " + limits.admission().subscriptionsPerSecond() + " a second");
+                    "subscriptions: limit of "
+                            + limits.admission().subscriptionsPerSecond()
+                            + " per second is reached");
         }
         return null;
     }
--- a/src/main/java/rockshift/distribution/SubscriptionIndex.java
+++ b/src/main/java/rockshift/distribution/SubscriptionIndex.java
@@ -9,13 +9,13 @@
 import java.util.function.Consumer;
 
 /**
- * Subscriptions by service and zone, so that a change costs those whom it may concern. Owned by the
- * publisher's thread.
+ * Subscriptions indexed by service and zone, so that the cost of a change depends on the number of
+ * subscriptions it may affect. Confined to the publisher's thread.
  */
 final class SubscriptionIndex {
     private final Set<Subscription> all = new LinkedHashSet<>();
-    private final Axis services = new Axis();
-    private final Axis zones = new Axis();
+    private final NameIndex services = new NameIndex();
+    private final NameIndex zones = new NameIndex();
 
     void add(Subscription subscription) {
         Scope scope = subscription.scope();
@@ -35,8 +35,8 @@
         return all;
     }
 
-    /** Visits each subscription whose scope takes what concerns this service in this zone. */
-    void concerned(String service, String zone, Consumer<Subscription> visitor) {
+    /** Visits each subscription whose scope matches this service and zone. */
+    void forEachMatching(String service, String zone, Consumer<Subscription> visitor) {
         for (Collection<Subscription> candidates : candidates(service, zone)) {
             for (Subscription candidate : candidates) {
                 if (candidate.scope().matches(service, zone)) {
@@ -57,8 +57,11 @@
         return zones.candidates(zone);
     }
 
-    /** Subscriptions by what they name on one axis, and those that this axis does not bound. */
-    private static final class Axis {
+    /**
+     * Subscriptions indexed by the names that their scopes list for one attribute, service or zone;
+     * those whose scopes do not restrict the attribute are kept apart.
+     */
+    private static final class NameIndex {
         private final Map<String, Set<Subscription>> named = new HashMap<>();
         private final Set<Subscription> unbounded = new LinkedHashSet<>();
 
@@ -78,9 +81,9 @@
                 return;
             }
             for (String name : names) {
-                Set<Subscription> those = named.get(name);
-                those.remove(subscription);
-                if (those.isEmpty()) {
+                Set<Subscription> subscriptions = named.get(name);
+                subscriptions.remove(subscription);
+                if (subscriptions.isEmpty()) {
                     named.remove(name);
                 }
             }
--- a/src/main/java/rockshift/distribution/SubscriptionRateLimiter.java
+++ b/src/main/java/rockshift/distribution/SubscriptionRateLimiter.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A token bucket for subscriptions. Those that are rejected are told a time to come back, each a
- * later one, so that a fleet that reconnects at once spreads over as long as it takes. Owned by the
- * publisher's thread.
+ * A token bucket for new subscriptions. Rejected subscribers are given successive times to retry
+ * after, so that a fleet that reconnects all at once is spread over the time that its admission
+ * takes. Confined to the publisher's thread.
  */
 final class SubscriptionRateLimiter {
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -21,7 +21,10 @@
         this.random = random;
     }
 
-    /** Whether one more may subscribe now. The bucket takes the permits of one second. */
+    /**
+     * Returns whether one more subscription is admitted now. The bucket holds at most the permits
+     * of one second.
+     */
     boolean admit(long nowMillis) {
         refill(nowMillis);
         if (permits < 1) {
@@ -32,8 +35,8 @@
     }
 
     /**
-     * In how long a rejected subscriber should come back: the next slot that was not given to
-     * another, and some jitter.
+     * Returns the time after which a rejected subscriber should retry, in milliseconds: the next
+     * slot not yet given to another subscriber, plus jitter.
      */
     long retryAfterMillis(long nowMillis) {
         double intervalMillis = (double) MILLIS_PER_SECOND / limits.subscriptionsPerSecond();
--- a/src/main/java/rockshift/distribution/SubscriptionTimers.java
+++ b/src/main/java/rockshift/distribution/SubscriptionTimers.java
@@ -5,8 +5,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Orders subscriptions by when they need attention: for a heartbeat, or as silent. Owned by the
- * publisher's thread.
+ * Orders subscriptions by the time at which they are next due, for a heartbeat or for the silence
+ * timeout. Confined to the publisher's thread.
  */
 final class SubscriptionTimers {
     private final Limits.Timing timing;
@@ -21,20 +21,26 @@
         this.random = random;
     }
 
-    /** Has it looked at again for its next heartbeat, or once it has been silent for too long. */
+    /**
+     * Schedules a subscription for its next heartbeat or its silence timeout, whichever comes
+     * first.
+     */
     void schedule(Subscription subscription) {
         long silentAtMillis = subscription.lastReceivedAtMillis() + timing.silenceTimeoutMillis();
         subscription.dueAtMillis(Math.min(subscription.heartbeatAtMillis(), silentAtMillis));
         byDueTime.add(subscription);
     }
 
-    /** A heartbeat was sent; the next one comes an interval later. */
+    /** Schedules the next heartbeat, one interval after the one just sent. */
     void heartbeatSent(Subscription subscription, long nowMillis) {
         subscription.heartbeatAtMillis(nowMillis + timing.heartbeatIntervalMillis());
         schedule(subscription);
     }
 
-    /** Spreads the heartbeats of subscriptions that began at once over the interval. */
+    /**
+     * Schedules the next heartbeat at a random time, so that the heartbeats of subscriptions that
+     * started together are spread over the interval.
+     */
     void stagger(Subscription subscription, long nowMillis) {
         long interval = timing.heartbeatIntervalMillis();
         cancel(subscription);
@@ -46,7 +52,7 @@
         byDueTime.remove(subscription);
     }
 
-    /** Takes out the next one that is due; null if none is. */
+    /** Removes and returns the next subscription that is due; null if there is none. */
     Subscription pollDue(long nowMillis) {
         if (byDueTime.isEmpty() || byDueTime.first().dueAtMillis() > nowMillis) {
             return null;
--- a/src/main/java/rockshift/distribution/SubscriptionUpdater.java
+++ b/src/main/java/rockshift/distribution/SubscriptionUpdater.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * Brings subscriptions up to date with the store: by a difference where the history reaches back
- * and the difference is small, else by a snapshot. Owned by the publisher's thread.
+ * Brings subscriptions up to date with the store: by a difference if the history reaches back far
+ * enough and the difference is small, otherwise by a snapshot. Confined to the publisher's thread.
  */
 final class SubscriptionUpdater {
-    /** The largest age that is told; also that of a state that was never fresh. */
+    /** The largest age that is reported; also reported for a state that was never fresh. */
     private static final long MAX_STALE_MILLIS = 1L << 40;
 
     private static final long NEVER = Long.MIN_VALUE;
@@ -37,33 +37,36 @@
         this.publishedGeneration = store.generation();
     }
 
-    /** What the store holds was the newest there is at this time. */
+    /** Records that the store held the newest state at this time. */
     void freshAt(long atMillis) {
         freshAtMillis = Math.max(freshAtMillis, atMillis);
     }
 
-    /** Marks the subscriptions that the last change of the store concerns, and returns them. */
-    Collection<Subscription> outdateConcerned(SubscriptionIndex index) {
-        Collection<Subscription> concerned;
+    /**
+     * Marks the subscriptions that the last change of the store affects as outdated, and returns
+     * them.
+     */
+    Collection<Subscription> markAffectedOutdated(SubscriptionIndex index) {
+        Collection<Subscription> affected;
         if (store.generation() == publishedGeneration) {
-            concerned = concerned(index);
-            concerned.forEach(
+            affected = affected(index);
+            affected.forEach(
                     each ->
                             each.delivery()
                                     .markOutdated(publishedRevision.number(), freshAtMillis));
         } else {
             publishedGeneration = store.generation();
-            concerned = index.all();
-            concerned.forEach(each -> each.delivery().requireSnapshot(freshAtMillis));
+            affected = index.all();
+            affected.forEach(each -> each.delivery().requireSnapshot(freshAtMillis));
             freshAtMillis = NEVER;
         }
         publishedRevision = store.current();
-        return concerned;
+        return affected;
     }
 
     /**
-     * Begins a subscription whose subscriber has this revision: it resumes there where that is
-     * possible.
+     * Starts a subscription. It resumes from the revision that the subscriber holds if possible,
+     * otherwise it gets a snapshot.
      */
     void begin(Subscription subscription, Revision held, long nowMillis) {
         Optional<ScopeDelta> delta =
@@ -98,7 +101,9 @@
         }
     }
 
-    /** Sends a heartbeat that says where the subscriber stands after all messages before it. */
+    /**
+     * Sends a heartbeat with the revision that the subscriber is at after all preceding messages.
+     */
     void sendHeartbeat(Subscription subscription, long nowMillis) {
         DeliveryState delivery = subscription.delivery();
         if (!delivery.sentRevision().isNone() && !delivery.outdated()) {
@@ -114,20 +119,20 @@
                         subscription.echoMillis()));
     }
 
-    private Collection<Subscription> concerned(SubscriptionIndex index) {
+    private Collection<Subscription> affected(SubscriptionIndex index) {
         Optional<List<ItemChange>> changes = store.changesSince(publishedRevision.number());
         if (changes.isEmpty()) {
             return index.all();
         }
-        Set<Subscription> concerned = new LinkedHashSet<>();
+        Set<Subscription> affected = new LinkedHashSet<>();
         for (ItemChange change : changes.get()) {
             Item item = change.update().item();
-            index.concerned(item.service(), item.zone(), concerned::add);
+            index.forEachMatching(item.service(), item.zone(), affected::add);
             if (change.serviceBefore() != null) {
-                index.concerned(change.serviceBefore(), change.zoneBefore(), concerned::add);
+                index.forEachMatching(change.serviceBefore(), change.zoneBefore(), affected::add);
             }
         }
-        return concerned;
+        return affected;
     }
 
     private void bringUpToDate(Subscription subscription, long nowMillis) {
--- a/src/main/java/rockshift/distribution/SummaryAggregator.java
+++ b/src/main/java/rockshift/distribution/SummaryAggregator.java
@@ -6,15 +6,17 @@
 import java.util.TreeMap;
 
 /**
- * Sums up what is in force at a publisher's subscribers, updated with each change of one of them.
- * Owned by the publisher's thread.
+ * The sum of what is in force at a publisher's subscribers, updated incrementally as each of them
+ * changes. Confined to the publisher's thread.
  */
 final class SummaryAggregator {
     /**
-     * What one subscription adds to the sum.
+     * The contribution of one subscription to the sum.
      *
-     * @param caughtUp whether all that concerns it is in force there and below
-     * @param lowest the lowest number in force there and below, where it has not caught up
+     * @param caughtUp whether everything that affects the subscription is in force at the
+     *     subscriber and downstream of it
+     * @param lowest the lowest revision number in force there; relevant only if it has not caught
+     *     up
      */
     record Contribution(
             boolean caughtUp,
@@ -40,7 +42,7 @@
         this.maxLost = maxLost;
     }
 
-    /** One subscription contributes something else than before. */
+    /** Replaces the contribution of one subscription. */
     void replace(Contribution before, Contribution after) {
         if (!before.caughtUp()) {
             lowest.merge(
@@ -56,35 +58,36 @@
     }
 
     /**
-     * A subscriber was lost, and controllers with it. Over the bound the one lost longest ago is
-     * forgotten early.
+     * Records a lost subscriber and the number of controllers lost with it. Beyond the limit, the
+     * subscriber lost longest ago is dropped early.
      */
-    void rememberLost(String subscriber, int controllers, long untilMillis) {
-        forgetLost(subscriber);
+    void addLost(String subscriber, int controllers, long untilMillis) {
+        removeLost(subscriber);
         if (controllers == 0) {
             return;
         }
         if (lost.size() >= maxLost) {
-            forgetLost(lost.keySet().iterator().next());
+            removeLost(lost.keySet().iterator().next());
         }
         lost.put(subscriber, new LostSubscriber(controllers, untilMillis));
         unreachable += controllers;
     }
 
     /**
-     * A subscriber is back, or need not be remembered; returns how many controllers were lost with
-     * it.
+     * Removes a lost subscriber, if it is recorded.
+     *
+     * @return the number of controllers that were lost with it; 0 if it is not recorded
      */
-    int forgetLost(String subscriber) {
-        LostSubscriber back = lost.remove(subscriber);
-        if (back == null) {
+    int removeLost(String subscriber) {
+        LostSubscriber removed = lost.remove(subscriber);
+        if (removed == null) {
             return 0;
         }
-        unreachable -= back.controllers();
-        return back.controllers();
+        unreachable -= removed.controllers();
+        return removed.controllers();
     }
 
-    /** Forgets who was lost too long ago. */
+    /** Removes the lost subscribers whose retention time has passed. */
     void expireLost(long nowMillis) {
         Iterator<LostSubscriber> oldest = lost.values().iterator();
         while (oldest.hasNext()) {
@@ -97,9 +100,9 @@
         }
     }
 
-    /** The sum, where the publisher itself stands at this number. */
+    /** Returns the sum, given the revision number that the publisher itself is at. */
     Summary sum(long current) {
-        long least = lowest.isEmpty() ? current : Math.min(current, lowest.firstKey());
-        return new Summary(least, subscribers, behind, unreachable, fingerprint);
+        long lowestNumber = lowest.isEmpty() ? current : Math.min(current, lowest.firstKey());
+        return new Summary(lowestNumber, subscribers, behind, unreachable, fingerprint);
     }
 }
