--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -97,7 +97,9 @@
             } else {
                 throw new RejectionException(
                         RejectionReason.MALFORMED,
-                        "a publisher takes no " + message.getClass().getSimpleName());
+                        "message: "
+                                + message.getClass().getSimpleName()
+                                + " is not accepted by a publisher");
             }
         } catch (RejectionException rejection) {
             reject(subscription, rejection.reason(), rejection.detail(), 0, nowMillis);
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -301,7 +301,9 @@
         } else {
             throw new RejectionException(
                     RejectionReason.MALFORMED,
-                    "a subscriber takes no " + message.getClass().getSimpleName());
+                    "message: "
+                            + message.getClass().getSimpleName()
+                            + " is not accepted by a subscriber");
         }
     }
 
