--- a/src/main/java/rockshift/distribution/wire/DistributionClient.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionClient.java
@@ -15,12 +15,12 @@
 import rockshift.distribution.Update;
 
 /**
- * A subscriber on sockets: it keeps what concerns a controller up to date and hands it to a
- * listener. Any number of clients share the two threads of one {@link DistributionReactor}. Each
- * decision is the {@link Subscriber}'s.
+ * A subscriber on sockets, which keeps a controller's state up to date and passes it to a listener.
+ * Any number of clients share the threads of one {@link DistributionReactor}. All decisions are
+ * made by the {@link Subscriber}.
  *
- * <p>The subscriber's steps run one at a time under this object's monitor, on the reactor's threads
- * and on those of callers.
+ * <p>Thread-safe. The subscriber's steps run one at a time under this object's monitor, on the
+ * reactor's threads and on those of callers.
  */
 public final class DistributionClient implements AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -34,10 +34,10 @@
     private boolean closed;
 
     /**
-     * A client without a state; {@link #start} has it begin.
+     * Creates a client without a state; {@link #start} starts it.
      *
-     * @param name by which publishers know it; no two clients have the same
-     * @param upstreams relays or members, tried in this order from one that is chosen by chance
+     * @param name the name by which publishers know the client; must be unique
+     * @param upstreams relays or members, tried in this order from a random one
      */
     public DistributionClient(
             DistributionReactor reactor,
@@ -71,12 +71,12 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    /** Takes up a state kept from an earlier run, before the start. */
+    /** Restores a state retained from an earlier run. Must be called before the start. */
     public synchronized void restore(Revision revision, Collection<Item> items) {
         subscriber.restore(revision, items);
     }
 
-    /** Begins to connect. */
+    /** Starts connecting. */
     public void start() {
         reactor.addTickTask(tick);
     }
@@ -88,47 +88,49 @@
         }
     }
 
-    /** Asks for another scope from now on. */
+    /** Changes the scope. */
     public synchronized void scope(Scope scope) {
         subscriber.scope(scope, nowMillis());
     }
 
     /**
-     * Follows another cluster from now on, as an operator decided; the state stays until its first
-     * snapshot.
+     * Switches to another cluster by decision of an operator. The state is kept until the first
+     * snapshot of that cluster.
      */
     public synchronized void adopt(long cluster) {
         subscriber.adopt(cluster, nowMillis());
     }
 
-    /** The revision of the state. */
+    /** Returns the revision of the state. */
     public synchronized Revision revision() {
         return subscriber.revision();
     }
 
-    /** How old the state may be, in milliseconds. */
+    /** Returns how old the state may be, in milliseconds. */
     public synchronized long ageMillis() {
         return subscriber.ageMillis(nowMillis());
     }
 
-    /** Whether a subscription stands, so that the state is kept up to date. */
+    /** Returns whether the subscription is active, so that the state is kept up to date. */
     public synchronized boolean subscribed() {
         return subscriber.subscribed();
     }
 
-    /** The upstream dialled last, by its index in the list; -1 before the first. */
+    /**
+     * Returns the index of the upstream connected to last; -1 before the first connection attempt.
+     */
     public synchronized int upstream() {
         return upstream.upstream();
     }
 
-    /** How often each reason was given for a refusal or an end, by either side. */
+    /** Returns the count of each rejection reason, given by either side. */
     public synchronized Map<RejectionReason, Long> rejections() {
         return subscriber.rejectionCounts();
     }
 
     /**
-     * What the listener was handed is in force; a listener's own thread must not wait for the
-     * client's steps.
+     * Acknowledges that a delivery is in force. A listener's own thread must not wait for the
+     * client's steps, so its acknowledgement runs on the reactor.
      */
     private void inForce(Revision revision) {
         if (Thread.holdsLock(this)) {
@@ -144,7 +146,7 @@
         }
     }
 
-    /** Ends the connection. The listener keeps the state that it has. */
+    /** Closes the connection. The listener keeps its state. */
     @Override
     public synchronized void close() {
         closed = true;
@@ -152,7 +154,7 @@
         upstream.close();
     }
 
-    /** Hands the connection's events to the subscriber, one at a time. */
+    /** Passes the connection's events to the subscriber, one at a time. */
     private final class UpstreamOwner implements UpstreamConnector.Owner {
         @Override
         public void execute(Runnable step) {
@@ -184,7 +186,7 @@
         }
     }
 
-    /** Hands the state to the listener, with a way to say that it is in force. */
+    /** Passes the state to the listener, with a callback for reporting that it is in force. */
     private final class StateListener implements Subscriber.Listener {
         @Override
         public void snapshot(Revision revision, List<Item> items) {
--- a/src/main/java/rockshift/distribution/wire/DistributionCodec.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionCodec.java
@@ -17,20 +17,23 @@
 import rockshift.wire.CborWriter;
 
 /**
- * Messages of the distribution as bytes: one CBOR array each, its kind first, described in
- * docs/raft.md. A reader takes exactly what a writer gave. What is missing, follows, has the wrong
- * type or goes beyond a bound is an error that names the field.
+ * Encoding of the distribution messages: one CBOR array each, starting with the kind, as described
+ * in docs/raft.md. Decoding is strict: a missing, additional, wrongly typed or out-of-range field
+ * is an error that names the field.
  */
 public final class DistributionCodec {
     private static final Limits.Sizes SIZES = Limits.standard().sizes();
 
-    /** Characters of the longest key. */
+    /** Maximum length of an item's key, in characters. */
     private static final int MAX_KEY_LENGTH = 512;
 
-    /** Characters of the longest detail of a rejection; longer ones are cut. */
+    /**
+     * Maximum length of the detail of a rejection or notice, in characters; longer ones are
+     * truncated.
+     */
     private static final int MAX_DETAIL_LENGTH = 500;
 
-    /** The kinds of messages, in the order of their numbers on the wire. */
+    /** The message kinds, in the order of their numbers on the wire. */
     private enum Kind {
         SUBSCRIBE,
         ACKNOWLEDGE,
@@ -43,7 +46,7 @@
 
     private DistributionCodec() {}
 
-    /** Encodes a message; a detail that is too long is cut. */
+    /** Encodes a message; a detail that is too long is truncated. */
     public static byte[] write(DistributionMessage message) throws IOException {
         CborWriter out = new CborWriter();
         out.startArray();
@@ -158,7 +161,7 @@
     /**
      * Decodes a message.
      *
-     * @throws IOException naming the field that is wrong
+     * @throws IOException if a field is invalid; the message names it
      */
     public static DistributionMessage read(byte[] bytes) throws IOException {
         CborReader in = new CborReader(bytes, 0, bytes.length);
@@ -288,7 +291,7 @@
         for (int left = in.at(field).whole(SIZES.maxScopeNames()); left > 0; left--) {
             String name = in.text(SIZES.maxNameLength());
             if (!names.isEmpty() && names.last().compareTo(name) >= 0) {
-                throw in.wrong("names that are not in order");
+                throw in.wrong("names that are not in strictly ascending order");
             }
             names.add(name);
         }
@@ -299,7 +302,7 @@
         String code = in.at("reason").text(MAX_DETAIL_LENGTH);
         RejectionReason reason = RejectionReason.byCode(code);
         if (reason == null) {
-            throw in.wrong("'" + code + "' is no reason");
+            throw in.wrong("unknown reason code '" + code + "'");
         }
         return reason;
     }
--- a/src/main/java/rockshift/distribution/wire/DistributionConnection.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionConnection.java
@@ -11,21 +11,21 @@
 import rockshift.wire.Frames;
 
 /**
- * One connection that carries messages of the distribution and nothing else. Its events come on the
- * reactor's thread.
+ * A connection that carries distribution messages only. Its events are delivered on the reactor's
+ * thread.
  */
 final class DistributionConnection extends FramedConnection {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionConnection.class);
 
-    /** Hears the events of a connection, on the reactor's thread. */
+    /** Handles the events of a connection, on the reactor's thread. */
     interface Handler {
-        /** The connection is up. */
+        /** Called when the connection is established. */
         void opened(FramedConnection connection);
 
-        /** The payload of a frame came. */
+        /** Called with the payload of each frame. */
         void received(FramedConnection connection, byte[] payload);
 
-        /** The connection has ended, also one that never came up. */
+        /** Called when the connection has ended, also if it was never established. */
         void ended(FramedConnection connection);
     }
 
@@ -46,7 +46,9 @@
     @Override
     protected void take(Frames.Frame frame) throws IOException {
         if (frame.kind() != Frames.WATCH) {
-            throw new Frames.InvalidFrameException("unexpected", "a frame of kind " + frame.kind());
+            throw new Frames.InvalidFrameException(
+                    "unexpected",
+                    "expected a frame of kind " + Frames.WATCH + ", got kind " + frame.kind());
         }
         handler.received(this, frame.payload());
     }
--- a/src/main/java/rockshift/distribution/wire/DistributionListener.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionListener.java
@@ -7,26 +7,29 @@
 import rockshift.distribution.Update;
 
 /**
- * Takes the state of a {@link DistributionClient}. Calls come one at a time, on a thread that
- * carries other clients as well: a listener must not wait. It runs {@code inForce}, on any thread,
- * once what it was handed has taken effect.
+ * Receives the state of a {@link DistributionClient}. Calls come one at a time, on a thread that is
+ * shared with other clients, so they must not block. The listener runs {@code inForce}, on any
+ * thread, once a snapshot or difference has taken effect.
  */
 public interface DistributionListener {
-    /** A whole state takes the place of the one before. */
+    /** Called with a whole state that replaces the previous one. */
     void snapshot(Revision revision, List<Item> items, Runnable inForce);
 
-    /** Updates to the state. */
+    /** Called with updates to the state. */
     void difference(Revision revision, List<Update> updates, Runnable inForce);
 
-    /** The state stands unchanged at a later revision. */
+    /** Called when the state is unchanged at a later revision. */
     default void advanced(Revision revision) {}
 
-    /** The upstream tells something while the subscription goes on. */
+    /** Called with a notice of the upstream that does not end the subscription. */
     default void notice(RejectionReason reason, String detail) {}
 
-    /** The state may be older than is tolerated, or there was none in that time. */
+    /**
+     * Called once the state may be older than the stale threshold, or no state was received for
+     * that long.
+     */
     default void stale(long ageMillis) {}
 
-    /** The state is up to date again. */
+    /** Called once the state is up to date again. */
     default void freshAgain(long afterMillis) {}
 }
--- a/src/main/java/rockshift/distribution/wire/DistributionReactor.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionReactor.java
@@ -25,19 +25,23 @@
 import rockshift.wire.FramedConnection;
 
 /**
- * The threads of distribution in a process: one for all connections and one for all timers, however
- * many clients and relays share it. It decides nothing and knows no messages.
+ * The threads for distribution in a process, shared by all its clients and relays: one for the I/O
+ * of all connections, one that accepts connections, and one for timers. It makes no protocol
+ * decisions and does not interpret messages.
  */
 public final class DistributionReactor implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionReactor.class);
 
-    /** Bytes read from one connection before the others have their turn. */
+    /** Bytes read from one connection before other connections are served. */
     private static final int READ_BUFFER_BYTES = 64 << 10;
 
-    /** Connections that may wait to be taken: all subscribers dialling at once. */
+    /**
+     * Connections that may wait to be accepted; large enough for all subscribers connecting at
+     * once.
+     */
     private static final int ACCEPT_BACKLOG = 1_024;
 
-    private static final int DIAL_TIMEOUT_MILLIS = 1_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final int SELECT_INTERVAL_MILLIS = 250;
     private static final int SHUTDOWN_GRACE_MILLIS = 300;
     private static final int TICK_INTERVAL_MILLIS = 50;
@@ -49,14 +53,14 @@
     private final ConnectionLog upstreamLog = new ConnectionLog(LOG, "upstream");
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
-    /** Makes the handler of a connection that was dialled or taken. */
+    /** Creates the handler of a connection that was opened or accepted. */
     interface ConnectionFactory {
         FramedConnection create(IOSession session, ByteBuffer readBuffer);
     }
 
-    /** Starts both threads; no connection and no task is there yet. */
+    /** Starts the threads, without any connection or task. */
     public DistributionReactor() {
-        IOReactorConfig oneThread =
+        IOReactorConfig config =
                 IOReactorConfig.custom()
                         .setIoThreadCount(1)
                         .setBacklogSize(ACCEPT_BACKLOG)
@@ -68,7 +72,7 @@
                 new DefaultListeningIOReactor(
                         (session, factory) ->
                                 ((ConnectionFactory) factory).create(session, readBuffer),
-                        oneThread,
+                        config,
                         daemonThreads("distribution-io"),
                         daemonThreads("distribution-listener"),
                         null,
@@ -84,14 +88,18 @@
     }
 
     private static ThreadFactory daemonThreads(String name) {
-        return work -> {
-            Thread thread = new Thread(work, name);
+        return task -> {
+            Thread thread = new Thread(task, name);
             thread.setDaemon(true);
             return thread;
         };
     }
 
-    /** Listens, and has each connection handled by what the factory makes; answers the port. */
+    /**
+     * Listens on an address; the factory creates the handlers of the accepted connections.
+     *
+     * @return the port
+     */
     int listen(InetSocketAddress address, ConnectionFactory factory)
             throws IOException, InterruptedException {
         try {
@@ -104,57 +112,66 @@
         }
     }
 
-    /** What comes of a dial, told on the thread of the connections. */
-    interface DialResult {
-        /** Nobody was reached: why. */
-        void failed(String why);
+    /** Receives the failure of a connection attempt, on the I/O thread. */
+    interface ConnectFailureListener {
+        /**
+         * Called when the address could not be reached.
+         *
+         * @param message why the attempt failed
+         */
+        void failed(String message);
     }
 
-    /** Dials an address; a connection that is reached tells by itself. */
-    void dial(InetSocketAddress address, ConnectionFactory factory, DialResult result) {
+    /** Connects to an address. On success the connection's own handler is notified. */
+    void connect(
+            InetSocketAddress address,
+            ConnectionFactory factory,
+            ConnectFailureListener failureListener) {
         reactor.connect(
                 new HttpHost(address.getHostString(), address.getPort()),
                 address,
                 null,
-                Timeout.ofMilliseconds(DIAL_TIMEOUT_MILLIS),
+                Timeout.ofMilliseconds(CONNECT_TIMEOUT_MILLIS),
                 factory,
                 new FutureCallback<>() {
                     @Override
                     public void completed(IOSession session) {
-                        // The connection itself says that it is connected.
+                        // The connection's handler is notified by its connected event.
                     }
 
                     @Override
                     public void failed(Exception failure) {
-                        result.failed(String.valueOf(failure.getMessage()));
+                        failureListener.failed(String.valueOf(failure.getMessage()));
                     }
 
                     @Override
                     public void cancelled() {
-                        result.failed("given up");
+                        failureListener.failed("connection attempt cancelled");
                     }
                 });
     }
 
     /**
-     * Runs a task every 50 ms on the timer's thread; a failure is logged and the next run comes all
-     * the same.
+     * Runs a task every 50 ms on the timer thread. A failure is logged and does not stop further
+     * runs.
      */
     void addTickTask(Runnable task) {
         tickTasks.add(task);
     }
 
-    /** Runs a task no more. */
+    /** Stops running a task. */
     void removeTickTask(Runnable task) {
         tickTasks.remove(task);
     }
 
-    /** The log of connections that were dialled. */
+    /** Returns the log of upstream connections. */
     public ConnectionLog upstreamLog() {
         return upstreamLog;
     }
 
-    /** Runs a task once, soon, on the timer's thread; not at all once the reactor is closed. */
+    /**
+     * Runs a task once on the timer thread, as soon as possible; drops it if the reactor is closed.
+     */
     void execute(Runnable task) {
         try {
             timer.execute(() -> runGuarded(task));
@@ -171,7 +188,7 @@
         }
     }
 
-    /** Ends all connections and timers. */
+    /** Closes all connections and stops the timers. */
     @Override
     public void close() throws InterruptedException {
         timer.shutdownNow();
--- a/src/main/java/rockshift/distribution/wire/DistributionSettings.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionSettings.java
@@ -10,14 +10,13 @@
 import rockshift.distribution.Scope;
 
 /**
- * The block {@code distribution} of the operator's file, for a controller or relay. Immutable.
+ * The {@code distribution} block of the operator's file, for a controller or relay. Immutable.
  *
- * @param name by which publishers know it; each controller and relay has its own
- * @param upstreams by label, relays, or members: tried in this order, from one that is chosen by
- *     chance
- * @param scope what it asks for
- * @param relay what a relay serves; null for a controller
- * @param limits bounds and intervals
+ * @param name the name by which publishers know the controller or relay; must be unique
+ * @param upstreams relays or members by label, tried in this order from a random one
+ * @param scope the scope to subscribe to
+ * @param relay the downstream side of a relay; null for a controller
+ * @param limits limits and intervals
  */
 public record DistributionSettings(
         String name,
@@ -25,23 +24,23 @@
         Scope scope,
         RelaySettings relay,
         Limits limits) {
-    /** Subscribers that a publisher serves where nothing is configured. */
+    /** Default maximum number of subscribers of a publisher. */
     public static final int DEFAULT_SUBSCRIBERS = 1_024;
 
-    /** Subscribers that a publisher may be configured to serve. */
+    /** Upper bound of the configurable maximum number of subscribers. */
     public static final int MAX_SUBSCRIBERS = 65_536;
 
     private static final int MAX_NAME_LENGTH = Limits.standard().sizes().maxNameLength();
 
     /**
-     * What a relay serves.
+     * The downstream side of a relay.
      *
-     * @param listen where subscribers connect
-     * @param subscribers connections that are served at most
+     * @param listen the address that subscribers connect to
+     * @param subscribers the maximum number of connections served
      */
     public record RelaySettings(InetSocketAddress listen, int subscribers) {}
 
-    /** Reads the block; null where the file has none. */
+    /** Reads the block; returns null if the file has none. */
     public static DistributionSettings read(Section file) throws InvalidFileException {
         Section block = file.block("distribution");
         if (block == null) {
@@ -72,9 +71,9 @@
                         block.integer("subscribers", DEFAULT_SUBSCRIBERS, 1, MAX_SUBSCRIBERS));
     }
 
-    private static Scope scope(Section distribution, boolean relays) throws InvalidFileException {
+    private static Scope scope(Section distribution, boolean isRelay) throws InvalidFileException {
         Section block = distribution.block("scope");
-        if (block == null && relays) {
+        if (block == null && isRelay) {
             return Scope.all();
         } else if (block == null) {
             throw distribution.invalid("scope", "is missing");
@@ -93,12 +92,16 @@
         Set<String> names = scope.texts(field, MAX_NAME_LENGTH);
         if (names.size() > Limits.standard().sizes().maxScopeNames()) {
             throw scope.invalid(
-                    field, "names more than " + Limits.standard().sizes().maxScopeNames());
+                    field,
+                    "must list at most "
+                            + Limits.standard().sizes().maxScopeNames()
+                            + " names, not "
+                            + names.size());
         }
         return names;
     }
 
-    /** The standard limits of a publisher, for so many connections. */
+    /** Returns the standard limits of a publisher with this maximum number of connections. */
     public static Limits limits(int subscribers) {
         Limits standard = Limits.standard();
         Limits.Admission admission = standard.admission();
--- a/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
+++ b/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
@@ -17,25 +17,29 @@
 import rockshift.wire.Frames;
 
 /**
- * The connections of a publisher's subscribers: it numbers them, turns frames into messages and
- * back, and bounds what waits on the way in and out. Whom to take and what to send decides the
- * publisher.
+ * The connections of a publisher's subscribers. It numbers them, converts between frames and
+ * messages, and limits what is queued in each direction. Whom to accept and what to send is decided
+ * by the publisher.
  *
- * <p>Thread-safe: connections call it on the reactor's thread, the publisher on its owner's.
+ * <p>Thread-safe: connections call it on the reactor's thread, the publisher on its owner's thread.
  */
 public final class DownstreamConnections
         implements Publisher.Transport, DistributionConnection.Handler {
     private static final Logger LOG = LoggerFactory.getLogger(DownstreamConnections.class);
 
-    /** Connections beyond those that the publisher serves: they are told that it is busy. */
+    /**
+     * Connections accepted beyond those that the publisher serves, so that they can be rejected as
+     * busy.
+     */
     private static final int MAX_REJECTED_CONNECTIONS = 64;
 
-    /** Messages of one subscriber, and of all, that may wait for the publisher. */
+    /** Messages of one subscriber that may be queued for the publisher. */
     private static final int MAX_QUEUED_PER_SUBSCRIBER = 128;
 
+    /** Messages of all subscribers that may be queued for the publisher. */
     private static final int MAX_QUEUED = 20_000;
 
-    /** One subscriber's connection. */
+    /** A subscriber's connection and the number of its queued messages. */
     private record Peer(long number, FramedConnection connection, AtomicInteger queued) {}
 
     private final int maxServed;
@@ -46,21 +50,24 @@
     private final Map<FramedConnection, Peer> byConnection = new ConcurrentHashMap<>();
     private final Map<Long, Peer> byNumber = new ConcurrentHashMap<>();
 
-    /** Set once, before the first connection is taken; used within the publisher's steps alone. */
+    /** Set once, before the first connection is accepted; used only in the publisher's steps. */
     private Publisher publisher;
 
     /**
-     * No connections, and no publisher yet.
+     * Creates an instance without connections or a publisher.
      *
-     * @param maxServed connections that the publisher serves at most
-     * @param steps runs the publisher's steps one at a time, in their order, on any thread
+     * @param maxServed the maximum number of connections that the publisher serves
+     * @param steps runs the publisher's steps one at a time and in order, on any thread
      */
     public DownstreamConnections(int maxServed, Executor steps) {
         this.maxServed = maxServed;
         this.steps = steps;
     }
 
-    /** Hands the events of connections to this publisher; called before the first one comes. */
+    /**
+     * Sets the publisher that handles the events of connections. Must be called before the first
+     * connection is accepted.
+     */
     public void serve(Publisher served) {
         publisher = served;
     }
@@ -69,12 +76,15 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Connections that may be open at a time, those that are told to come again included. */
+    /**
+     * Returns the maximum number of open connections, including those that are only rejected as
+     * busy.
+     */
     public int maxOpen() {
         return maxServed + MAX_REJECTED_CONNECTIONS;
     }
 
-    /** A connection of a subscriber came up; ends it where there are too many. */
+    /** Registers a new connection, or closes it if there are too many. */
     @Override
     public void opened(FramedConnection connection) {
         if (byConnection.size() >= maxOpen()) {
@@ -87,7 +97,7 @@
         steps.execute(() -> publisher.connected(peer.number, nowMillis()));
     }
 
-    /** A frame's payload came. */
+    /** Queues the message of a frame for the publisher. */
     @Override
     public void received(FramedConnection connection, byte[] payload) {
         Peer peer = byConnection.get(connection);
@@ -109,7 +119,15 @@
 
     private void queue(Peer peer, Runnable step) {
         if (peer.queued.get() >= MAX_QUEUED_PER_SUBSCRIBER || queued.get() >= MAX_QUEUED) {
-            peer.connection.end("flood", peer.queued + " messages wait, " + queued + " of all");
+            peer.connection.end(
+                    "flood",
+                    peer.queued
+                            + " messages of this subscriber are queued, maximum is "
+                            + MAX_QUEUED_PER_SUBSCRIBER
+                            + "; "
+                            + queued
+                            + " in total, maximum is "
+                            + MAX_QUEUED);
             return;
         }
         peer.queued.incrementAndGet();
@@ -122,7 +140,7 @@
                 });
     }
 
-    /** A connection has ended, whether it had become a subscriber's or not. */
+    /** Removes a connection that has ended, registered or not. */
     @Override
     public void ended(FramedConnection connection) {
         String code = connection.reason() == null ? "stopping" : connection.reason();
@@ -141,9 +159,10 @@
         }
         try {
             if (peer.connection.stalled()) {
-                peer.connection.end("not-reading", "nothing was read for too long");
+                peer.connection.end(
+                        "not-reading", "unsent messages made no progress within the stall timeout");
             } else if (!peer.connection.send(Frames.WATCH, DistributionCodec.write(message))) {
-                peer.connection.end("not-reading", "too much waits to be read");
+                peer.connection.end("not-reading", "unsent messages exceed the send buffer limit");
             }
         } catch (IOException impossible) {
             LOG.error("message not encodable peer={}", peer.connection.from(), impossible);
@@ -159,7 +178,7 @@
         }
     }
 
-    /** Connections ended since the start, by reason. */
+    /** Returns the number of connections ended since the start, by reason code. */
     public Map<String, Long> endings() {
         return log.totals();
     }
--- a/src/main/java/rockshift/distribution/wire/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -14,15 +14,19 @@
 import rockshift.distribution.Summary;
 
 /**
- * A relay on sockets: it subscribes upstream and serves subscribers of its own. Each decision is
- * the {@link Relay}'s.
+ * A relay on sockets: subscribes upstream and serves downstream subscribers. All decisions are made
+ * by the {@link Relay}.
  *
- * <p>The relay's steps run one at a time under this object's monitor, on the reactor's threads.
+ * <p>Thread-safe. The relay's steps run one at a time under this object's monitor, on the reactor's
+ * threads.
  */
 public final class RelayProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RelayProcess.class);
 
-    /** Bytes that may wait for one subscriber: all that it need not have acknowledged. */
+    /**
+     * Bytes that may be queued for one subscriber; enough for everything that it need not have
+     * acknowledged.
+     */
     private static final int MAX_UNSENT_BYTES = 4 << 20;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -37,7 +41,7 @@
     private boolean closed;
     private int port;
 
-    /** A relay without a state; {@link #start} has it begin. */
+    /** Creates a relay without a state; {@link #start} starts it. */
     public RelayProcess(
             DistributionSettings settings, DistributionReactor reactor, RandomGenerator random) {
         this.settings = settings;
@@ -69,7 +73,7 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    /** Listens, and begins to connect upstream. */
+    /** Starts listening and connecting upstream. */
     public void start() throws IOException, InterruptedException {
         InetSocketAddress listen = settings.relay().listen();
         port =
@@ -87,27 +91,27 @@
                 settings.upstreams().keySet());
     }
 
-    /** Where it listens, once it was started. */
+    /** Returns the port that it listens on; 0 before the start. */
     public int port() {
         return port;
     }
 
-    /** The revision of its state. */
+    /** Returns the revision of its state. */
     public synchronized Revision revision() {
         return relay.store().current();
     }
 
-    /** What is in force below it. */
+    /** Returns what is in force downstream. */
     public synchronized Summary summary() {
         return relay.publisher().summary();
     }
 
-    /** How many connections of subscribers are open. */
+    /** Returns the number of open downstream connections. */
     public synchronized int connections() {
         return relay.publisher().connections();
     }
 
-    /** Subscribers' connections that ended since the start, by reason. */
+    /** Returns the number of downstream connections ended since the start, by reason code. */
     public Map<String, Long> endings() {
         return downstream.endings();
     }
@@ -125,7 +129,10 @@
         }
     }
 
-    /** Takes part no more; the reactor's owner ends the connections. */
+    /**
+     * Stops the relay and closes its upstream connection. The downstream connections are closed by
+     * the owner of the reactor.
+     */
     @Override
     public synchronized void close() {
         closed = true;
@@ -157,7 +164,7 @@
                 afterMillis);
     }
 
-    /** Hands the events of the connection upstream to the relay. */
+    /** Passes the events of the upstream connection to the relay. */
     private final class UpstreamOwner implements UpstreamConnector.Owner {
         @Override
         public void execute(Runnable step) {
--- a/src/main/java/rockshift/distribution/wire/StalenessMonitor.java
+++ b/src/main/java/rockshift/distribution/wire/StalenessMonitor.java
@@ -3,11 +3,11 @@
 import java.util.function.LongConsumer;
 
 /**
- * Reports when the state of a subscriber has become older than is tolerated, and when it is up to
- * date again. Owned by the subscriber's thread.
+ * Reports when the state of a subscriber becomes older than the threshold, and when it is up to
+ * date again. Confined to the subscriber's thread.
  */
 final class StalenessMonitor {
-    private final long toleratedMillis;
+    private final long thresholdMillis;
     private final long startedAtMillis;
     private final LongConsumer onStale;
     private final LongConsumer onFreshAgain;
@@ -15,15 +15,16 @@
     private boolean stale;
 
     /**
-     * A monitor that begins now.
+     * Creates a monitor that starts now.
      *
-     * @param toleratedMillis how old the state may be
-     * @param onStale gets the age of the state, in milliseconds
-     * @param onFreshAgain gets for how long nothing newer came, in milliseconds
+     * @param thresholdMillis the maximum age of a state that is not stale
+     * @param onStale receives the age of the state, in milliseconds
+     * @param onFreshAgain receives the time since the state was last known to be current, in
+     *     milliseconds
      */
     StalenessMonitor(
-            long toleratedMillis, long nowMillis, LongConsumer onStale, LongConsumer onFreshAgain) {
-        this.toleratedMillis = toleratedMillis;
+            long thresholdMillis, long nowMillis, LongConsumer onStale, LongConsumer onFreshAgain) {
+        this.thresholdMillis = thresholdMillis;
         this.startedAtMillis = nowMillis;
         this.lastFreshAtMillis = nowMillis;
         this.onStale = onStale;
@@ -31,19 +32,20 @@
     }
 
     /**
-     * Reports a change, once.
+     * Reports a change between fresh and stale, once per change.
      *
-     * @param freshAtMillis when the state was the newest; the lowest long if it never was
+     * @param freshAtMillis when the state was last known to be current; {@link Long#MIN_VALUE} if
+     *     it never was
      */
     void check(long freshAtMillis, long nowMillis) {
         long sinceMillis = Math.max(freshAtMillis, startedAtMillis);
-        boolean old = nowMillis - sinceMillis > toleratedMillis;
-        if (old && !stale) {
+        boolean nowStale = nowMillis - sinceMillis > thresholdMillis;
+        if (nowStale && !stale) {
             onStale.accept(nowMillis - sinceMillis);
-        } else if (!old && stale) {
+        } else if (!nowStale && stale) {
             onFreshAgain.accept(nowMillis - lastFreshAtMillis);
         }
-        stale = old;
+        stale = nowStale;
         lastFreshAtMillis = sinceMillis;
     }
 }
--- a/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
@@ -12,36 +12,36 @@
 import rockshift.wire.Frames;
 
 /**
- * A subscriber's connection to one upstream at a time: it dials, turns messages into frames and
- * back, and reports nothing of a connection that was given up. Where to dial, and when, decides the
- * subscriber.
+ * A subscriber's connection to one upstream at a time. It connects, converts between messages and
+ * frames, and reports no events of a connection that was abandoned. The subscriber decides where
+ * and when to connect.
  *
- * <p>Events come on the reactor's threads and are handed to the owner's steps, one at a time; all
- * fields that change belong to these steps.
+ * <p>Events arrive on the reactor's threads and are passed to the owner's steps, which run one at a
+ * time. All mutable fields are accessed only in these steps.
  */
 final class UpstreamConnector implements Subscriber.Transport {
     private static final Logger LOG = LoggerFactory.getLogger(UpstreamConnector.class);
 
-    /** Bytes that may wait to be sent upstream: some thousand acknowledgements. */
+    /** Bytes that may be queued for the upstream; enough for some thousand acknowledgements. */
     private static final int MAX_UNSENT_BYTES = 256 << 10;
 
-    private static final int NOT_DIALLED = -1;
+    private static final int NOT_CONNECTED = -1;
 
-    /** The subscriber's owner, which has one step run at a time. */
+    /** The owner of the subscriber, which runs its steps one at a time. */
     interface Owner {
         /** Runs a step of the subscriber. */
         void execute(Runnable step);
 
-        /** The connection is up. */
+        /** Called when the connection is established. */
         void connected();
 
-        /** A message came. */
+        /** Called with each message received. */
         void received(DistributionMessage message);
 
-        /** A message came that can't be decoded. */
+        /** Called when a message cannot be decoded. */
         void undecodable(RejectionReason reason, String detail);
 
-        /** The connection, or the attempt at one, has ended. */
+        /** Called when the connection has ended or the attempt has failed. */
         void disconnected();
     }
 
@@ -49,7 +49,7 @@
     private final List<InetSocketAddress> upstreams;
     private final Owner owner;
     private Attempt current;
-    private int upstream = NOT_DIALLED;
+    private int upstream = NOT_CONNECTED;
 
     UpstreamConnector(DistributionReactor reactor, List<InetSocketAddress> upstreams, Owner owner) {
         this.reactor = reactor;
@@ -57,30 +57,30 @@
         this.owner = owner;
     }
 
-    /** Dials an upstream. The name is looked up anew each time. */
+    /** Connects to an upstream. Its host name is resolved anew each time. */
     @Override
     public void connect(int number) {
         InetSocketAddress address = upstreams.get(number);
         upstream = number;
         Attempt attempt = new Attempt(address);
         current = attempt;
-        reactor.dial(
+        reactor.connect(
                 new InetSocketAddress(address.getHostString(), address.getPort()),
                 (session, readBuffer) ->
                         new DistributionConnection(session, readBuffer, MAX_UNSENT_BYTES, attempt),
                 attempt::failed);
     }
 
-    /** Gives up the connection, or the attempt at one. */
+    /** Abandons the connection or the connection attempt. */
     @Override
     public void disconnect(RejectionReason reason, String detail) {
         if (current != null) {
-            current.giveUp(reason, detail);
+            current.abandon(reason, detail);
             current = null;
         }
     }
 
-    /** Sends a message; where too much waits already the connection ends. */
+    /** Sends a message, or ends the connection if too much is queued already. */
     @Override
     public void send(DistributionMessage message) {
         if (current == null || current.connection == null) {
@@ -89,7 +89,7 @@
         FramedConnection connection = current.connection;
         try {
             if (!connection.send(Frames.WATCH, DistributionCodec.write(message))) {
-                connection.end("not-reading", "too much waits to be read");
+                connection.end("not-reading", "unsent messages exceed the send buffer limit");
             }
         } catch (IOException impossible) {
             LOG.error("message not encodable peer={}", connection.from(), impossible);
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Ends the connection for good. */
+    /** Closes the connection permanently. */
     void close() {
         if (current != null && current.connection != null) {
             current.connection.endWhenSent("stopping", "");
@@ -105,12 +105,14 @@
         current = null;
     }
 
-    /** The upstream dialled last, by its index in the list; -1 before the first. */
+    /**
+     * Returns the index of the upstream connected to last; -1 before the first connection attempt.
+     */
     int upstream() {
         return upstream;
     }
 
-    /** One dial, and the connection that came of it. */
+    /** A connection attempt, and the connection that results from it. */
     private final class Attempt implements DistributionConnection.Handler {
         private final InetSocketAddress address;
         private FramedConnection connection;
@@ -121,7 +123,7 @@
             this.address = address;
         }
 
-        void giveUp(RejectionReason reason, String detail) {
+        void abandon(RejectionReason reason, String detail) {
             abandonReason = reason;
             abandonDetail = detail;
             if (connection != null) {
@@ -129,9 +131,12 @@
             }
         }
 
-        /** The dial failed. Never handled within a step: a dial may fail as it is begun. */
-        void failed(String why) {
-            reactor.execute(() -> executeIfCurrent(() -> unreachable(why)));
+        /**
+         * Handles a failed attempt. Runs as a separate task, because an attempt may fail while it
+         * is being started, within a step.
+         */
+        void failed(String message) {
+            reactor.execute(() -> executeIfCurrent(() -> unreachable(message)));
         }
 
         @Override
@@ -166,8 +171,8 @@
             executeIfCurrent(this::disconnected);
         }
 
-        private void unreachable(String why) {
-            reactor.upstreamLog().ended(address, RejectionReason.UNREACHABLE.code(), why);
+        private void unreachable(String message) {
+            reactor.upstreamLog().ended(address, RejectionReason.UNREACHABLE.code(), message);
             disconnected();
         }
 
@@ -176,7 +181,7 @@
             owner.disconnected();
         }
 
-        /** Runs a step of the owner unless this attempt was given up meanwhile. */
+        /** Runs a step of the owner unless this attempt has been abandoned. */
         private void executeIfCurrent(Runnable step) {
             owner.execute(
                     () -> {
--- a/src/main/java/rockshift/distribution/wire/package-info.java
+++ b/src/main/java/rockshift/distribution/wire/package-info.java
@@ -1,14 +1,16 @@
 /**
- * Scoped distribution on sockets. Decisions are {@code rockshift.distribution}'s; this package
- * encodes its messages, owns its connections and threads, and reads its settings.
+ * Scoped distribution on sockets. The package encodes the messages of {@code
+ * rockshift.distribution}, manages connections and threads, and reads the settings; all decisions
+ * are made by {@code rockshift.distribution}.
  *
- * <p>State: {@link rockshift.distribution.wire.DownstreamConnections} owns the connections of
- * subscribers, {@code UpstreamConnector} the one to an upstream; nothing is on disk.
+ * <p>State: {@link rockshift.distribution.wire.DownstreamConnections} holds the connections of
+ * subscribers, {@code UpstreamConnector} the one to an upstream; nothing is stored on disk.
  *
- * <p>Threads: {@link rockshift.distribution.wire.DistributionReactor} starts and stops both, one
- * for all connections and one for timers. A relay or client runs its steps under its own monitor.
+ * <p>Threading: {@link rockshift.distribution.wire.DistributionReactor} starts and stops the
+ * threads: one for the I/O of all connections, one that accepts connections, and one for timers. A
+ * relay or client runs its steps while holding its own monitor.
  *
- * <p>Begin with {@link rockshift.distribution.wire.RelayProcess}, then {@link
- * rockshift.distribution.wire.DistributionCodec} for the bytes.
+ * <p>Start with {@link rockshift.distribution.wire.RelayProcess}, then {@link
+ * rockshift.distribution.wire.DistributionCodec} for the encoding.
  */
 package rockshift.distribution.wire;
