--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -213,7 +213,7 @@
         byName.put(message.subscriber(), subscription);
         index.add(subscription);
         sendNoticeIfUnmatched(subscription);
-        updater.begin(subscription, message.held(), nowMillis);
+        updater.start(subscription, message.held(), nowMillis);
         updateSummary(subscription);
         timers.cancel(subscription);
         heartbeat(subscription, nowMillis);
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -112,8 +112,8 @@
         public void snapshot(Revision revision, List<Item> items) {
             try {
                 store.reset(revision, items);
-            } catch (RejectionException impossible) {
-                throw unexpectedRejection(impossible);
+            } catch (RejectionException unexpected) {
+                throw unexpectedRejection(unexpected);
             }
             publish(revision);
         }
@@ -122,8 +122,8 @@
         public void difference(Revision revision, List<Update> updates) {
             try {
                 store.apply(revision, updates);
-            } catch (RejectionException impossible) {
-                throw unexpectedRejection(impossible);
+            } catch (RejectionException unexpected) {
+                throw unexpectedRejection(unexpected);
             }
             publish(revision);
         }
@@ -143,11 +143,11 @@
             subscriber.acknowledged(revision, nowMillis);
         }
 
-        private static IllegalStateException unexpectedRejection(RejectionException impossible) {
+        private static IllegalStateException unexpectedRejection(RejectionException unexpected) {
             return new IllegalStateException(
                     "the store rejected a state that the subscriber had validated: "
-                            + impossible.getMessage(),
-                    impossible);
+                            + unexpected.getMessage(),
+                    unexpected);
         }
     }
 }
--- a/src/main/java/rockshift/distribution/Subscriber.java
+++ b/src/main/java/rockshift/distribution/Subscriber.java
@@ -191,7 +191,7 @@
     public void tick(long nowMillis) {
         switch (phase) {
             case WAITING -> {
-                if (upstreams.dialDue(nowMillis)) {
+                if (upstreams.connectDue(nowMillis)) {
                     phase = Phase.CONNECTING;
                     connectDeadlineMillis = nowMillis + limits.timing().connectTimeoutMillis();
                     transport.connect(upstreams.current());
--- a/src/main/java/rockshift/distribution/SubscriptionUpdater.java
+++ b/src/main/java/rockshift/distribution/SubscriptionUpdater.java
@@ -68,7 +68,7 @@
      * Starts a subscription. It resumes from the revision that the subscriber holds if possible,
      * otherwise it gets a snapshot.
      */
-    void begin(Subscription subscription, Revision held, long nowMillis) {
+    void start(Subscription subscription, Revision held, long nowMillis) {
         Optional<ScopeDelta> delta =
                 held.isNone() ? Optional.empty() : store.deltaSince(held, subscription.scope());
         if (delta.isEmpty() || tooLarge(delta.get())) {
--- a/src/main/java/rockshift/distribution/UpstreamRotation.java
+++ b/src/main/java/rockshift/distribution/UpstreamRotation.java
@@ -13,7 +13,7 @@
     private final ReconnectBackoff backoff;
     private int current;
     private boolean started;
-    private long dialAtMillis;
+    private long connectAtMillis;
     private int consecutiveStale;
     private long nextStaleSwitchAtMillis;
 
@@ -34,18 +34,18 @@
     }
 
     /** Returns whether it is time to connect. The first call picks a random start time. */
-    boolean dialDue(long nowMillis) {
+    boolean connectDue(long nowMillis) {
         if (!started) {
             started = true;
-            dialAtMillis =
+            connectAtMillis =
                     nowMillis + backoff.randomUpToMillis(limits.timing().initialBackoffMillis());
         }
-        return nowMillis >= dialAtMillis;
+        return nowMillis >= connectAtMillis;
     }
 
     /** Moves on to the next upstream after a failed or abandoned connection, with a backoff. */
     void failed(long nowMillis) {
-        dialAtMillis = nowMillis + backoff.nextMillis();
+        connectAtMillis = nowMillis + backoff.nextMillis();
         selectNext();
     }
 
@@ -56,7 +56,7 @@
                 Math.min(
                         Math.max(0, rejected.retryAfterMillis()),
                         limits.admission().maxRetryMillis());
-        dialAtMillis = nowMillis + Math.max(backoffMillis, retryAfterMillis);
+        connectAtMillis = nowMillis + Math.max(backoffMillis, retryAfterMillis);
         if (rejected.reason() != RejectionReason.BUSY) {
             selectNext();
         }
--- a/src/main/java/rockshift/distribution/wire/DistributionCodec.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionCodec.java
@@ -253,7 +253,9 @@
         int parts = readIntCount(in, "parts");
         long digest = in.at("digest").number();
         List<Item> items = new ArrayList<>();
-        for (int left = in.at("items").whole(SIZES.maxPartItems()); left > 0; left--) {
+        for (int remaining = in.at("items").whole(SIZES.maxPartItems());
+                remaining > 0;
+                remaining--) {
             items.add(readItem(in, "items"));
         }
         return new DistributionMessage.SnapshotPart(epoch, revision, part, parts, digest, items);
@@ -261,7 +263,9 @@
 
     private static List<Update> readUpdates(CborReader in) throws IOException {
         List<Update> updates = new ArrayList<>();
-        for (int left = in.at("updates").whole(SIZES.maxDifferenceUpdates()); left > 0; left--) {
+        for (int remaining = in.at("updates").whole(SIZES.maxDifferenceUpdates());
+                remaining > 0;
+                remaining--) {
             long revision = readCount(in, "updates.revision");
             boolean deleted = in.at("updates.deleted").flag();
             updates.add(new Update(revision, readItem(in, "updates"), deleted));
@@ -288,7 +292,9 @@
 
     private static SortedSet<String> readNames(CborReader in, String field) throws IOException {
         SortedSet<String> names = new TreeSet<>();
-        for (int left = in.at(field).whole(SIZES.maxScopeNames()); left > 0; left--) {
+        for (int remaining = in.at(field).whole(SIZES.maxScopeNames());
+                remaining > 0;
+                remaining--) {
             String name = in.text(SIZES.maxNameLength());
             if (!names.isEmpty() && names.last().compareTo(name) >= 0) {
                 throw in.wrong("names that are not in strictly ascending order");
--- a/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
+++ b/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
@@ -164,9 +164,9 @@
             } else if (!peer.connection.send(Frames.WATCH, DistributionCodec.write(message))) {
                 peer.connection.end("not-reading", "unsent messages exceed the send buffer limit");
             }
-        } catch (IOException impossible) {
-            LOG.error("message not encodable peer={}", peer.connection.from(), impossible);
-            peer.connection.end("failure", String.valueOf(impossible.getMessage()));
+        } catch (IOException unexpected) {
+            LOG.error("message not encodable peer={}", peer.connection.from(), unexpected);
+            peer.connection.end("failure", String.valueOf(unexpected.getMessage()));
         }
     }
 
--- a/src/main/java/rockshift/distribution/wire/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -17,8 +17,7 @@
  * A relay on sockets: subscribes upstream and serves downstream subscribers. All decisions are made
  * by the {@link Relay}.
  *
- * <p>Thread-safe. The relay's steps run one at a time under this object's monitor, on the reactor's
- * threads.
+ * <p>The relay's steps run one at a time under this object's monitor, on the reactor's threads.
  */
 public final class RelayProcess implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RelayProcess.class);
--- a/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
@@ -91,9 +91,9 @@
             if (!connection.send(Frames.WATCH, DistributionCodec.write(message))) {
                 connection.end("not-reading", "unsent messages exceed the send buffer limit");
             }
-        } catch (IOException impossible) {
-            LOG.error("message not encodable peer={}", connection.from(), impossible);
-            connection.end("failure", String.valueOf(impossible.getMessage()));
+        } catch (IOException unexpected) {
+            LOG.error("message not encodable peer={}", connection.from(), unexpected);
+            connection.end("failure", String.valueOf(unexpected.getMessage()));
         }
     }
 
