--- a/src/main/java/rockshift/settings/AdmissionMode.java
+++ b/src/main/java/rockshift/settings/AdmissionMode.java
@@ -1,11 +1,11 @@
 package rockshift.settings;
 
-/** What an admission level means to the proxies of a deployment. */
+/** How the proxies of a deployment interpret an admission level. */
 public enum AdmissionMode {
-    /** Levels are the fraction of requests that is admitted. */
+    /** A level is the fraction of requests that a proxy admits. */
     FRACTION,
 
-    /** Levels are the requests a second that each proxy admits. */
+    /** A level is the number of requests per second that each proxy admits. */
     RATE_PER_SECOND,
 
     /** Proxies ignore levels. */
--- a/src/main/java/rockshift/settings/ClassNames.java
+++ b/src/main/java/rockshift/settings/ClassNames.java
@@ -6,15 +6,18 @@
 import java.util.stream.Collectors;
 import rockshift.model.ClassSet;
 
-/** The names of the request classes, by number: each has one, and no two the same. */
+/** Names of the request classes, indexed by class number. Each class has a unique name. */
 public final class ClassNames {
-    /** What the protocol joins class names, lists and pairs by: no name may hold any of them. */
+    /**
+     * Separators of class names, lists and pairs in the proxy protocol; not allowed in a class
+     * name.
+     */
     private static final String SEPARATORS = "+,:";
 
     private final List<String> names;
     private final Map<String, Integer> numbers = new HashMap<>();
 
-    /** A class name that cannot be used. */
+    /** Thrown if a class name is empty, duplicates another or contains a protocol separator. */
     public static final class InvalidNameException extends InvalidSettingException {
         private static final long serialVersionUID = 1L;
         private final int number;
@@ -24,7 +27,7 @@
             this.number = number;
         }
 
-        /** The number of the class whose name it is. */
+        /** Returns the number of the class with the invalid name. */
         public int number() {
             return number;
         }
@@ -39,56 +42,58 @@
 
     private void add(int number, String name) {
         if (name.isEmpty()) {
-            throw new InvalidNameException(number, "is empty");
+            throw new InvalidNameException(number, "must not be empty");
         }
         for (char separator : SEPARATORS.toCharArray()) {
             if (name.indexOf(separator) >= 0) {
-                String reason = "' holds '" + separator + "', which the protocol separates by";
-                throw new InvalidNameException(number, "'" + name + reason);
+                String reason =
+                        "must not contain '" + separator + "', a separator of the protocol, got '";
+                throw new InvalidNameException(number, reason + name + "'");
             }
         }
         Integer before = numbers.putIfAbsent(name, number);
         if (before != null) {
-            throw new InvalidNameException(number, "'" + name + "' repeats " + field(before));
+            throw new InvalidNameException(
+                    number, "must be unique, but '" + name + "' is also " + field(before));
         }
     }
 
-    /** How errors call the name of a class. */
+    /** Returns the field that errors report for the name of a class. */
     static String field(int number) {
         return "class." + number + ".name";
     }
 
     /**
-     * Names in the order of their numbers.
+     * Creates the names of classes, in the order of the class numbers.
      *
-     * @throws InvalidNameException for the first that is empty, repeats another or holds a
-     *     separator of the protocol
+     * @throws InvalidNameException for the first name that is empty, duplicates another or contains
+     *     a protocol separator
      */
     public static ClassNames of(String... names) {
         return new ClassNames(List.of(names));
     }
 
     /**
-     * The names of classes, in the order of their numbers.
+     * Returns the names of the given classes, in the order of the class numbers.
      *
-     * @throws InvalidNameException for the first that is empty, repeats another or holds a
-     *     separator of the protocol
+     * @throws InvalidNameException for the first name that is empty, duplicates another or contains
+     *     a protocol separator
      */
     static ClassNames of(List<ClassSettings> classes) {
         return new ClassNames(classes.stream().map(ClassSettings::name).toList());
     }
 
-    /** Whether a class has this name. */
+    /** Returns whether a class has this name. */
     public boolean contains(String name) {
         return numbers.containsKey(name);
     }
 
-    /** The number of the class with a name, or -1 where there is none. */
+    /** Returns the number of the class with this name, or -1 if there is none. */
     public int number(String name) {
         return numbers.getOrDefault(name, -1);
     }
 
-    /** The names of some classes, joined as on the proxies' streams. */
+    /** Returns the names of the given classes, joined with '+' as in the proxy protocol. */
     public String joined(ClassSet classes) {
         return classes.numbers().mapToObj(names::get).collect(Collectors.joining("+"));
     }
--- a/src/main/java/rockshift/settings/ClassSettings.java
+++ b/src/main/java/rockshift/settings/ClassSettings.java
@@ -5,11 +5,11 @@
 import java.util.Objects;
 
 /**
- * Settings of one class of requests. Times are in ticks of 100 microseconds.
+ * Settings of one request class. Times are in ticks of 100 microseconds.
  *
  * @param name name of the class at proxies and in reports
- * @param latencyObjectiveTicks answers that take longer are late
- * @param timeoutTicks how long a client waits for an answer, over all its attempts
+ * @param latencyObjectiveTicks latency above which an answer is late
+ * @param timeoutTicks time that a client waits for an answer, over all its attempts
  * @param priorityWeight value of one answered request, relative to the other classes
  * @param staysInZone whether requests may only go to replicas in the proxy's own zone
  */
@@ -19,7 +19,7 @@
         long timeoutTicks,
         double priorityWeight,
         boolean staysInZone) {
-    /** Refuses a class without a name, and numbers that are negative or not a number. */
+    /** Rejects a missing name, and numbers that are negative or NaN. */
     public ClassSettings {
         Objects.requireNonNull(name, "name");
         requireNotNegative("latencyObjectiveTicks", latencyObjectiveTicks);
@@ -27,12 +27,12 @@
         requireNotNegative("priorityWeight", priorityWeight);
     }
 
-    /** Starts the settings of a class from their defaults. */
+    /** Returns a builder with this name and the defaults of the other settings. */
     public static Builder named(String name) {
         return new Builder().name(name);
     }
 
-    /** Collects the settings of one class, each with its default. */
+    /** Builder of {@link ClassSettings}. All settings except the name have a default. */
     public static final class Builder {
         private String name;
         private double latencyObjectiveTicks = Double.MAX_VALUE;
@@ -70,7 +70,7 @@
             return this;
         }
 
-        /** The settings as they stand. */
+        /** Returns the settings with the values set so far. */
         public ClassSettings build() {
             return new ClassSettings(
                     name, latencyObjectiveTicks, timeoutTicks, priorityWeight, staysInZone);
--- a/src/main/java/rockshift/settings/InvalidSettingException.java
+++ b/src/main/java/rockshift/settings/InvalidSettingException.java
@@ -1,16 +1,16 @@
 package rockshift.settings;
 
-/** A setting whose value cannot be used. */
+/** Thrown if a setting is missing or has an invalid value. */
 public class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
     private final String field;
     private final String reason;
 
     /**
-     * An error of one setting.
+     * Creates an exception for one setting.
      *
      * @param field name of the setting
-     * @param reason what is wrong with its value, in words that follow the name
+     * @param reason what is wrong with its value, worded to follow the name
      */
     public InvalidSettingException(String field, String reason) {
         super(field + ": " + reason);
@@ -18,12 +18,12 @@
         this.reason = reason;
     }
 
-    /** Name of the setting. */
+    /** Returns the name of the setting. */
     public final String field() {
         return field;
     }
 
-    /** What is wrong with the value, in words that follow the field's name. */
+    /** Returns what is wrong with the value, worded to follow the name of the setting. */
     public final String reason() {
         return reason;
     }
--- a/src/main/java/rockshift/settings/PlannerSettings.java
+++ b/src/main/java/rockshift/settings/PlannerSettings.java
@@ -6,38 +6,42 @@
 import java.util.Set;
 
 /**
- * Settings of a deployment as the planner and its hosts read them: immutable, checked when built.
- * Names carry the unit; a tick is 100 microseconds. {@link Builder} holds the defaults.
+ * Settings of a deployment for the planner and its hosts. Immutable; validated on construction.
+ * Names state the unit; a tick is 100 microseconds. {@link Builder} holds the defaults.
  *
- * @param zones names of the zones; a proxy's zone is found among them
+ * @param zones names of the zones; each proxy is in one of them
  * @param classes request classes, in the order of their numbers
- * @param sharded whether keys are split over shards that have tables of their own; the planner
- *     publishes none then
- * @param controllerCount controllers of the deployment
- * @param expectedProxies proxies of the deployment, over all controllers
- * @param channelEntriesPerSecond table entries a second that a controller's channel to its proxies
- *     carries
- * @param channelQueueLimitEntries table entries that may wait in that channel
- * @param messageOverheadEntries table entries that a message takes beside its own
- * @param messageQuota messages that a proxy may be sent in a window; 0 for any number
+ * @param sharded whether keys are split over shards with tables of their own; the planner publishes
+ *     no tables in that case
+ * @param controllerCount number of controllers in the deployment
+ * @param expectedProxies number of proxies in the deployment, over all controllers
+ * @param channelEntriesPerSecond table entries per second that a controller's channel to its
+ *     proxies carries
+ * @param channelQueueLimitEntries table entries that may be queued in that channel
+ * @param messageOverheadEntries overhead of a message, in table entries, in addition to the entries
+ *     it carries
+ * @param messageQuota messages that a proxy may be sent in one window; 0 for no limit
  * @param messageQuotaWindowTicks length of that window
- * @param transitTicks mean time from the channel to a proxy
- * @param longestTransitTicks longest time from the channel to a proxy
- * @param reportPeriodTicks time between two reports of a proxy; 0 where it is not known
- * @param defaultRetryMode how proxies retry where no mode is set: 0 for never, 1 after proof that
- *     the attempt did not run, above after any failure
- * @param admissionMode what admission levels mean to proxies
+ * @param transitTicks mean time that a message takes from the channel to a proxy
+ * @param longestTransitTicks longest time that a message takes from the channel to a proxy
+ * @param reportPeriodTicks time between two reports of a proxy; 0 if unknown
+ * @param defaultRetryMode how proxies retry if no mode is set: 0 for never, 1 only after proof that
+ *     the attempt did not run, higher values after any failure
+ * @param admissionMode how proxies interpret admission levels
  * @param idleCloseTicks time after which a proxy closes an idle connection
  * @param drainGraceTicks time that proxies have to stop using a draining replica
- * @param initialSlowStartFraction least fraction of its capacity that a replica has as it starts
- * @param slowStartTicks time after its start by which a replica has its full capacity
- * @param coldOverloadMultiple multiple of its present capacity above which a starting replica fails
- * @param worstClassWeight weight of the class with the worst result in the deployment's goal
+ * @param initialSlowStartFraction minimum fraction of its capacity that a replica has when it
+ *     starts
+ * @param slowStartTicks time after its start at which a replica has its full capacity
+ * @param coldOverloadMultiple load above which a starting replica fails, as a multiple of its
+ *     current capacity
+ * @param worstClassWeight weight that the deployment's goal gives to the class with the worst
+ *     result
  * @param zoneCrossingPrice price of sending an attempt to another zone, as a fraction of the goal
  * @param commandPrice price of a fully used command channel, as a fraction of the goal
- * @param loadMetricNames names of the load values that replicas report
- * @param subscribesToDiscovery whether discovery only tells of changes after a subscription
- * @param turnSpacingTicks least time between the starts of two turns of a controller's event loop
+ * @param loadMetricNames names of the load metrics that replicas report
+ * @param subscribesToDiscovery whether discovery sends changes only after a subscription
+ * @param turnSpacingTicks minimum time between the starts of two turns of a controller's event loop
  */
 public record PlannerSettings(
         List<String> zones,
@@ -66,14 +70,16 @@
         Set<String> loadMetricNames,
         boolean subscribesToDiscovery,
         long turnSpacingTicks) {
-    /** Refuses a class name that cannot be used, and numbers that are negative or not a number. */
+    /**
+     * Rejects invalid class names, an empty list of zones, and numbers that are negative or NaN.
+     */
     public PlannerSettings {
         zones = List.copyOf(zones);
         classes = List.copyOf(classes);
         loadMetricNames = Set.copyOf(loadMetricNames);
         ClassNames.of(classes);
         if (zones.isEmpty()) {
-            throw new InvalidSettingException("zones", "names no zone");
+            throw new InvalidSettingException("zones", "must name at least one zone");
         }
         requireNotNegative("controllerCount", controllerCount);
         requireNotNegative("expectedProxies", expectedProxies);
@@ -97,17 +103,17 @@
         requireNotNegative("turnSpacingTicks", turnSpacingTicks);
     }
 
-    /** Starts from the defaults. */
+    /** Returns a builder with the defaults. */
     public static Builder newBuilder() {
         return new Builder();
     }
 
-    /** The names of the classes. */
+    /** Returns the names of the classes. */
     public ClassNames classNames() {
         return ClassNames.of(classes);
     }
 
-    /** These settings with some values replaced. */
+    /** Returns these settings with the values of the overrides in their place. */
     public PlannerSettings withOverrides(SettingOverrides overrides) {
         Builder builder = toBuilder();
         overrides.zoneCrossingPrice().ifPresent(builder::zoneCrossingPrice);
@@ -146,7 +152,7 @@
                 .turnSpacingTicks(turnSpacingTicks);
     }
 
-    /** Collects the settings of a deployment, each with its default. */
+    /** Builder of {@link PlannerSettings}. Every setting has a default. */
     public static final class Builder {
         private List<String> zones = List.of("");
         private List<ClassSettings> classes = List.of();
@@ -271,7 +277,7 @@
             return this;
         }
 
-        /** Sets {@link PlannerSettings#drainGraceTicks}; by default without end. */
+        /** Sets {@link PlannerSettings#drainGraceTicks}; by default infinite. */
         public Builder drainGraceTicks(double value) {
             drainGraceTicks = value;
             return this;
@@ -331,7 +337,7 @@
             return this;
         }
 
-        /** The settings as they stand. */
+        /** Returns the settings with the values set so far. */
         public PlannerSettings build() {
             return new PlannerSettings(
                     zones,
--- a/src/main/java/rockshift/settings/SettingOverrides.java
+++ b/src/main/java/rockshift/settings/SettingOverrides.java
@@ -3,8 +3,8 @@
 import java.util.OptionalDouble;
 
 /**
- * Values that controllers agreed on while running. Each replaces the configured value for as long
- * as it stands; one that is empty leaves the configured value in force.
+ * Settings that the controllers agreed on at run time. Each replaces the configured value for as
+ * long as it is agreed; an empty one leaves the configured value in force.
  *
  * @param zoneCrossingPrice replaces {@link PlannerSettings#zoneCrossingPrice}
  * @param commandPrice replaces {@link PlannerSettings#commandPrice}
@@ -14,7 +14,7 @@
         OptionalDouble zoneCrossingPrice,
         OptionalDouble commandPrice,
         OptionalDouble worstClassWeight) {
-    /** Leaves everything as configured. */
+    /** No overrides: all settings are as configured. */
     public static final SettingOverrides NONE =
             new SettingOverrides(
                     OptionalDouble.empty(), OptionalDouble.empty(), OptionalDouble.empty());
--- a/src/main/java/rockshift/settings/SettingsParser.java
+++ b/src/main/java/rockshift/settings/SettingsParser.java
@@ -18,9 +18,9 @@
 import rockshift.model.Ticks;
 
 /**
- * Builds {@link PlannerSettings} from the names and units that the simulator's wire and the
- * configuration file share. Those names are known to this class alone. Paths that it does not know
- * are passed over, as deployments add new ones.
+ * Builds {@link PlannerSettings} from the names and units that the simulator protocol and the
+ * configuration file share. Only this class knows those names. Unknown paths are ignored, because
+ * deployments add new ones.
  */
 public final class SettingsParser {
     /** Path of {@link PlannerSettings#channelQueueLimitEntries}. */
@@ -87,19 +87,18 @@
 
     private final PlannerSettings.Builder settings = PlannerSettings.newBuilder();
     private final TreeMap<Integer, ClassSettings.Builder> classes = new TreeMap<>();
-    private final Set<String> given = new HashSet<>();
-    private List<String> staysInZone = List.of();
+    private final Set<String> givenPaths = new HashSet<>();
+    private List<String> staysInZoneByClass = List.of();
     private int classCount;
 
-    /** The path of a class's name. */
+    /** Returns the path of the name of a class. */
     public static String classNamePath(int number) {
         return "classes." + number + ".name";
     }
 
     /**
-     * Overrides by the names that the agreed log and the commands use; others are passed over.
-     *
-     * @throws InvalidSettingException for a value that cannot be used
+     * Returns the overrides among values keyed by the names that the agreed log and the commands
+     * use. Other names are ignored.
      */
     public static SettingOverrides overrides(Map<String, Double> agreed) {
         return new SettingOverrides(
@@ -109,26 +108,25 @@
     }
 
     /**
-     * Takes one plain value, or a list of plain values with commas between them, under its path,
-     * such as classes.0.name.
+     * Sets the value of a path such as classes.0.name: a scalar, or scalars separated by commas.
      *
-     * @throws InvalidSettingException for a value that cannot be read
+     * @throws InvalidSettingException if the value cannot be parsed
      */
     public void put(String path, String text) {
         Value value = new Value(path, text);
-        Matcher ofClass = CLASS_SETTING.matcher(path);
-        boolean absent = text.isEmpty() && !value.isTime() && !ofClass.matches();
+        Matcher classMatcher = CLASS_SETTING.matcher(path);
+        boolean absent = text.isEmpty() && !value.isTime() && !classMatcher.matches();
         if (!absent || path.equals(ZONES)) {
-            given.add(path);
+            givenPaths.add(path);
         }
         if (absent) {
             return;
-        } else if (ofClass.matches()) {
-            putClassSetting(Integer.parseInt(ofClass.group(1)), ofClass.group(2), value);
+        } else if (classMatcher.matches()) {
+            putClassSetting(Integer.parseInt(classMatcher.group(1)), classMatcher.group(2), value);
         } else if (path.equals(CLASS_COUNT)) {
             classCount = value.count();
         } else if (path.equals(CLASSES_IN_ZONE)) {
-            staysInZone = value.list();
+            staysInZoneByClass = value.list();
         } else if (SETTERS.containsKey(path)) {
             SETTERS.get(path).accept(settings, value);
         }
@@ -145,9 +143,9 @@
     }
 
     /**
-     * Checks that all was given which has no default in a deployment with sockets.
+     * Checks that all settings are present that have no default in a deployment with sockets.
      *
-     * @throws InvalidSettingException for the first that is missing
+     * @throws InvalidSettingException for the first missing setting
      */
     public void requireDeployment() {
         require("zones", ZONES);
@@ -156,15 +154,15 @@
     }
 
     private void require(String field, String path) {
-        if (!given.contains(path)) {
+        if (!givenPaths.contains(path)) {
             throw new InvalidSettingException(field, "is missing");
         }
     }
 
     /**
-     * The settings from all that was put in; the rest has its defaults.
+     * Returns the settings. Those that have not been put have their defaults.
      *
-     * @throws InvalidSettingException for the first that cannot be used
+     * @throws InvalidSettingException for the first missing or invalid setting
      */
     public PlannerSettings build() {
         return settings.classes(IntStream.range(0, classCount).mapToObj(this::build).toList())
@@ -174,7 +172,8 @@
     private ClassSettings build(int number) {
         require(ClassNames.field(number), classNamePath(number));
         boolean stays =
-                number < staysInZone.size() && Boolean.parseBoolean(staysInZone.get(number));
+                number < staysInZoneByClass.size()
+                        && Boolean.parseBoolean(staysInZoneByClass.get(number));
         return classes.get(number).staysInZone(stays).build();
     }
 
@@ -210,7 +209,7 @@
         return entry(path, (builder, value) -> setter.accept(builder, value.list()));
     }
 
-    /** One value as text, with the path that errors name. */
+    /** One value as text, with its path for error messages. */
     private record Value(String path, String text) {
         boolean isTime() {
             return path.endsWith(MICROS_SUFFIX);
@@ -221,10 +220,10 @@
         }
 
         double number() {
-            return parse("a number from 0");
+            return parse("must be a number >= 0");
         }
 
-        /** A number without what is behind its point. */
+        /** Returns the number with its fraction cut off. */
         int integer() {
             return (int) number();
         }
@@ -233,13 +232,13 @@
             try {
                 return Integer.parseUnsignedInt(text);
             } catch (NumberFormatException malformed) {
-                throw invalid("a whole number from 0");
+                throw invalid("must be a whole number >= 0");
             }
         }
 
-        /** A time in microseconds, rounded down to whole ticks. */
+        /** Returns a time that is given in microseconds, rounded down to whole ticks. */
         long ticks() {
-            return (long) (parse("a time in microseconds") / Ticks.MICROS_PER_TICK);
+            return (long) (parse("must be a time >= 0 in microseconds") / Ticks.MICROS_PER_TICK);
         }
 
         private double parse(String expected) {
@@ -255,7 +254,7 @@
         }
 
         private InvalidSettingException invalid(String expected) {
-            return new InvalidSettingException(path, expected + ", not '" + text + "'");
+            return new InvalidSettingException(path, expected + ", got '" + text + "'");
         }
     }
 }
--- a/src/main/java/rockshift/settings/package-info.java
+++ b/src/main/java/rockshift/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings as the planner reads them. The names that configuration files and the simulator use are
- * mapped here and nowhere else.
+ * Settings of the planner. Only this package maps the names that configuration files and the
+ * simulator use.
  */
 package rockshift.settings;
