--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -6,13 +6,13 @@
 import rockshift.simulation.SimulatorAdapter;
 
 /**
- * Starts the program that the first word names. The controller and the simulator adapter start
- * without loading anything that only commands need.
+ * Starts the program named by the first argument. The controller and the simulator adapter start
+ * without loading classes that only the commands need.
  */
 public final class Main {
     private Main() {}
 
-    /** Starts the program that the first word names, and ends with its status. */
+    /** Runs the program named by the first argument and exits with its status. */
     public static void main(String[] arguments) throws IOException, InterruptedException {
         String command = arguments.length == 1 ? arguments[0] : "";
         if (command.equals("serve")) {
--- a/src/main/java/rockshift/simulation/SimulatorUnits.java
+++ b/src/main/java/rockshift/simulation/SimulatorUnits.java
@@ -2,7 +2,7 @@
 
 import rockshift.model.Ticks;
 
-/** Converts between the microseconds of the simulator's wire and the planner's ticks. */
+/** Converts between the microseconds of the simulator protocol and the planner's ticks. */
 final class SimulatorUnits {
     private SimulatorUnits() {}
 
--- a/src/main/java/rockshift/simulation/package-info.java
+++ b/src/main/java/rockshift/simulation/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The adapter between the planner and the simulator's wire: one process hosts many planners and
- * answers batches of events from standard input on standard output, on one thread. Begin with
- * {@link rockshift.simulation.SimulatorAdapter}; {@code SimulatorEventReader} and {@code
- * SimulatorReply} alone know the words of the wire.
+ * The adapter between the planner and the simulator protocol. One process hosts many planners: on
+ * one thread, it reads batches of events from standard input and writes a reply to each to standard
+ * output. Start with {@link rockshift.simulation.SimulatorAdapter}. Only {@code
+ * SimulatorEventReader} and {@code SimulatorReply} know the protocol's names of events and actions.
  */
 package rockshift.simulation;
