--- a/src/main/java/rockshift/server/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/server/AgreedChangesReceiver.java
@@ -7,14 +7,14 @@
 import rockshift.settings.SettingOverrides;
 
 /**
- * Hands the changes that controllers agree on to this one's planner, through the event loop's queue
- * like all other input. It also keeps the current list of replicas, which is needed before a change
- * can be proposed. Any thread may call it.
+ * Passes the changes that controllers agree on to this controller's planner, through the event
+ * loop's queue like all other input. It also keeps the current list of replicas, which is needed
+ * before a change can be proposed. Thread-safe.
  */
 public final class AgreedChangesReceiver {
     private final EventLoop loop;
 
-    /** By name, guarded by this object's lock. */
+    /** Replicas by name. Guarded by this object's lock. */
     private final Map<String, Endpoint> endpoints = new HashMap<>();
 
     AgreedChangesReceiver(EventLoop loop) {
@@ -36,22 +36,27 @@
         }
     }
 
-    /** A copy of the list of replicas by name, without those that are gone. */
+    /** Returns a copy of the current replicas by name, without those that are gone. */
     public synchronized Map<String, Endpoint> endpoints() {
         return new HashMap<>(endpoints);
     }
 
     /**
-     * Applies what is agreed as of a version.
+     * Applies the agreed changes as of a version.
      *
-     * @param drains by replica name, the latest start that is drained, in ticks of 100 us
+     * @param drains the latest start time of a replica that is drained, in ticks of 100 us, by
+     *     replica name
      */
     public void applyAgreed(long version, Map<String, Long> drains, SettingOverrides overrides) {
         applyAgreed(version, drains, overrides, () -> {});
     }
 
     /**
-     * The same, and runs a task on the event loop's thread once the planner goes by the changes.
+     * Applies the agreed changes as of a version.
+     *
+     * @param drains the latest start time of a replica that is drained, in ticks of 100 us, by
+     *     replica name
+     * @param onApplied run on the event loop's thread once the planner has applied the changes
      */
     public void applyAgreed(
             long version,
--- a/src/main/java/rockshift/server/AgreedChangesSource.java
+++ b/src/main/java/rockshift/server/AgreedChangesSource.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 
 /**
- * What runs beside a controller and tells it of agreed changes: a member of the cluster that agrees
- * on them, or a subscriber of one.
+ * The source of agreed changes in a controller's process: a member of the cluster that agrees on
+ * them, or a subscriber of one.
  */
 public interface AgreedChangesSource {
-    /** Called before the controller serves; a failure keeps it from serving. */
+    /** Called before the controller serves. If it throws, the controller does not start. */
     void begin(AgreedChangesReceiver receiver) throws IOException, InterruptedException;
 
-    /** Called as the process is told to end. */
+    /** Called when the process is told to end. */
     void end() throws InterruptedException;
 }
--- a/src/main/java/rockshift/server/CloseReason.java
+++ b/src/main/java/rockshift/server/CloseReason.java
@@ -1,8 +1,8 @@
 package rockshift.server;
 
 /**
- * Why a connection was closed, or why a message of an identified peer was dropped. The label is
- * what the log says; docs/on-call.md has what to do about each.
+ * The reason why a connection was closed, or why a message of an identified peer was dropped. The
+ * log shows the label; docs/on-call.md says what to do about each.
  */
 enum CloseReason {
     PEER_CLOSED("peer-closed"),
@@ -16,8 +16,8 @@
     REPLACED("replaced"),
     SEND_BUFFER_FULL("send-buffer-full"),
     /**
-     * Either of two bounds: the planner's queue is full and this peer has used its quota of it, or
-     * the partial messages of all peers take too much memory and this peer holds one.
+     * One of two limits is reached: the planner's queue is full and this peer has used its quota of
+     * it, or the partial messages of all peers take too much memory and this peer has one.
      */
     OVERLOAD("overload"),
     CONNECTION_LIMIT("connection-limit"),
--- a/src/main/java/rockshift/server/CollectorHello.java
+++ b/src/main/java/rockshift/server/CollectorHello.java
@@ -4,8 +4,7 @@
 record CollectorHello(String zone) {
     static CollectorHello decode(RespCodec message, PeerIdentity sender, MessageValidator validator)
             throws InvalidMessageException {
-        validator.requireExpected(
-                !sender.isIdentified(), "a collector that has identified itself before");
+        validator.requireExpected(!sender.isIdentified(), "second identification, as a collector");
         return new CollectorHello(validator.zone(message));
     }
 }
--- a/src/main/java/rockshift/server/ConnectionCloseLog.java
+++ b/src/main/java/rockshift/server/ConnectionCloseLog.java
@@ -8,24 +8,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs why connections closed and messages were dropped. Identified peers have a line each; of
- * unidentified connections only a bounded number a second has, and the rest is counted by reason in
- * the line that comes before the next one: thousands may come a second, and their lines would fill
- * the log. Used by the reactor's thread alone.
+ * Logs why connections were closed and messages dropped. Each identified peer gets a line. Lines
+ * for unidentified connections are limited per second, because thousands may connect per second and
+ * would fill the log; the others are counted by reason in a line that precedes the next one. Used
+ * only by the reactor's thread.
  */
 final class ConnectionCloseLog {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionCloseLog.class);
 
     private static final int MAX_UNIDENTIFIED_LINES_PER_SECOND = 50;
 
-    /** Characters that are logged of what a peer has sent. */
+    /** Maximum length of text from a peer in the log. */
     private static final int MAX_DETAIL_CHARACTERS = 100;
 
     private long secondStartedNanos = System.nanoTime();
     private int linesThisSecond;
     private final Map<String, Integer> suppressedByReason = new TreeMap<>();
 
-    /** A detail as it may stand in the log: short, on one line, without control characters. */
+    /**
+     * Returns a detail in a form that is safe to log: truncated, on one line, without control
+     * characters.
+     */
     static String printable(String detail) {
         return detail.substring(0, Math.min(MAX_DETAIL_CHARACTERS, detail.length()))
                 .replaceAll("\\p{Cntrl}", "?");
@@ -65,7 +68,9 @@
         if (System.nanoTime() - secondStartedNanos > TimeUnit.SECONDS.toNanos(1)) {
             if (!suppressedByReason.isEmpty()) {
                 LOG.warn(
-                        "closed unidentified connections, not logged each: {}", suppressedByReason);
+                        "closed unidentified connections, not logged individually:"
+                                + " countByReason={}",
+                        suppressedByReason);
             }
             suppressedByReason.clear();
             secondStartedNanos = System.nanoTime();
--- a/src/main/java/rockshift/server/ControllerConfiguration.java
+++ b/src/main/java/rockshift/server/ControllerConfiguration.java
@@ -11,12 +11,13 @@
 import rockshift.settings.SettingsParser;
 
 /**
- * A controller's configuration file, read by {@link ControllerConfigurationReader}. Immutable.
+ * The contents of a controller's configuration file, read by {@link ControllerConfigurationReader}.
+ * Immutable.
  *
- * @param listen where proxies and collectors connect
- * @param seed for random numbers
- * @param descriptors how many file descriptors the process may hold
- * @param known the list of replicas as this controller last had it; it may be old
+ * @param listen address at which proxies and collectors connect
+ * @param seed seed of the random numbers
+ * @param descriptors number of file descriptors that the process may hold
+ * @param known the last list of replicas that this controller had; it may be outdated
  */
 record ControllerConfiguration(
         String name,
@@ -26,12 +27,15 @@
         int descriptors,
         EndpointList known,
         PlannerSettings settings) {
-    /** What one drain notice takes at least beside its message's overhead: itself and its mark. */
+    /**
+     * Minimum entries of a drain notice in addition to its message's overhead: the notice and the
+     * serial number.
+     */
     private static final int MIN_DRAIN_ENTRIES = 2;
 
     /**
-     * Warnings where the channel could not carry one drain to all proxies, if all came to this
-     * controller.
+     * Returns a warning for each limit of the channel that is too low to send one drain to all
+     * proxies if all of them were connected to this controller.
      */
     List<String> channelWarnings() {
         double proxies = settings.expectedProxies();
@@ -68,7 +72,10 @@
         return warnings;
     }
 
-    /** The fields in which another configuration differs and that take a restart to change. */
+    /**
+     * Returns the names of the fields that differ in another configuration and need a restart to
+     * change.
+     */
     String restartFields(ControllerConfiguration other) {
         return Stream.of(
                         name.equals(other.name) ? "" : "name",
--- a/src/main/java/rockshift/server/ControllerConfigurationReader.java
+++ b/src/main/java/rockshift/server/ControllerConfigurationReader.java
@@ -16,11 +16,11 @@
 import rockshift.settings.SettingsParser;
 
 /**
- * Reads a controller's file, whose form is the platform's. Fields that it does not know are
- * skipped; one that is missing or cannot be used is named.
+ * Reads a controller's configuration file, in the format that the platform defines. Unknown fields
+ * are skipped; the error for a missing or invalid field names it.
  */
 final class ControllerConfigurationReader {
-    /** Descriptors where the file names none: the usual limit of a process. */
+    /** Default if the file has none: the usual limit of a process. */
     private static final int DEFAULT_DESCRIPTORS = 1024;
 
     private static final int HEXADECIMAL = 16;
@@ -34,7 +34,7 @@
     private EndpointList known;
     private final SettingsParser settings = new SettingsParser();
 
-    /** Where each setting stands in the file, by its path. */
+    /** Location of each setting in the file, by its path. */
     private final Map<String, JsonLocation> locations = new HashMap<>();
 
     /** The top-level field that is being read. */
@@ -46,7 +46,8 @@
 
     static ControllerConfiguration read(String file) throws InvalidConfigurationException {
         if (file == null || file.isEmpty()) {
-            throw new InvalidConfigurationException("RELAY_CONFIG names no file");
+            throw new InvalidConfigurationException(
+                    "RELAY_CONFIG must name the configuration file, but is not set or empty");
         }
         return new ControllerConfigurationReader(file).read();
     }
@@ -54,7 +55,8 @@
     private ControllerConfiguration read() throws InvalidConfigurationException {
         try (JsonParser json = new JsonFactory().createParser(new File(file))) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidConfigurationException(file + ": no JSON object");
+                throw new InvalidConfigurationException(
+                        file + ": must be a JSON object, got " + json.currentToken());
             }
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 field = json.currentName();
@@ -99,7 +101,10 @@
         }
     }
 
-    /** The settings; an error names the field, and the place of a class name that is no use. */
+    /**
+     * Builds the settings. An error names the field and, for an invalid class name, its line and
+     * column.
+     */
     private PlannerSettings buildSettings() throws InvalidConfigurationException {
         try {
             settings.requireDeployment();
@@ -121,7 +126,8 @@
     private static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
-            throw new IllegalArgumentException("an address with a port, not '" + text + "'");
+            throw new IllegalArgumentException(
+                    "must be an address with a port, got '" + text + "'");
         }
         int port = Integer.parseInt(text.substring(colon + 1));
         return new InetSocketAddress(text.substring(0, colon), port);
@@ -129,7 +135,7 @@
 
     private void readLimits(JsonParser json) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
-            throw new IllegalArgumentException("no JSON object");
+            throw new IllegalArgumentException("must be a JSON object, got " + json.currentToken());
         }
         while (json.nextToken() != JsonToken.END_OBJECT) {
             boolean isSockets = json.currentName().equals("sockets");
@@ -142,8 +148,8 @@
     }
 
     /**
-     * Reads nested settings as paths: plain lists joined by commas, lists of objects numbered and
-     * counted.
+     * Reads nested settings as paths. A list of scalars becomes one value joined by commas; a list
+     * of objects becomes numbered paths and a count.
      */
     private void readSettings(String path, JsonParser json) throws IOException {
         if (json.currentToken() == JsonToken.START_OBJECT) {
--- a/src/main/java/rockshift/server/ControllerProcess.java
+++ b/src/main/java/rockshift/server/ControllerProcess.java
@@ -9,21 +9,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller as a process: reads the file that the environment names, serves until a signal ends
- * it, and reloads the file on SIGHUP.
+ * Runs a controller as a process: reads the configuration file that the environment names, serves
+ * until a signal ends the process, and reloads the file on SIGHUP.
  */
 public final class ControllerProcess {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerProcess.class);
 
-    /** The exit status where the file cannot be used. */
+    /** Exit status if the configuration file is invalid. */
     private static final int INVALID_USAGE = 2;
 
-    /** The exit status of all else that keeps the process from serving. */
+    /** Exit status of any other failure to serve. */
     private static final int FAILED = 1;
 
     /**
-     * How often a file is checked of which no signal can tell: the grace of a drain is longer, and
-     * a check costs nothing.
+     * Interval of checks for a changed file if SIGHUP is ignored. It is shorter than the grace of a
+     * drain, and a check costs next to nothing.
      */
     private static final long FILE_CHECK_INTERVAL_MS = 1_000;
 
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Serves until the process is told to end. The calling thread waits meanwhile.
+     * Serves until the process is told to end. Blocks the calling thread meanwhile.
      *
-     * @param source what tells of agreed changes, or null
-     * @return an exit status, where the controller cannot begin or go on
+     * @param source source of agreed changes, or null
+     * @return the exit status if the controller cannot start or cannot continue
      */
     public static int run(
             Map<String, String> environment, ProcessSignals signals, AgreedChangesSource source)
@@ -80,13 +80,15 @@
     }
 
     /**
-     * Reloads the file whenever it is another than before. A Java process cannot hear of SIGHUP
-     * where whoever started it has the signal ignored.
+     * Reloads the file whenever it has changed. A Java process cannot receive SIGHUP if its parent
+     * process started it with the signal ignored.
      */
-    private void pollFile(String versionRead) throws InterruptedException {
+    private void pollFile(String initialVersion) throws InterruptedException {
         LOG.warn(
-                "SIGHUP is ignored by the parent process, checking the file each second: {}", file);
-        String lastVersion = versionRead;
+                "SIGHUP is ignored by the parent process, checking the file for changes every"
+                        + " second: file={}",
+                file);
+        String lastVersion = initialVersion;
         while (server.isRunning()) {
             String version = fileVersion(file);
             if (!version.equals(lastVersion)) {
@@ -97,7 +99,10 @@
         }
     }
 
-    /** Which file it is and when it was written, or why that cannot be told. */
+    /**
+     * Returns a text that differs once the file is replaced or written: its key, time and size, or
+     * the error if they cannot be read.
+     */
     private static String fileVersion(String file) {
         try {
             BasicFileAttributes attributes =
--- a/src/main/java/rockshift/server/ControllerServer.java
+++ b/src/main/java/rockshift/server/ControllerServer.java
@@ -5,9 +5,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller on sockets, put together from its parts: the event loop, discovery's watch, and the
- * listener with its connections. The one place that starts and stops their threads. Any thread may
- * reload or close it.
+ * A controller on sockets: the event loop, the watch of discovery, and the listener with its
+ * connections. Only this class starts and stops their threads. Any thread may call {@link #reload}
+ * and {@link #close}.
  */
 final class ControllerServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
@@ -19,17 +19,17 @@
     private final ProxyConnections connections;
     private final ProxyListener listener;
 
-    /** What tells of agreed changes, or null. */
+    /** Source of agreed changes, or null. */
     private final AgreedChangesSource source;
 
     private final AgreedChangesReceiver receiver;
 
-    /** Held while a file is read, so that the file written last is the one that counts. */
+    /** Held while a file is read, so that the last written file takes effect. */
     private final Object reloadLock = new Object();
 
     private int port;
 
-    /** Guarded by this object's lock: once set, nothing is started any more. */
+    /** Guarded by this object's lock. Once it is set, nothing is started any more. */
     private boolean closed;
 
     ControllerServer(ControllerConfiguration configuration) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Says at the start which limits would not hold if all proxies connected here. */
+    /** Logs at the start which limits are too low for all proxies to connect here. */
     private void logLimits() {
         if (connections.peersBeyondLimit() > 0) {
             LOG.warn(
@@ -100,20 +100,20 @@
         return configuration.name();
     }
 
-    /** Whether the event loop still runs. */
+    /** Returns whether the event loop is still running. */
     boolean isRunning() {
         return loopThread.isAlive();
     }
 
-    /** Waits until the event loop has ended, or for a time in ms; 0 waits for ever. */
+    /** Waits until the event loop has ended, at most for a timeout in ms; 0 waits without limit. */
     void awaitEnd(long timeoutMillis) throws InterruptedException {
         loopThread.join(timeoutMillis);
     }
 
     /**
-     * Reads the configuration again and takes over what may change while serving, which is where
-     * discovery is. The log names what differs and needs a restart. A file that cannot be used
-     * changes nothing. No connection notices any of it.
+     * Reads the configuration again and applies the only field that may change while serving, the
+     * address of discovery. The log names changed fields that need a restart. An invalid file
+     * changes nothing. Connections are not affected.
      */
     void reload(String file) {
         // Not under this object's lock: a file that is slow to read must not hold up close().
@@ -143,9 +143,9 @@
     }
 
     /**
-     * Ends all parts, and waits for none but, for a short grace, the sockets. The event loop comes
-     * first: it would take connections that are closed here for proxies that left, and tell the
-     * others so.
+     * Stops all parts, without waiting for any except, for a short grace, the sockets. The event
+     * loop is stopped first: otherwise it would treat connections that are closed here as proxies
+     * that left, and would tell the other proxies.
      */
     @Override
     public void close() throws InterruptedException {
--- a/src/main/java/rockshift/server/DiscoveryHttpClient.java
+++ b/src/main/java/rockshift/server/DiscoveryHttpClient.java
@@ -28,17 +28,17 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * The HTTP transport to discovery: one connection that is kept between calls, with a bound on the
- * time and the size of an answer. Used by one thread; its library's thread is started by the first
- * call and stopped by {@link #close}, after which a call starts another.
+ * HTTP client for discovery. It keeps one connection between calls and limits the time and the size
+ * of an answer. Used by one thread. The first call starts the HTTP library's thread and {@link
+ * #close} stops it; a later call starts a new one.
  */
 final class DiscoveryHttpClient implements AutoCloseable {
-    /** Bytes of the longest answer: tens of thousands of replicas, and an eighth of the heap. */
+    /** Fits tens of thousands of replicas, and is an eighth of the heap. */
     private static final int MAX_ANSWER_BYTES = 8 << 20;
 
     private static final int STATUS_OK = 200;
 
-    /** When the library gives up a connection by itself, in ms; longer than any call. */
+    /** Timeout after which the library itself drops a connection; longer than any call. */
     private final int abandonTimeoutMillis;
 
     private HttpAsyncRequester requester;
@@ -67,12 +67,14 @@
                         null);
         Message<HttpResponse, byte[]> answer = call.get(answerTimeoutMillis, TimeUnit.MILLISECONDS);
         if (answer.getHead().getCode() != STATUS_OK || answer.getBody() == null) {
-            throw new IOException("status " + answer.getHead().getCode());
+            throw new IOException(
+                    "expected HTTP status 200 with a body, got status "
+                            + answer.getHead().getCode());
         }
         return answer.getBody();
     }
 
-    /** Ends the connection and with it the call in hand; the next call opens another. */
+    /** Closes the connection, which ends a pending call. The next call opens another. */
     void disconnect() {
         if (endpoint != null) {
             endpoint.releaseAndDiscard();
@@ -103,8 +105,8 @@
     }
 
     /**
-     * Opens a connection. The library's own timeout also holds for later reads, and so has to leave
-     * room for a watch; the limit here is kept by the future.
+     * Opens a connection. The library's own timeout also applies to later reads, so it must leave
+     * time for a watch; the future enforces the timeout given here.
      */
     private AsyncClientEndpoint connect(HttpHost host, int timeoutMillis)
             throws ExecutionException, TimeoutException, InterruptedException {
@@ -123,8 +125,9 @@
     }
 
     /**
-     * Completes a future with the connection. One that comes up after the future was given up is
-     * ended: the library would count it as in use for good, and has room for few.
+     * Completes a future with the connection. A connection that is established after the future was
+     * cancelled is closed: otherwise the library would count it as in use forever, and it allows
+     * only a few.
      */
     private record ConnectCallback(CompletableFuture<AsyncClientEndpoint> connecting)
             implements FutureCallback<AsyncClientEndpoint> {
@@ -147,8 +150,8 @@
     }
 
     /**
-     * Keeps the library from loading its TLS classes, a fifth of all that a start loads: discovery
-     * speaks plain HTTP.
+     * Keeps the library from loading its TLS classes, which are a fifth of all classes loaded at
+     * start. Discovery uses plain HTTP.
      */
     private static final class NoTls implements TlsStrategy {
         @Override
@@ -163,7 +166,7 @@
         }
     }
 
-    /** Collects an answer's body up to the longest that is accepted. */
+    /** Collects the body of an answer up to the maximum size. */
     private static final class BoundedBody extends AbstractBinAsyncEntityConsumer<byte[]> {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
@@ -180,7 +183,8 @@
         @Override
         protected void data(ByteBuffer received, boolean last) throws IOException {
             if (bytes.size() + received.remaining() > MAX_ANSWER_BYTES) {
-                throw new IOException("an answer of over " + MAX_ANSWER_BYTES + " bytes");
+                throw new IOException(
+                        "discovery answer too long: over " + MAX_ANSWER_BYTES + " bytes");
             }
             byte[] chunk = new byte[received.remaining()];
             received.get(chunk);
--- a/src/main/java/rockshift/server/DiscoveryWatch.java
+++ b/src/main/java/rockshift/server/DiscoveryWatch.java
@@ -10,38 +10,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches discovery's list of replicas: asks for the whole list once, then in one call after
- * another for what is newer than the version held. Whatever discovery does, the list that is held
- * is kept, and no call takes longer than the limits here.
+ * Watches discovery's list of replicas: requests the whole list once, then repeatedly the changes
+ * since the version held. Whatever discovery does, the list held is kept, and no call takes longer
+ * than the limits below.
  *
- * <p>It owns a thread, which alone makes the calls. {@link #follow} and {@link #close} may be
- * called by any other.
+ * <p>It owns the thread that makes the calls. Any other thread may call {@link #follow} and {@link
+ * #close}.
  */
 final class DiscoveryWatch implements Runnable, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
 
     /**
-     * How long a watch may be held. One that fell silent shows it only afterwards, and the grace of
-     * replicas that drain meanwhile runs: this is a third of the usual grace.
+     * How long discovery may hold a watch. A silent connection is detected only after that time,
+     * during which the grace of draining replicas runs; this is a third of the usual grace.
      */
     private static final int WATCH_MS = 1_000;
 
     /**
-     * How long a connection or an answer may be late: the agent is on this machine and answers at
-     * once. It doubles with each loss, which a busy core may have caused, up to what the protocol
-     * leaves.
+     * Initial timeout of connecting, and of an answer beyond the time that it is held. The agent is
+     * on this machine and answers at once. The timeout doubles with each failure, since a busy core
+     * may be the cause, up to the maximum that the protocol allows.
      */
     private static final int MIN_TIMEOUT_MS = 500;
 
     private static final int MAX_TIMEOUT_MS = 2_000;
 
-    /** How long the transport keeps what was given up: longer than any call. */
+    /** Timeout after which the HTTP library drops an abandoned connection; longer than any call. */
     private static final int ABANDON_TIMEOUT_MS = WATCH_MS + 2 * MAX_TIMEOUT_MS;
 
-    /** The pause after a failed call: shorter than the 200 ms that a watch outlives. */
+    /**
+     * Pause after a failed call: shorter than the 200 ms within which the next call must arrive for
+     * the watch to continue.
+     */
     private static final int RETRY_PAUSE_MS = 100;
 
-    /** In place of a version: no list is held, and the whole of it is asked for. */
+    /** Stands for no version: no list is held, and the whole list is requested. */
     private static final long NO_VERSION = -1;
 
     private final Thread thread = new Thread(this, "discovery-watch");
@@ -49,15 +52,15 @@
     private final DiscoveryHttpClient http;
 
     /**
-     * Publishes to the thread which address to watch. Interrupts only hurry the thread and may be
-     * lost in code that it calls, so that it reads this after each call.
+     * The address to watch, published to the watch's thread. The thread reads it after each call,
+     * because an interrupt only speeds it up and may be swallowed by code that it calls.
      */
     private volatile HttpHost target;
 
-    /** Publishes to the thread that it is to end. */
+    /** Tells the watch's thread to end. */
     private volatile boolean closed;
 
-    // Used by the watch's thread alone.
+    // Used only by the watch's thread.
     private HttpHost host;
     private long version = NO_VERSION;
     private int timeoutMillis = MIN_TIMEOUT_MS;
@@ -69,7 +72,7 @@
         this.http = http;
     }
 
-    /** A transport with the limits that a watch needs. */
+    /** Returns an HTTP client with the timeout that a watch needs. */
     static DiscoveryHttpClient newHttpClient() {
         return new DiscoveryHttpClient(ABANDON_TIMEOUT_MS);
     }
@@ -82,7 +85,7 @@
         thread.start();
     }
 
-    /** Watches another address; the call in hand is dropped, and the list held is kept. */
+    /** Watches another address. The pending call is dropped, and the list held is kept. */
     void follow(InetSocketAddress discovery) {
         HttpHost next = host(discovery);
         if (!next.equals(target)) {
@@ -114,15 +117,16 @@
             while (!closed && host.equals(target)) {
                 update();
             }
-        } catch (InterruptedException hurried) {
-            // The fields that follow() and close() publish say what for; if neither does, the
-            // address is asked anew. The interrupt ends at this thread's own loop.
+        } catch (InterruptedException interrupted) {
+            // The fields set by follow() and close() tell the reason. Without either, the same
+            // address is watched anew. The interrupt is not propagated beyond this thread's own
+            // loop.
         } finally {
             http.disconnect();
         }
     }
 
-    /** Makes one call and hands its list on; after a failure, pauses. */
+    /** Makes one call and submits its list to the event loop. Pauses after a failure. */
     private void update() throws InterruptedException {
         try {
             EndpointList list = EndpointListReader.read(call());
@@ -132,7 +136,7 @@
             lastCause = "";
             timeoutMillis = MIN_TIMEOUT_MS;
         } catch (IOException | ExecutionException | TimeoutException | RuntimeException failure) {
-            // The transport fails with a RuntimeException where a connection ends under a call.
+            // The HTTP library throws a RuntimeException if a connection ends during a call.
             logFailure(failure instanceof ExecutionException ? failure.getCause() : failure);
             http.disconnect();
             timeoutMillis = Math.min(MAX_TIMEOUT_MS, 2 * timeoutMillis);
@@ -147,22 +151,25 @@
     }
 
     /**
-     * Refuses a list that cannot be added to the one held: an older one, or changes where no list
-     * is held. The whole list is asked for then and taken whatever its version, since discovery may
-     * have begun anew.
+     * Rejects a list that cannot follow the one held: an older version, or changes if no list is
+     * held. The whole list is requested next and accepted with any version, since discovery may
+     * have restarted.
      */
     private void requireSuccessor(EndpointList list) throws IOException {
         if (version == NO_VERSION && !list.whole()) {
-            throw new IOException("changes in place of the whole list");
+            throw new IOException("expected the whole list, got changes only");
         }
         if (version != NO_VERSION && list.version() < version) {
             long held = version;
             version = NO_VERSION;
-            throw new IOException("version " + list.version() + " is older than " + held);
+            throw new IOException("expected version " + held + " or newer, got " + list.version());
         }
     }
 
-    /** One line for each cause, not for each retry; none for a call dropped on purpose. */
+    /**
+     * Logs a failure once per cause, not per retry; a call that was dropped on purpose is not
+     * logged.
+     */
     private void logFailure(Throwable failure) {
         if (closed || !host.equals(target)) {
             return;
--- a/src/main/java/rockshift/server/EndpointList.java
+++ b/src/main/java/rockshift/server/EndpointList.java
@@ -5,10 +5,10 @@
 import rockshift.model.Endpoint;
 
 /**
- * Discovery's list of replicas as it was received.
+ * A list of replicas as received from discovery.
  *
- * @param version discovery's number of this state of the list
- * @param whole whether these are all replicas, or those that changed since an older version
- * @param names the replicas' names in discovery by their ids
+ * @param version discovery's version number of the list
+ * @param whole whether the entries are all replicas, or only those changed since an older version
+ * @param names names of the replicas in discovery, by replica id
  */
 record EndpointList(long version, boolean whole, List<Endpoint> entries, Map<Long, String> names) {}
--- a/src/main/java/rockshift/server/EndpointListReader.java
+++ b/src/main/java/rockshift/server/EndpointListReader.java
@@ -12,7 +12,7 @@
 import rockshift.model.Endpoint;
 import rockshift.model.Ticks;
 
-/** Reads discovery's JSON form of a list of replicas; fields that it does not know are skipped. */
+/** Reads a list of replicas in discovery's JSON format. Unknown fields are skipped. */
 final class EndpointListReader {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -24,7 +24,7 @@
         this.json = json;
     }
 
-    /** Reads an answer of discovery. */
+    /** Reads a list from an answer of discovery. */
     static EndpointList read(byte[] text) throws IOException {
         try (JsonParser json = JSON.createParser(text)) {
             json.nextToken();
@@ -56,7 +56,8 @@
             }
         }
         if (version == null || whole == null || !hasEntries) {
-            throw new JsonParseException(json, "a list without generation, reset or instances");
+            throw new JsonParseException(
+                    json, "list must have the fields generation, reset and instances");
         }
         return new EndpointList(version, whole, entries, names);
     }
@@ -90,7 +91,7 @@
         }
         if (name == null || zone == null || health == null) {
             throw new JsonParseException(
-                    json, "an entry without instanceId, zone or a known lifecycle");
+                    json, "entry must have the fields instanceId, zone and a known lifecycle");
         }
         long id = ReplicaIds.idOf(name);
         ReplicaIds.putName(names, id, name);
@@ -105,7 +106,7 @@
     private void expect(JsonToken token) throws IOException {
         if (json.currentToken() != token) {
             throw new JsonParseException(
-                    json, "expected " + token + ", found " + json.currentToken());
+                    json, "expected " + token + ", got " + json.currentToken());
         }
     }
 }
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -13,41 +13,41 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * The thread that owns the planner, and the queue through which everything else reaches it. A turn
- * applies the queued events, asks the planner for decisions until there are none, and sends what
- * they ordered.
+ * Runs the planner on one thread, with the queue through which all other threads reach it. A turn
+ * applies the queued events, lets the planner decide until it has nothing left to decide, and sends
+ * the resulting messages.
  *
- * <p>{@link #offer}, {@link #submit}, {@link #now} and {@link #close} may be called by any thread;
- * all else belongs to the thread that runs the loop. The loop waits for no socket, and no failure
- * of one event ends it.
+ * <p>Any thread may call {@link #offer}, {@link #submit}, {@link #now} and {@link #close};
+ * everything else belongs to the thread that runs the loop. The loop never waits for a socket, and
+ * the failure of an event does not end it.
  */
 final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     /**
-     * Queued events, of some 100 bytes each, from which on the connection of a peer that has many
-     * of them is closed. What comes in during a long pause of the process does not reach this.
+     * Queue length, in events of some 100 bytes each, from which on the connection of a peer with
+     * too many queued events is closed. The events that arrive during a long pause of the process
+     * stay below it.
      */
     static final int QUEUE_CAPACITY = 20_000;
 
     /**
-     * Events that each peer may have in a full queue; those of all peers together stay under a
-     * third of the heap.
+     * Number of events that each peer may have in a full queue. Those of all peers together take
+     * less than a third of the heap.
      */
     private static final int PER_PEER_QUEUE_QUOTA = 200;
 
-    /** How long the thread waits at most for an event. */
+    /** Maximum time that the thread waits for an event. */
     private static final long MAX_WAIT_TICKS = Ticks.TICKS_PER_SECOND;
 
     /**
      * An event in the queue.
      *
-     * @param pending the counter of its peer's queued events, or null for events that are not a
-     *     peer's
+     * @param pending counter of the queued events of the peer that sent it, or null if no peer did
      */
     private record QueuedEvent(PlannerEvent event, AtomicInteger pending) {}
 
-    /** Bounded by {@link #offer}; what {@link #submit} adds is bounded by its callers. */
+    /** Bounded by {@link #offer}; the callers of {@link #submit} bound what they add. */
     private final LinkedBlockingQueue<QueuedEvent> queue = new LinkedBlockingQueue<>();
 
     private final long startedTicks = System.currentTimeMillis() * Ticks.TICKS_PER_MILLI;
@@ -55,16 +55,16 @@
     private final Planner planner;
     private final PublishedTables tables;
 
-    /** The least time between the starts of two turns. */
+    /** Minimum time between the starts of two turns. */
     private final long turnSpacingTicks;
 
     private final List<QueuedEvent> inputs = new ArrayList<>();
     private long wakeAtTicks = Long.MAX_VALUE;
 
-    /** Publishes the listener to the threads that bring lists of replicas. */
+    /** Volatile because other threads submit lists of replicas. */
     private volatile Consumer<EndpointList> endpointListener = list -> {};
 
-    /** Publishes to the loop's thread that no further turn may begin. */
+    /** Tells the loop's thread not to begin another turn. */
     private volatile boolean closed;
 
     EventLoop(long seed, PlannerSettings settings) {
@@ -73,22 +73,26 @@
         turnSpacingTicks = settings.turnSpacingTicks();
     }
 
-    /** The planner's clock, in ticks: monotonic, and Unix time as the process starts. */
+    /**
+     * Returns the planner's clock in ticks: Unix time when the loop is created, monotonic from then
+     * on.
+     */
     long now() {
         return startedTicks + (System.nanoTime() - startedNanos) / Ticks.NANOS_PER_TICK;
     }
 
-    /** Sets who else is handed each list of replicas, on the thread that brings it. */
+    /** Sets a listener that also receives each list of replicas, on the thread that submits it. */
     void setEndpointListener(Consumer<EndpointList> listener) {
         endpointListener = listener;
     }
 
     /**
-     * Queues a peer's event. The bound guards against one peer that floods the controller while the
-     * planner stands still: its connection alone is closed, with {@code reason=overload}.
+     * Queues an event of a peer. The quota protects against a peer that floods the controller while
+     * the planner is stalled: only the connection of that peer is closed, with {@code
+     * reason=overload}.
      *
-     * @param pending the peer's count of events that are queued, kept by this loop
-     * @return false where the queue is full and the peer has used its quota
+     * @param pending counter of the peer's queued events, updated by this loop
+     * @return false if the queue is full and the peer has used its quota
      */
     boolean offer(AtomicInteger pending, PlannerEvent event) {
         if (queue.size() >= QUEUE_CAPACITY && pending.get() >= PER_PEER_QUEUE_QUOTA) {
@@ -98,20 +102,23 @@
         return queue.add(new QueuedEvent(event, pending));
     }
 
-    /** Queues an event that is never refused: its kind comes seldom, or once a connection. */
+    /**
+     * Queues an event that is never refused, because events of its kind are rare or come once per
+     * connection.
+     */
     void submit(PlannerEvent event) {
         queue.add(new QueuedEvent(event, null));
     }
 
-    /** Queues a list of replicas, after handing it to the listener. */
+    /** Passes a list of replicas to the listener, then queues it. */
     void submitEndpoints(EndpointList list) {
         endpointListener.accept(list);
         submit(new PlannerEvent.EndpointsListed(list));
     }
 
     /**
-     * Lets the turn in hand be the last. A thread that waits is not woken; interrupt it to have it
-     * end at once.
+     * Makes the current turn the last one. A waiting thread is not woken; interrupt it to end it at
+     * once.
      */
     void close() {
         closed = true;
@@ -141,9 +148,9 @@
     }
 
     /**
-     * Applies what is queued, decides and sends.
+     * Applies the queued events, lets the planner decide and sends the messages.
      *
-     * @return when the turn began, in ticks
+     * @return the start of the turn, in ticks
      */
     long turn() {
         queue.drainTo(inputs);
--- a/src/main/java/rockshift/server/InvalidConfigurationException.java
+++ b/src/main/java/rockshift/server/InvalidConfigurationException.java
@@ -1,6 +1,9 @@
 package rockshift.server;
 
-/** A controller's file that cannot be used; the message names the file, and the field if known. */
+/**
+ * Thrown if a controller's configuration file is invalid. The message names the file, and the field
+ * if it is known.
+ */
 final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rockshift/server/InvalidMessageException.java
+++ b/src/main/java/rockshift/server/InvalidMessageException.java
@@ -1,8 +1,8 @@
 package rockshift.server;
 
 /**
- * A message that is well formed and cannot be used; the next one on the connection may be good. It
- * carries no stack trace, since a faulty peer may cause very many.
+ * Thrown for a well-formed message with invalid content; the next message on the connection may be
+ * valid. It has no stack trace, because a faulty peer may cause very many.
  */
 public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/rockshift/server/JoinedProxy.java
+++ b/src/main/java/rockshift/server/JoinedProxy.java
@@ -9,18 +9,18 @@
 import rockshift.model.ClassSet;
 
 /**
- * What a proxy has been sent on its current channel: the tables that it is bound to, and which
- * replicas it may not send to. Used by the event loop's thread.
+ * The state that a proxy has been sent on its current channel: the tables that it is bound to, and
+ * the replicas that it may not send to. Used only by the event loop's thread.
  */
 final class JoinedProxy {
     private final ProxyChannel channel;
 
-    /** By table, the classes that the proxy uses it for. */
+    /** The classes that the proxy uses a table for, by table. */
     private final TreeMap<Integer, ClassSet> boundTables = new TreeMap<>();
 
     private final Set<Integer> boundThisTurn = new TreeSet<>();
 
-    /** By replica, whether the last word to the proxy was to exclude it. */
+    /** Whether the last announcement of a replica to the proxy excluded it, by replica id. */
     private final Map<Long, Boolean> announcedExclusions = new HashMap<>();
 
     private final Set<Long> excludedThisTurn = new TreeSet<>();
@@ -47,7 +47,9 @@
         return boundThisTurn.contains(table);
     }
 
-    /** The proxy's tables, with the classes that they are bound for; not to be changed. */
+    /**
+     * Returns an unmodifiable view of the proxy's tables and the classes that they are bound for.
+     */
     Map<Integer, ClassSet> boundTables() {
         return Collections.unmodifiableMap(boundTables);
     }
@@ -60,17 +62,18 @@
         return readmittedThisTurn;
     }
 
-    /** Whether this turn has something for this proxy beside changes of its tables. */
-    boolean hasNews() {
+    /** Returns whether this turn has anything for this proxy besides changes of its tables. */
+    boolean hasProxySpecificChanges() {
         return !boundThisTurn.isEmpty()
                 || !excludedThisTurn.isEmpty()
                 || !readmittedThisTurn.isEmpty();
     }
 
     /**
-     * Announces whether the proxy may send to a replica, unless this channel has said so before.
+     * Announces whether the proxy may send to a replica, unless the last announcement on this
+     * channel was the same.
      *
-     * @return whether this turn's message grows by that
+     * @return whether this adds an entry to this turn's message
      */
     boolean announceExclusion(long replica, boolean excluded) {
         Boolean before = announcedExclusions.put(replica, excluded);
--- a/src/main/java/rockshift/server/LoadReport.java
+++ b/src/main/java/rockshift/server/LoadReport.java
@@ -1,11 +1,11 @@
 package rockshift.server;
 
 /**
- * What the proxies of a zone observed at one replica during a window, passed on by the zone's
+ * Observations of one replica by the proxies of a zone during a window, sent by the zone's
  * collector.
  *
- * @param meanResponseTicks mean time of the attempts that did not fail, in ticks of 100 us
- * @param utilization the replica's own report of its load, or null where there is none
+ * @param meanResponseTicks mean response time of the attempts that did not fail, in ticks of 100 us
+ * @param utilization utilization that the replica itself reported, or null if it reported none
  */
 record LoadReport(
         String zone,
@@ -17,7 +17,8 @@
         Double utilization) {
     static LoadReport decode(RespCodec message, PeerIdentity sender, MessageValidator validator)
             throws InvalidMessageException {
-        validator.requireExpected(sender.isCollector(), "a load report that is not a collector's");
+        validator.requireExpected(
+                sender.isCollector(), "load report from a peer that is not a collector");
         boolean ofOwnZone = message.text(RespCodec.ZONE).equals(sender.zone());
         validator.requireField(message, ofOwnZone, RespCodec.ZONE);
         int attempts = validator.count(message);
--- a/src/main/java/rockshift/server/MalformedStreamException.java
+++ b/src/main/java/rockshift/server/MalformedStreamException.java
@@ -1,8 +1,8 @@
 package rockshift.server;
 
 /**
- * Bytes that are no RESP2 message. Where the next message begins is unknown, so the connection
- * cannot be used any further.
+ * Thrown for bytes that are not a RESP2 message. The start of the next message is unknown, so the
+ * connection cannot be used any further.
  */
 public final class MalformedStreamException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/rockshift/server/MessageValidator.java
+++ b/src/main/java/rockshift/server/MessageValidator.java
@@ -6,22 +6,20 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * The checks that the message types share: that a field names a zone, proxy or class of this
- * deployment, and that a figure is one that a peer can have measured. Immutable, so that any thread
- * may use it.
+ * Checks shared by the message types: that a field names a zone, proxy or class of this deployment,
+ * and that a number is one that a peer can have measured. Immutable and thread-safe.
  */
 final class MessageValidator {
     /**
-     * The longest window or mean time of a report; what waits behind a broken stream is shorter.
+     * Maximum window or mean time of a report. Reports that were held back by a broken stream stay
+     * below it.
      */
     private static final int MAX_REPORTED_MILLIS = 600_000;
 
-    /** The highest rate of a report: more than all proxies of a zone could bring. */
+    /** Maximum rate in a report: more than all proxies of a zone could cause. */
     private static final int MAX_ARRIVALS_PER_MILLI = 1_000;
 
-    /**
-     * The highest utilization of a replica: noise in its measurement brings it a little above 1.
-     */
+    /** Maximum utilization of a replica. Measurement noise can bring it slightly above 1. */
     private static final int MAX_UTILIZATION = 2;
 
     private final Set<String> zones;
@@ -36,24 +34,24 @@
         requiresUtilization = settings.loadMetricNames().contains(RespCodec.UTILIZATION);
     }
 
-    /** How many peers the deployment has: each proxy and one collector a zone. */
+    /** Returns the number of peers in the deployment: all proxies, and one collector per zone. */
     int peerCount() {
         return proxyCount + zones.size();
     }
 
-    /** Refuses a message that this sender may not send, or not now. */
+    /** Rejects a message that this sender may not send, or not in its current state. */
     void requireExpected(boolean expected, String detail) throws InvalidMessageException {
         if (!expected) {
             throw new InvalidMessageException(CloseReason.UNEXPECTED, detail);
         }
     }
 
-    /** Refuses a message one field of which has a value that cannot be. */
+    /** Rejects a message if the value of a field is not valid. */
     void requireField(RespCodec message, boolean valid, String field)
             throws InvalidMessageException {
         if (!valid) {
             throw new InvalidMessageException(
-                    CloseReason.BAD_FIELD, field + " '" + message.text(field) + "'");
+                    CloseReason.BAD_FIELD, "invalid " + field + " '" + message.text(field) + "'");
         }
     }
 
@@ -75,7 +73,7 @@
         return name;
     }
 
-    /** The count of a report: no more than its window can hold. */
+    /** Returns the count of a report, which is limited by the length of its window. */
     int count(RespCodec message) throws InvalidMessageException {
         int count = message.wholeNumber(RespCodec.COUNT);
         double windowMillis = message.number(RespCodec.WINDOW);
@@ -83,7 +81,7 @@
         return count;
     }
 
-    /** A duration in ticks of 100 us; the wire has it in milliseconds. */
+    /** Returns a duration in ticks of 100 us, from a field in milliseconds. */
     long durationTicks(RespCodec message, String field) throws InvalidMessageException {
         double millis = message.number(field);
         requireField(message, millis <= MAX_REPORTED_MILLIS, field);
@@ -91,8 +89,8 @@
     }
 
     /**
-     * A replica's utilization, or null where the message has no load report. A load report without
-     * it is refused in deployments whose load reports have it.
+     * Returns a replica's utilization, or null if the message has none. In a deployment whose load
+     * reports include the utilization, a load report without it is rejected.
      */
     Double utilization(RespCodec message) throws InvalidMessageException {
         Double utilization = message.pairedNumber(RespCodec.LOAD, RespCodec.UTILIZATION);
--- a/src/main/java/rockshift/server/PartialMessageBudget.java
+++ b/src/main/java/rockshift/server/PartialMessageBudget.java
@@ -1,9 +1,9 @@
 package rockshift.server;
 
 /**
- * The memory that the partial messages of all connections may take together. Without it, some
- * connections that each hold an unfinished message of a mebibyte would exhaust the heap. Used by
- * the reactor's thread alone.
+ * Limit on the memory of the partial messages of all connections together. Without it, a number of
+ * connections that each hold an unfinished message of one mebibyte would exhaust the heap. Used
+ * only by the reactor's thread.
  */
 final class PartialMessageBudget {
     /** A third of the heap. */
--- a/src/main/java/rockshift/server/PeerIdentity.java
+++ b/src/main/java/rockshift/server/PeerIdentity.java
@@ -1,12 +1,12 @@
 package rockshift.server;
 
 /**
- * Who is at the other end of a connection: a proxy, the collector of a zone, or a peer that has not
- * identified itself yet.
+ * The identity of the peer of a connection: a proxy, the collector of a zone, or a peer that has
+ * not identified itself yet.
  *
- * @param label the name in the log, unique among identified peers
- * @param zone the zone of a collector, or null
- * @param proxyNumber the number of a proxy, or -1
+ * @param label name in the log, unique among identified peers
+ * @param zone zone of a collector, or null
+ * @param proxyNumber number of a proxy, or -1
  */
 record PeerIdentity(String label, String zone, int proxyNumber) {
     private static final int NO_PROXY = -1;
--- a/src/main/java/rockshift/server/PlannerEvent.java
+++ b/src/main/java/rockshift/server/PlannerEvent.java
@@ -6,14 +6,14 @@
 import rockshift.settings.SettingOverrides;
 
 /**
- * One input of the planner. Socket threads create events and queue them on the {@link EventLoop};
+ * An input of the planner. Socket threads create events and queue them on the {@link EventLoop};
  * its thread applies them in the order of the queue.
  */
 sealed interface PlannerEvent {
-    /** Hands the input to the planner. Called once, by the event loop's thread. */
+    /** Passes the input to the planner. Called once, on the event loop's thread. */
     void apply(long nowTicks, Planner planner, PublishedTables tables);
 
-    /** A proxy has joined on a connection, which takes the place of its previous one. */
+    /** A proxy has joined on a connection, which replaces its previous one. */
     record ProxyJoined(ProxyJoin join, ProxyChannel channel) implements PlannerEvent {
         @Override
         public void apply(long nowTicks, Planner planner, PublishedTables tables) {
@@ -24,8 +24,8 @@
     }
 
     /**
-     * A proxy's connection has ended. Where the proxy has joined on another one meanwhile, it is
-     * still there and nothing changes.
+     * A proxy's connection has ended. Ignored if the proxy has joined on another connection
+     * meanwhile.
      */
     record ProxyLeft(int proxyNumber, ProxyChannel channel) implements PlannerEvent {
         @Override
@@ -37,17 +37,22 @@
         }
     }
 
-    /** A proxy has applied its messages; only its current connection's word counts. */
-    record Acknowledged(Applied applied, ProxyChannel channel) implements PlannerEvent {
+    /**
+     * A proxy has applied its messages. Ignored unless it comes from the proxy's current
+     * connection.
+     */
+    record Acknowledged(ProxyAcknowledgement acknowledgement, ProxyChannel channel)
+            implements PlannerEvent {
         @Override
         public void apply(long nowTicks, Planner planner, PublishedTables tables) {
-            if (tables.isCurrent(applied.proxyNumber(), channel)) {
-                planner.proxyAcknowledged(nowTicks, applied.proxyNumber(), applied.serial());
+            if (tables.isCurrent(acknowledgement.proxyNumber(), channel)) {
+                planner.proxyAcknowledged(
+                        nowTicks, acknowledgement.proxyNumber(), acknowledgement.serial());
             }
         }
     }
 
-    /** A collector has passed on what proxies observed at a replica. */
+    /** A collector has sent what proxies observed at a replica. */
     record LoadReported(LoadReport report) implements PlannerEvent {
         @Override
         public void apply(long nowTicks, Planner planner, PublishedTables tables) {
@@ -63,7 +68,7 @@
         }
     }
 
-    /** A proxy has counted its requests. */
+    /** The requests of a proxy have been reported. */
     record UsageReported(UsageReport report) implements PlannerEvent {
         @Override
         public void apply(long nowTicks, Planner planner, PublishedTables tables) {
@@ -76,7 +81,7 @@
         }
     }
 
-    /** Discovery's list of replicas has come, whole or what changed of it. */
+    /** A list of replicas has come from discovery: the whole list or its changes. */
     record EndpointsListed(EndpointList list) implements PlannerEvent {
         @Override
         public void apply(long nowTicks, Planner planner, PublishedTables tables) {
@@ -86,10 +91,10 @@
     }
 
     /**
-     * The operators' agreed changes, all that are in force.
+     * All agreed changes of the operators that are in force.
      *
-     * @param drains by replica id, the latest start (in ticks) that is drained
-     * @param onApplied run by the event loop's thread once the planner goes by the changes
+     * @param drains the latest start time of a replica that is drained, in ticks, by replica id
+     * @param onApplied run on the event loop's thread once the planner has applied the changes
      */
     record AgreedChanges(
             long version, Map<Long, Long> drains, SettingOverrides overrides, Runnable onApplied)
--- a/src/main/java/rockshift/server/ProcessSignals.java
+++ b/src/main/java/rockshift/server/ProcessSignals.java
@@ -4,36 +4,36 @@
 import sun.misc.SignalHandler;
 
 /**
- * The signals of a controller's process, from its first instruction on: SIGHUP reloads its file,
- * SIGTERM ends it with status 0. Until a listener is set, a reload is kept for it, and an end is
- * carried out at once.
+ * Handles the signals of a controller's process from its start: SIGHUP reloads its file, SIGTERM
+ * ends it with status 0. Before a listener is set, a reload is kept for it, and SIGTERM ends the
+ * process at once.
  *
- * <p>Any thread may call it; its lock guards its fields and is not held while the listener works.
- * It loads next to nothing, since a signal that comes before it is installed is left to the virtual
- * machine, which ends the process.
+ * <p>Thread-safe: its lock guards its fields and is not held while the listener runs. It loads very
+ * few classes, because a signal that arrives before it is installed goes to the virtual machine,
+ * which ends the process.
  */
 public final class ProcessSignals {
-    /** Carries out what a signal asks for, on the signal's own thread. */
+    /** Reacts to signals, on the thread of the signal. */
     public interface Listener {
-        /** SIGHUP: reads the file again. */
+        /** Reads the file again, on SIGHUP. */
         void reload();
 
-        /** SIGTERM: ends what serves, before the process ends. */
+        /** Stops serving, on SIGTERM, before the process ends. */
         void stop() throws InterruptedException;
     }
 
     private Listener listener;
     private boolean reloadPending;
 
-    /** Whether the program ends by itself, with a status of its own. */
+    /** Whether the program is exiting by itself, with its own status. */
     private boolean exiting;
 
-    /** Whether whoever started the process had SIGHUP ignored, which cannot be undone here. */
+    /** Whether the process was started with SIGHUP ignored, which cannot be undone here. */
     private boolean hangupIgnored;
 
     /**
-     * Installs the handlers. They are anonymous classes, since the first lambda costs a tenth of a
-     * start.
+     * Installs the handlers. They are anonymous classes, because the first lambda takes a tenth of
+     * the start time.
      */
     public static ProcessSignals install() {
         ProcessSignals signals = new ProcessSignals();
@@ -64,7 +64,7 @@
         return hangupIgnored;
     }
 
-    /** Sets who carries out signals; hands on a reload that was asked for before. */
+    /** Sets the listener, and passes it a reload that was requested before. */
     public void setListener(Listener newListener) {
         boolean reload;
         synchronized (this) {
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Ends what serves.
+     * Stops serving.
      *
-     * @return whether a signal is the reason, rather than the program's own end
+     * @return whether a signal ends the process, rather than the program itself
      */
     boolean stop() {
         Listener current;
@@ -108,13 +108,13 @@
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException failure) {
-            // The process ends whatever could not be ended in order.
+            // The process ends even if not everything could be stopped in order.
             failure.printStackTrace();
         }
         return true;
     }
 
-    /** Notes that the program ends by itself from now on, with a status of its own. */
+    /** Marks the program as exiting by itself, with its own status. */
     public synchronized void release() {
         exiting = true;
     }
--- a/src/main/java/rockshift/server/ProxyChannel.java
+++ b/src/main/java/rockshift/server/ProxyChannel.java
@@ -1,9 +1,9 @@
 package rockshift.server;
 
-/** Where the messages for one proxy go. */
+/** Sends messages to one proxy. */
 interface ProxyChannel {
     /**
-     * Sends an encoded message. Neither waits nor fails; what cannot be sent any more is dropped.
+     * Sends an encoded message. Neither blocks nor fails; a message that cannot be sent is dropped.
      */
     void send(byte[] message);
 }
--- a/src/main/java/rockshift/server/ProxyConnection.java
+++ b/src/main/java/rockshift/server/ProxyConnection.java
@@ -15,26 +15,29 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection: its bytes become messages, its messages become events of the planner, and what
- * the planner sends is written back. Nothing that a peer does costs more than its own connection.
+ * One connection of a peer. It decodes the received bytes to messages, passes these to the planner
+ * as events, and writes the planner's messages to the peer. Whatever a peer does, at most its own
+ * connection is closed.
  *
- * <p>The reactor's thread owns it. {@link #send} and, through it, the closing of the connection are
- * also called by the event loop's thread; the fields that these share are atomic or concurrent.
+ * <p>It belongs to the reactor's thread. The event loop's thread also calls {@link #send}, which
+ * may close the connection; the fields that both threads use are atomic or concurrent.
  */
 final class ProxyConnection implements IOEventHandler, ProxyChannel {
-    /** How long a peer may take to identify itself; the protocol has it done within 3 s. */
+    /** Time within which a peer must identify itself; the protocol allows 3 s. */
     static final int IDENTIFY_TIMEOUT_MS = 1_500;
 
     /**
-     * The same where connections run short: peers speak as they connect. It is also how often a
-     * silent connection is looked at.
+     * The same if connections are scarce, as peers send their first message when they connect. It
+     * is also the interval at which a silent connection is checked.
      */
     static final int CROWDED_IDENTIFY_TIMEOUT_MS = 300;
 
-    /** Bytes that may be unsent when a further message comes: the protocol's figure. */
+    /**
+     * Unsent bytes above which a further message closes the connection, as the protocol defines.
+     */
     private static final int MAX_UNSENT_BYTES = 128 << 10;
 
-    /** The same for answers to pings, of which a peer can cause as many as it likes. */
+    /** The same for answers to pings, of which a peer can cause any number. */
     private static final int MAX_UNSENT_PONG_BYTES = 2 << 10;
 
     private static final byte[] PONG = RespCodec.message(List.of(RespCodec.PONG));
@@ -49,10 +52,10 @@
     private final RespCodec codec = new RespCodec();
     private final SendBuffer sendBuffer = new SendBuffer();
 
-    /** Messages of this peer that the event loop has not taken in yet. */
+    /** Number of messages of this peer that are in the event loop's queue. */
     private final AtomicInteger pendingMessages = new AtomicInteger();
 
-    /** Set once, by whichever thread closes the connection first; null while it is open. */
+    /** Set once, by the first thread that closes the connection; null while it is open. */
     private final AtomicReference<Closure> closure = new AtomicReference<>();
 
     private PeerIdentity peer = PeerIdentity.UNIDENTIFIED;
@@ -74,7 +77,7 @@
     }
 
     @Override
-    public void connected(IOSession same) {
+    public void connected(IOSession sameSession) {
         session.setSocketTimeout(Timeout.ofMilliseconds(CROWDED_IDENTIFY_TIMEOUT_MS));
         if (!connections.admit(this)) {
             close(CloseReason.CONNECTION_LIMIT, "");
@@ -82,7 +85,7 @@
     }
 
     @Override
-    public void inputReady(IOSession same, ByteBuffer unused) throws IOException {
+    public void inputReady(IOSession sameSession, ByteBuffer unused) throws IOException {
         ByteBuffer chunk = connections.emptyReadChunk();
         if (session.read(chunk) < 0) {
             close(CloseReason.PEER_CLOSED, "");
@@ -100,24 +103,25 @@
         }
         closeIfIdentificationTimedOut();
         if (partialMessages.isExceeded() && codec.excessBytes() > 0) {
-            // The other bound that is labelled so is that of the planner's queue.
-            close(CloseReason.OVERLOAD, "too many partial messages");
+            // The planner's queue is the other limit that closes with this reason.
+            close(CloseReason.OVERLOAD, "partial messages of all peers exceed their memory limit");
         }
     }
 
     private void acceptMessages() throws MalformedStreamException {
         while (closure.get() == null && codec.next()) {
             if (!acceptMessage()) {
-                // The other bound that is labelled so is that of partial messages.
-                close(CloseReason.OVERLOAD, pendingMessages + " messages wait for the planner");
+                // Partial messages are the other limit that closes with this reason.
+                close(CloseReason.OVERLOAD, pendingMessages + " messages queued for the planner");
             }
         }
     }
 
     /**
-     * Takes in one message; false where too many of this peer wait already. An invalid message
-     * closes an unidentified connection. An identified peer loses that message alone, since those
-     * around it may be good.
+     * Accepts one message. An invalid message closes the connection of an unidentified peer. For an
+     * identified peer only that message is dropped, since the others may be valid.
+     *
+     * @return false if the queue is full and this peer has used its quota
      */
     private boolean acceptMessage() {
         try {
@@ -160,14 +164,14 @@
                     loop.offer(
                             pendingMessages,
                             new PlannerEvent.Acknowledged(
-                                    Applied.decode(codec, peer, validator), this));
+                                    ProxyAcknowledgement.decode(codec, peer, validator), this));
             default ->
                     throw new InvalidMessageException(
                             CloseReason.UNKNOWN_KIND, "'" + codec.kind() + "'");
         };
     }
 
-    /** Joins a proxy. Its previous connection is closed only once this one is accepted. */
+    /** Joins a proxy. Its previous connection is closed only after this one is accepted. */
     private boolean join(ProxyJoin join) {
         boolean accepted = loop.offer(pendingMessages, new PlannerEvent.ProxyJoined(join, this));
         if (accepted) {
@@ -183,13 +187,13 @@
     }
 
     @Override
-    public void timeout(IOSession same, Timeout limit) {
+    public void timeout(IOSession sameSession, Timeout limit) {
         closeIfIdentificationTimedOut();
     }
 
     /**
-     * The time to identify runs whatever the peer sends meanwhile, such as pings. An identified
-     * peer may be silent for any time.
+     * Closes the connection if the peer has not identified itself in time, whatever else it has
+     * sent, such as pings. An identified peer may be silent for any time.
      */
     private void closeIfIdentificationTimedOut() {
         if (!peer.isIdentified() && ageMillis() > IDENTIFY_TIMEOUT_MS) {
@@ -197,15 +201,16 @@
         }
     }
 
-    /** Called by the event loop's thread; the reactor's thread writes. */
+    /** Called by the event loop's thread. The reactor's thread writes. */
     @Override
     public void send(byte[] message) {
         send(message, MAX_UNSENT_BYTES);
     }
 
     /**
-     * Queues a message. A connection that closes meanwhile leaves nothing behind: whichever of the
-     * message's addition and the closure comes second, one of the two sees the other and clears.
+     * Queues a message. No message stays in the buffer if the connection is closed concurrently:
+     * whichever of adding the message and closing comes second sees the other and clears the
+     * buffer.
      */
     private void send(byte[] message, int limitBytes) {
         if (!sendBuffer.offer(message, limitBytes)) {
@@ -219,17 +224,17 @@
         try {
             session.setEvent(SelectionKey.OP_WRITE);
         } catch (CancelledKeyException closing) {
-            // The selector has let go of the connection and is about to report its end.
+            // The selector has cancelled the connection's key and is about to report its end.
             sendBuffer.clear();
         }
     }
 
     @Override
-    public void outputReady(IOSession same) throws IOException {
+    public void outputReady(IOSession sameSession) throws IOException {
         sendBuffer.writeTo(session);
     }
 
-    /** Closes the connection; only the first reason counts. */
+    /** Closes the connection. Only the first call has an effect. */
     void close(CloseReason reason, String detail) {
         Closure closing = new Closure(reason, ConnectionCloseLog.printable(detail));
         if (closure.compareAndSet(null, closing)) {
@@ -238,7 +243,7 @@
     }
 
     @Override
-    public void exception(IOSession same, Exception failure) {
+    public void exception(IOSession sameSession, Exception failure) {
         if (failure instanceof IOException) {
             close(CloseReason.RESET, String.valueOf(failure.getMessage()));
         } else {
@@ -248,7 +253,7 @@
     }
 
     @Override
-    public void disconnected(IOSession same) {
+    public void disconnected(IOSession sameSession) {
         closure.compareAndSet(null, new Closure(CloseReason.SHUTDOWN, ""));
         connections.remove(peer, this);
         connections.partialMessages().release(codec.excessBytes());
--- a/src/main/java/rockshift/server/ProxyConnections.java
+++ b/src/main/java/rockshift/server/ProxyConnections.java
@@ -8,16 +8,17 @@
 import rockshift.settings.PlannerSettings;
 
 /**
- * The open connections of proxies, collectors and unidentified peers: how many there may be, and
- * which one is a peer's newest. Used by the reactor's thread alone, but for what is immutable.
+ * The open connections of proxies, collectors and unidentified peers. It limits their number and
+ * tracks the newest one of each peer. Except for its immutable fields, used only by the reactor's
+ * thread.
  */
 final class ProxyConnections {
-    /** Bytes read from one connection before the others have their turn. */
+    /** Maximum bytes read from one connection before the others are served. */
     private static final int READ_CHUNK_BYTES = 1 << 16;
 
     /**
-     * Descriptors that no peer gets: 24 of the program's own, two calls of discovery, and
-     * connections that are being accepted or closed.
+     * Descriptors that are not available to peers: 24 for the program itself, two for calls to
+     * discovery, and the rest for connections that are being accepted or closed.
      */
     private static final int RESERVED_DESCRIPTORS = 48;
 
@@ -28,11 +29,11 @@
     private final PartialMessageBudget partialMessages = new PartialMessageBudget();
     private final ConnectionCloseLog closeLog = new ConnectionCloseLog();
 
-    /** In the order in which they were accepted. */
+    /** In the order of their acceptance. */
     private final LinkedHashSet<ProxyConnection> open = new LinkedHashSet<>();
 
     /** The newest connection of each identified peer, by the peer's label. */
-    private final Map<String, ProxyConnection> newest = new HashMap<>();
+    private final Map<String, ProxyConnection> newestByPeer = new HashMap<>();
 
     ProxyConnections(EventLoop loop, PlannerSettings settings, int descriptors) {
         this.loop = loop;
@@ -40,7 +41,7 @@
         maxConnections = Math.max(1, descriptors - RESERVED_DESCRIPTORS);
     }
 
-    /** The handler of a connection that the reactor has taken over. */
+    /** Returns the handler of a connection that the reactor has accepted. */
     ProxyConnection accept(IOSession session) {
         return new ProxyConnection(session, this, loop);
     }
@@ -49,7 +50,10 @@
         return maxConnections;
     }
 
-    /** How many of the deployment's peers could not be connected here all at once. */
+    /**
+     * Returns by how many the deployment's peers exceed the connections that are possible here at
+     * once.
+     */
     int peersBeyondLimit() {
         return Math.max(0, validator.peerCount() - maxConnections);
     }
@@ -66,14 +70,14 @@
         return closeLog;
     }
 
-    /** The buffer into which the connection that is being read reads; empty. */
+    /** Returns the shared read buffer, cleared, for the connection that is being read. */
     ByteBuffer emptyReadChunk() {
         return readChunk.clear();
     }
 
     /**
-     * Adds a connection if there is room or the oldest unidentified one can be closed to make room.
-     * That one is left the time to have its first message read.
+     * Adds a connection if the limit allows it or the oldest unidentified connection can be closed
+     * instead. The latter must have had time for its first message to be read.
      */
     boolean admit(ProxyConnection arriving) {
         if (open.size() >= maxConnections) {
@@ -93,11 +97,11 @@
     }
 
     /**
-     * Notes the connection of a peer that has identified itself, and closes the one it had before:
-     * nothing else ends the connection of a machine that vanished.
+     * Records the connection of a peer that has identified itself, and closes its previous one:
+     * nothing else closes the connection of a machine that vanished.
      */
     void identified(PeerIdentity peer, ProxyConnection connection) {
-        ProxyConnection before = newest.put(peer.label(), connection);
+        ProxyConnection before = newestByPeer.put(peer.label(), connection);
         if (before != null) {
             before.close(CloseReason.REPLACED, "");
         }
@@ -105,6 +109,6 @@
 
     void remove(PeerIdentity peer, ProxyConnection connection) {
         open.remove(connection);
-        newest.remove(peer.label(), connection);
+        newestByPeer.remove(peer.label(), connection);
     }
 }
--- a/src/main/java/rockshift/server/ProxyListener.java
+++ b/src/main/java/rockshift/server/ProxyListener.java
@@ -15,25 +15,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The controller's port: accepts connections and hands them to {@link ProxyConnections}. It owns
- * the reactor's two threads, one that accepts and one that reads and writes all connections.
+ * Listens on the controller's port and passes accepted connections to {@link ProxyConnections}. It
+ * owns the reactor's two threads, one that accepts and one that reads and writes all connections.
  */
 final class ProxyListener {
     private static final Logger LOG = LoggerFactory.getLogger(ProxyListener.class);
 
-    /** Connections that may wait to be accepted: all proxies connecting at once. */
+    /** Connections that may wait to be accepted, for all proxies connecting at once. */
     private static final int ACCEPT_BACKLOG = 1024;
 
-    /** How often the reactor looks for connections that are idle. */
+    /** Interval at which the reactor checks for idle connections. */
     private static final int IDLE_CHECK_INTERVAL_MS = 100;
 
-    /** Connections beyond the limit that may be on their way in, or closing to make room. */
+    /** Connections beyond the limit that may be being accepted, or being closed to make room. */
     private static final int MAX_CONNECTIONS_IN_TRANSIT = 16;
 
-    /** How long the accepting thread waits between checks for a free descriptor. */
+    /** Pause of the accepting thread between checks for a free descriptor. */
     private static final long ACCEPT_PAUSE_NANOS = 1_000_000;
 
-    /** How long all connections may take to close: a planned restart leaves 0.7 s. */
+    /** Time for all connections to close; a planned restart allows 0.7 s. */
     private static final int SHUTDOWN_GRACE_MS = 300;
 
     private final ProxyConnections connections;
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Begins to accept connections.
+     * Starts to accept connections.
      *
-     * @return the port, which is the system's choice where the address has port 0
+     * @return the port, which the system chooses if the address has port 0
      */
     int listen(InetSocketAddress address) throws IOException, InterruptedException {
         reactor.start();
@@ -79,20 +79,23 @@
     }
 
     /**
-     * Picks the reactor's one worker for an accepted connection. The accepting thread waits here
-     * while connections run short: it is faster than the worker closes, and it ends for good when
-     * an accept finds no free descriptor.
+     * Selects the reactor's only worker for an accepted connection. The accepting thread waits here
+     * while connections are scarce: it accepts faster than the worker closes, and it terminates for
+     * good if an accept finds no free descriptor.
      */
     private int selectWorker(IOWorkerStats[] workers) {
-        int most = connections.maxConnections() + MAX_CONNECTIONS_IN_TRANSIT;
+        int maxChannels = connections.maxConnections() + MAX_CONNECTIONS_IN_TRANSIT;
         while (reactor.getStatus() == IOReactorStatus.ACTIVE
-                && workers[0].totalChannelCount() + workers[0].pendingChannelCount() > most) {
+                && workers[0].totalChannelCount() + workers[0].pendingChannelCount()
+                        > maxChannels) {
             LockSupport.parkNanos(ACCEPT_PAUSE_NANOS);
         }
         return 0;
     }
 
-    /** Closes the port and all connections; waits for that no longer than the grace. */
+    /**
+     * Closes the port and all connections, and waits for that at most {@link #SHUTDOWN_GRACE_MS}.
+     */
     void close() throws InterruptedException {
         reactor.initiateShutdown();
         reactor.awaitShutdown(TimeValue.ofMilliseconds(SHUTDOWN_GRACE_MS));
--- a/src/main/java/rockshift/server/PublishedTable.java
+++ b/src/main/java/rockshift/server/PublishedTable.java
@@ -9,10 +9,9 @@
 import rockshift.model.ClassSet;
 
 /**
- * One routing table as it was published: its entries and admission levels, what the current turn
- * changed of them, and the parts of messages encoded for that. The parts are kept until the table
- * changes or the turn ends, as hundreds of proxies are sent the same ones. Used by the event loop's
- * thread.
+ * One routing table as published: its entries and admission levels, the current turn's changes to
+ * them, and the encoded message parts. The parts are cached until the table changes or the turn
+ * ends, because hundreds of proxies are sent the same parts. Used only by the event loop's thread.
  */
 final class PublishedTable {
     private final TreeMap<Long, Double> weights = new TreeMap<>();
@@ -20,7 +19,7 @@
     private final TreeMap<Long, Double> changedWeights = new TreeMap<>();
     private final LinkedHashMap<ClassSet, AdmissionLevel> changedLevels = new LinkedHashMap<>();
 
-    /** Encoded parts by the classes for which a proxy is bound to the table. */
+    /** Encoded parts, by the classes for which a proxy is bound to the table. */
     private final Map<ClassSet, List<UpdatePart>> wholeParts = new HashMap<>();
 
     private final Map<ClassSet, List<UpdatePart>> changeParts = new HashMap<>();
@@ -52,13 +51,13 @@
         changedLevels.put(level.classes(), level);
     }
 
-    /** The parts that tell a proxy of the whole table. */
+    /** Returns the parts that contain the whole table. */
     List<UpdatePart> wholeParts(ClassSet classes, UpdatePartEncoder encoder) {
         return wholeParts.computeIfAbsent(
                 classes, bound -> encoder.encode(bound, weights, levels.values(), true));
     }
 
-    /** The parts that tell a proxy which has the table what this turn changed. */
+    /** Returns the parts that contain this turn's changes, for a proxy that has the table. */
     List<UpdatePart> changeParts(ClassSet classes, UpdatePartEncoder encoder) {
         return changeParts.computeIfAbsent(
                 classes,
--- a/src/main/java/rockshift/server/PublishedTables.java
+++ b/src/main/java/rockshift/server/PublishedTables.java
@@ -17,15 +17,15 @@
 import rockshift.settings.ClassNames;
 
 /**
- * Carries out the planner's orders: keeps the state of all tables, levels, bindings and exclusions,
- * and sends each joined proxy what a turn changed for it, in one message a turn or as few as the
- * protocol allows. It adds no entry without the planner's knowledge, since the planner counts what
- * the channel carries. Used by the event loop's thread.
+ * Executes the planner's commands. It keeps the state of all tables, levels, bindings and
+ * exclusions, and sends each joined proxy the changes of a turn, in one message or as few as the
+ * protocol allows. It reports to the planner every entry that it adds, because the planner counts
+ * the entries that the channel carries. Used only by the event loop's thread.
  */
 final class PublishedTables implements ProxyCommands {
     private static final Logger LOG = LoggerFactory.getLogger(PublishedTables.class);
 
-    /** A replica in a log line of the planner, which knows replicas by number only. */
+    /** A replica in a log line of the planner, which only knows replicas by number. */
     private static final Pattern REPLICA_NUMBER = Pattern.compile("(?<=\\breplica=)\\d+");
 
     private final LongConsumer waker;
@@ -37,18 +37,20 @@
     private final Set<PublishedTable> changedThisTurn = new HashSet<>();
     private final Set<PublishedTable> sentWholeThisTurn = new HashSet<>();
 
-    /** The serial number to acknowledge this turn's messages with; 0 for none. */
+    /** The serial number by which proxies acknowledge this turn's messages; 0 for none. */
     private int serial;
 
     /**
-     * @param waker takes the delay, in ticks, after which the planner asks to be woken
+     * @param waker receives the delay, in ticks, after which the planner requests to be woken
      */
     PublishedTables(ClassNames classNames, LongConsumer waker) {
         this.waker = waker;
         encoder = new UpdatePartEncoder(classNames);
     }
 
-    /** Takes in the names of listed replicas, before the planner may order anything for them. */
+    /**
+     * Records the names of listed replicas. Called before the planner can issue commands for them.
+     */
     void endpointsListed(List<Endpoint> entries, boolean changes, Map<Long, String> names) {
         for (Endpoint entry : entries) {
             boolean knownBefore = !changes || encoder.knowsReplica(entry.replicaId());
@@ -62,7 +64,7 @@
         exclusions.agreedChangesReceived();
     }
 
-    /** A proxy has joined on a new channel; it brings along whatever tables it held. */
+    /** A proxy has joined on a new channel. It may still have any tables from before. */
     void proxyJoined(int proxy, ProxyChannel channel) {
         proxies.put(proxy, new JoinedProxy(channel));
     }
@@ -71,13 +73,13 @@
         proxies.remove(proxy);
     }
 
-    /** Whether this is the channel that a proxy joined on last. */
+    /** Returns whether this is the channel on which a proxy joined last. */
     boolean isCurrent(int proxy, ProxyChannel channel) {
         JoinedProxy joined = proxies.get(proxy);
         return joined != null && joined.channel() == channel;
     }
 
-    /** A table; empty where no order has named it before. */
+    /** Returns a table, which is empty if no command has named it before. */
     private PublishedTable table(int number) {
         return tables.computeIfAbsent(number, absent -> new PublishedTable());
     }
@@ -101,8 +103,9 @@
     }
 
     /**
-     * A proxy keeps off whatever any controller excluded before, and this one may not know of it:
-     * the message says so for each replica in its table that may ever have been excluded.
+     * A proxy keeps excluding replicas that any controller excluded before, which this controller
+     * may not know of. The message therefore states the exclusion of each replica in the table that
+     * may ever have been excluded.
      */
     @Override
     public int bindProxy(int table, int proxy, ClassSet classes) {
@@ -118,23 +121,26 @@
         return announced;
     }
 
-    /** Tells a proxy whether it may send to a replica, where it may believe the opposite. */
+    /**
+     * Announces to a proxy whether it may send to a replica, if its own state may be the opposite.
+     */
     private boolean announceExclusion(JoinedProxy proxy, long replica) {
         return exclusions.mayBeExcluded(replica)
                 && proxy.announceExclusion(replica, exclusions.isExcluded(replica));
     }
 
     @Override
-    public int notifyDraining(long replica, boolean out, int proxy) {
-        exclusions.setExcluded(replica, out);
+    public int notifyDraining(long replica, boolean draining, int proxy) {
+        exclusions.setExcluded(replica, draining);
         JoinedProxy joined = proxies.get(proxy);
-        boolean concerned = joined != null && (out || exclusions.wasSentExcluded(proxy, replica));
-        return concerned && joined.announceExclusion(replica, out) ? 1 : 0;
+        boolean mustAnnounce =
+                joined != null && (draining || exclusions.wasSentExcluded(proxy, replica));
+        return mustAnnounce && joined.announceExclusion(replica, draining) ? 1 : 0;
     }
 
     @Override
-    public void setAdmissionLevel(int table, ClassSet classes, double level, int again) {
-        tableToChange(table).setLevel(new AdmissionLevel(classes, level, again));
+    public void setAdmissionLevel(int table, ClassSet classes, double level, int retryMode) {
+        tableToChange(table).setLevel(new AdmissionLevel(classes, level, retryMode));
     }
 
     @Override
@@ -143,11 +149,13 @@
     }
 
     @Override
-    public void wakeAfter(long delay) {
-        waker.accept(delay);
+    public void wakeAfter(long delayTicks) {
+        waker.accept(delayTicks);
     }
 
-    /** A proxy that still excludes it learns otherwise as soon as a table has it again. */
+    /**
+     * A proxy that still excludes the replica is sent its readmission once a table has it again.
+     */
     @Override
     public void forgetReplica(long replica) {
         encoder.forgetReplicaName(replica);
@@ -155,7 +163,7 @@
         proxies.values().forEach(proxy -> proxy.forgetReplica(replica));
     }
 
-    /** Logs a line of the planner with the replicas' names in place of their numbers. */
+    /** Logs a line of the planner, with replica numbers replaced by names. */
     @Override
     public void log(String line) {
         LOG.info(REPLICA_NUMBER.matcher(line).replaceAll(found -> quotedName(found.group())));
@@ -165,7 +173,7 @@
         return Matcher.quoteReplacement(encoder.replicaName(Long.parseLong(number)));
     }
 
-    /** Sends each proxy what this turn ordered for it. */
+    /** Sends each proxy this turn's changes. */
     void flush() {
         proxies.forEach(this::send);
         changedThisTurn.forEach(PublishedTable::endTurn);
@@ -176,13 +184,13 @@
     }
 
     private void send(int number, JoinedProxy proxy) {
-        if (changedThisTurn.isEmpty() && !proxy.hasNews()) {
+        if (changedThisTurn.isEmpty() && !proxy.hasProxySpecificChanges()) {
             return;
         }
         UpdateMessage message = new UpdateMessage();
         proxy.boundTables()
                 .forEach((table, classes) -> parts(proxy, table, classes).forEach(message::add));
-        if (message.isEmpty() && proxy.hasNews()) {
+        if (message.isEmpty() && proxy.hasProxySpecificChanges()) {
             message.add(encoder.emptyPart());
         }
         if (!message.isEmpty()) {
@@ -204,7 +212,7 @@
         if (!readmitted.isEmpty()) {
             message.readmit(encoder.replicaNames(readmitted));
         }
-        exclusions.sent(number, excluded, readmitted);
+        exclusions.recordSent(number, excluded, readmitted);
     }
 
     @Override
@@ -220,7 +228,7 @@
         return Math.max(1, UpdateMessage.messageCount(partCount));
     }
 
-    /** The parts that tell a proxy of one of its tables in this turn. */
+    /** Returns the parts to send to a proxy for one of its tables in this turn. */
     private List<UpdatePart> parts(JoinedProxy proxy, int number, ClassSet classes) {
         PublishedTable table = tables.get(number);
         if (proxy.wasBoundThisTurn(number)) {
--- a/src/main/java/rockshift/server/ReplicaExclusions.java
+++ b/src/main/java/rockshift/server/ReplicaExclusions.java
@@ -7,25 +7,25 @@
 import rockshift.model.Endpoint;
 
 /**
- * Which replicas are excluded now, and which ones proxies may still be excluding because some
- * controller had them do so: a proxy keeps that across its channels and controllers. A replica that
- * no controller can have excluded need not be readmitted, which saves a third of what a join comes
- * to. Used by the event loop's thread.
+ * Tracks the replicas that are excluded now, and those that proxies may still exclude because some
+ * controller told them to: a proxy keeps exclusions across its channels and controllers. A replica
+ * that no controller can have excluded need not be readmitted, which saves a third of the entries
+ * sent for a join. Used only by the event loop's thread.
  */
 final class ReplicaExclusions {
-    /** Replicas that are tracked singly, in under a megabyte. */
+    /** Maximum number of replicas tracked individually, which take less than a megabyte. */
     private static final int MAX_TRACKED = 10_000;
 
     private final Set<Long> excluded = new TreeSet<>();
     private final Set<Long> maybeExcludedBefore = new TreeSet<>();
     private boolean allMaybeExcludedBefore;
 
-    /** By proxy, what this controller has had it exclude. */
+    /** The replicas that this controller has told a proxy to exclude, by proxy. */
     private final Map<Integer, Set<Long>> sentByProxy = new HashMap<>();
 
     /**
-     * Notes a listed replica. Controllers exclude who is listed as leaving; a replica that was
-     * never seen so, and has not restarted since it was first seen, is excluded by no proxy.
+     * Records a listed replica. Controllers exclude replicas that are listed as leaving. No proxy
+     * excludes a replica that was never seen leaving and has not restarted since it was first seen.
      */
     void endpointListed(Endpoint entry, boolean knownBefore) {
         boolean restarted = entry.startedAtTicks() > 0 && knownBefore;
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Gives up tracking single replicas where there are too many. */
+    /** Stops tracking individual replicas if there are too many. */
     void limitTracking() {
         if (maybeExcludedBefore.size() > MAX_TRACKED) {
             maybeExcludedBefore.clear();
@@ -42,7 +42,10 @@
         }
     }
 
-    /** Operators drain replicas that are listed as ready, so that any may have been excluded. */
+    /**
+     * Operators also drain replicas that are listed as ready, so any replica may have been
+     * excluded.
+     */
     void agreedChangesReceived() {
         allMaybeExcludedBefore = true;
     }
@@ -67,8 +70,8 @@
         return sentByProxy.getOrDefault(proxy, Set.of()).contains(replica);
     }
 
-    /** Notes what a proxy has been sent. */
-    void sent(int proxy, Set<Long> nowExcluded, Set<Long> nowReadmitted) {
+    /** Records the exclusions and readmissions that a proxy has been sent. */
+    void recordSent(int proxy, Set<Long> nowExcluded, Set<Long> nowReadmitted) {
         Set<Long> sent = sentByProxy.computeIfAbsent(proxy, number -> new TreeSet<>());
         sent.addAll(nowExcluded);
         sent.removeAll(nowReadmitted);
--- a/src/main/java/rockshift/server/ReplicaIds.java
+++ b/src/main/java/rockshift/server/ReplicaIds.java
@@ -8,15 +8,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The numbers by which the planner knows replicas, derived from their names in discovery. */
+/** The ids of replicas in the planner, derived from their names in discovery. */
 final class ReplicaIds {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaIds.class);
 
     private ReplicaIds() {}
 
     /**
-     * The id of a replica: the leading 63 bits of its name's SHA-256 hash, and so the same at every
-     * controller and after every start.
+     * Returns the id of a replica: the leading 63 bits of the SHA-256 hash of its name, and so the
+     * same at every controller and after every start.
      */
     static long idOf(String name) {
         try {
@@ -30,14 +30,14 @@
     }
 
     /**
-     * Notes a replica's name. Two names with one id count as one replica; the log says so, since
-     * only an operator can rename one of them.
+     * Records a replica's name. Two names with the same id count as one replica; this is logged,
+     * because only an operator can rename one of them.
      */
     static void putName(Map<Long, String> names, long id, String name) {
         String before = names.put(id, name);
         if (before != null && !before.equals(name)) {
             LOG.error(
-                    "replica id collision, rename one of them: id={} names={},{}",
+                    "replica id collision, rename one of the replicas: id={} names={},{}",
                     id,
                     before,
                     name);
--- a/src/main/java/rockshift/server/RespCodec.java
+++ b/src/main/java/rockshift/server/RespCodec.java
@@ -7,31 +7,31 @@
 import java.util.List;
 
 /**
- * The codec of proxy and collector connections: RESP2 arrays of bulk strings, read from bytes that
- * arrive in pieces, and the words of the protocol in them. A message is its kind, then names
- * alternating with values.
+ * The codec of proxy and collector connections. It reads RESP2 arrays of bulk strings from bytes
+ * that arrive in chunks, and defines the names of the protocol. A message consists of its kind,
+ * then alternating field names and values.
  *
- * <p>One codec belongs to one connection and one thread. Between calls it holds the bytes of a
- * partial message, of at most {@link #MAX_MESSAGE_BYTES}. The current message is read in place:
- * some hundred load reports arrive a second, and most of their fields are read once.
+ * <p>A codec belongs to one connection and is used by one thread. Between calls it holds the bytes
+ * of a partial message, at most {@link #MAX_MESSAGE_BYTES}. The current message is read in place,
+ * because some hundred load reports arrive per second and most of their fields are read once.
  */
 public final class RespCodec {
     /** The longest message that the protocol allows. */
     static final int MAX_MESSAGE_BYTES = 1 << 20;
 
-    /** Bytes kept for each connection while it is quiet; most messages fit. */
+    /** Buffer size of a quiet connection; most messages fit. */
     static final int INITIAL_BUFFER_BYTES = 1 << 11;
 
-    /** Length of the array of bounds while a connection is quiet: that of 32 strings. */
+    /** Length of the array of bounds of a quiet connection, for 32 strings. */
     private static final int INITIAL_BOUNDS = 64;
 
-    /** The largest number that is accepted: no rate, time in ms or count comes near. */
+    /** The largest number that is accepted, far above any real rate, time in ms or count. */
     private static final double MAX_NUMBER = 1e9;
 
-    /** Digits of the longest count or length that a message could hold. */
+    /** Digits of the largest count or length that a message can contain. */
     private static final int MAX_LENGTH_DIGITS = 7;
 
-    /** In place of a count or length that is not there yet. */
+    /** Stands for a count or length that has not been received yet. */
     private static final int UNKNOWN = -1;
 
     // Kinds of messages.
@@ -71,22 +71,24 @@
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int end;
 
-    /** Where the current message begins in the buffer, and up to where it is parsed. */
+    /** Start of the current message in the buffer, and the position up to which it is parsed. */
     private int messageStart;
 
     private int position;
 
-    /** Strings of the current message, and the length of the next one, or {@link #UNKNOWN}. */
+    /**
+     * Number of strings in the current message, and length of the next one, or {@link #UNKNOWN}.
+     */
     private int stringCount = UNKNOWN;
 
     private int nextLength = UNKNOWN;
 
-    /** Start and end in the buffer of each string that is parsed. */
+    /** Start and end of each parsed string in the buffer. */
     private int[] bounds = new int[INITIAL_BOUNDS];
 
     private int parsedStrings;
 
-    /** Adds bytes that were received. */
+    /** Adds received bytes. */
     public void feed(ByteBuffer received) {
         int count = received.remaining();
         if (messageStart > 0 && end + count > buffer.length) {
@@ -109,7 +111,7 @@
         messageStart = 0;
     }
 
-    /** Bytes held beyond what every quiet connection holds. */
+    /** Returns the bytes held in excess of those of a quiet connection. */
     int excessBytes() {
         return buffer.length
                 - INITIAL_BUFFER_BYTES
@@ -117,16 +119,16 @@
     }
 
     /**
-     * Moves on to the next message.
+     * Moves to the next message.
      *
-     * @return whether it is there whole; its strings are valid until the next call
+     * @return whether the message is complete; its strings are valid until the next call
      */
     public boolean next() throws MalformedStreamException {
         releaseCurrentMessage();
         if (stringCount == UNKNOWN) {
             stringCount = parseLength('*');
             if (stringCount == 0) {
-                throw malformed("a message without a kind");
+                throw malformed("a message with a kind, got an empty array");
             }
         }
         while (stringCount > 0 && parsedStrings < stringCount && parseString()) {
@@ -136,12 +138,12 @@
         int partialBytes = end - messageStart;
         if (!complete && partialBytes > MAX_MESSAGE_BYTES
                 || position - messageStart > MAX_MESSAGE_BYTES) {
-            throw tooLong("a message of over " + MAX_MESSAGE_BYTES + " bytes");
+            throw tooLong("message longer than " + MAX_MESSAGE_BYTES + " bytes");
         }
         return complete;
     }
 
-    /** Forgets a message that was complete, and gives back memory that only it needed. */
+    /** Discards a complete message, and releases memory that only it needed. */
     private void releaseCurrentMessage() {
         if (stringCount >= 0 && parsedStrings == stringCount) {
             messageStart = position;
@@ -165,7 +167,8 @@
         if (nextLength == UNKNOWN) {
             nextLength = parseLength('$');
             if (nextLength > MAX_MESSAGE_BYTES) {
-                throw tooLong("a string of " + nextLength + " bytes");
+                throw tooLong(
+                        "string of " + nextLength + " bytes, longer than " + MAX_MESSAGE_BYTES);
             }
         }
         if (nextLength == UNKNOWN || end - position < nextLength + 2) {
@@ -173,7 +176,7 @@
         }
         int stringEnd = position + nextLength;
         if (buffer[stringEnd] != '\r' || buffer[stringEnd + 1] != '\n') {
-            throw malformed("a string that ends where its length says");
+            throw malformed("an end of line after a string of " + nextLength + " bytes");
         }
         if (2 * parsedStrings + 2 > bounds.length) {
             bounds = Arrays.copyOf(bounds, 2 * bounds.length);
@@ -186,7 +189,9 @@
         return true;
     }
 
-    /** Parses a count or length after its prefix; {@link #UNKNOWN} while it is not all there. */
+    /**
+     * Parses a count or length after its prefix. Returns {@link #UNKNOWN} while it is incomplete.
+     */
     private int parseLength(char prefix) throws MalformedStreamException {
         if (position == end) {
             return UNKNOWN;
@@ -211,7 +216,7 @@
             return UNKNOWN;
         }
         if (buffer[next + 1] != '\n') {
-            throw malformed("a count or length and an end of line");
+            throw malformed("an end of line after a count or length");
         }
         position = next + 2;
         return value;
@@ -238,19 +243,19 @@
         return new String(buffer, start, bounds[2 * index + 1] - start, StandardCharsets.UTF_8);
     }
 
-    /** The kind of the current message. */
+    /** Returns the kind of the current message. */
     public String kind() {
         return string(0);
     }
 
-    /** Refuses a message in which a name has no value. */
+    /** Rejects a message in which a field name has no value. */
     void requireFieldPairs() throws InvalidMessageException {
         if (stringCount % 2 == 0) {
-            throw badField(kind() + " with a name that has no value");
+            throw badField(kind() + ": last field name has no value");
         }
     }
 
-    /** A field's value, or null where the message does not have the field. */
+    /** Returns a field's value, or null if the message does not have the field. */
     private String find(String name) {
         for (int i = 1; i + 1 < stringCount; i += 2) {
             if (equalsString(i, name)) {
@@ -260,7 +265,7 @@
         return null;
     }
 
-    /** Compares in place, since a message may have very many names. */
+    /** Compares in place, because a message may have very many names. */
     private boolean equalsString(int index, String name) {
         int start = bounds[2 * index];
         boolean same = bounds[2 * index + 1] - start == name.length();
@@ -270,37 +275,37 @@
         return same;
     }
 
-    /** Whether the current message has a field. */
+    /** Returns whether the current message has a field. */
     public boolean has(String name) {
         return find(name) != null;
     }
 
-    /** A field's value in the current message. */
+    /** Returns a field's value in the current message. */
     public String text(String name) throws InvalidMessageException {
         String value = find(name);
         if (value == null) {
-            throw badField(kind() + " without " + name);
+            throw badField(kind() + ": field " + name + " is missing");
         }
         return value;
     }
 
-    /** A field's value as a number between 0 and {@link #MAX_NUMBER}. */
+    /** Returns a field's value as a number between 0 and {@link #MAX_NUMBER}. */
     double number(String name) throws InvalidMessageException {
         return parseNumber(name, text(name));
     }
 
-    /** A field's value as a whole number. */
+    /** Returns a field's value as a whole number. */
     int wholeNumber(String name) throws InvalidMessageException {
         double value = number(name);
         if (value != (int) value) {
-            throw badField(name + " as a whole number, not " + value);
+            throw badField(name + " must be a whole number, got " + value);
         }
         return (int) value;
     }
 
     /**
-     * The number that a key has in a field's list of {@code key:value} pairs, or null where the
-     * message does not have the field or the list not the key.
+     * Returns the number of a key in a field's list of {@code key:value} pairs, or null if the
+     * message does not have the field or the list does not have the key.
      */
     Double pairedNumber(String name, String key) throws InvalidMessageException {
         String list = find(name);
@@ -324,10 +329,10 @@
         } catch (NumberFormatException notANumber) {
             // Reported below, like a number out of range.
         }
-        throw badField(name + " as a number, not '" + text + "'");
+        throw badField(name + " must be a number from 0 to " + MAX_NUMBER + ", got '" + text + "'");
     }
 
-    /** The bytes of one message. */
+    /** Encodes one message. */
     public static byte[] message(List<String> strings) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(arrayHeader(strings.size()));
@@ -335,12 +340,12 @@
         return bytes.toByteArray();
     }
 
-    /** The bytes that begin a message of so many strings. */
+    /** Encodes the header of a message with this number of strings. */
     static byte[] arrayHeader(int stringCount) {
         return ascii("*" + stringCount + "\r\n");
     }
 
-    /** The bytes of strings within a message. */
+    /** Encodes strings of a message. */
     static byte[] bulkStrings(List<String> strings) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (String string : strings) {
--- a/src/main/java/rockshift/server/SendBuffer.java
+++ b/src/main/java/rockshift/server/SendBuffer.java
@@ -8,16 +8,16 @@
 import org.apache.hc.core5.reactor.IOSession;
 
 /**
- * The messages that wait to be written to one connection, bounded in bytes. Any thread may offer a
- * message or clear the buffer; the reactor's thread alone writes.
+ * The messages waiting to be written to one connection, with a limit in bytes. Any thread may offer
+ * a message or clear the buffer; only the reactor's thread writes.
  */
 final class SendBuffer {
     private final ConcurrentLinkedQueue<ByteBuffer> messages = new ConcurrentLinkedQueue<>();
     private final AtomicInteger unsentBytes = new AtomicInteger();
 
     /**
-     * Adds a message unless more than a limit of bytes is unsent already. The message itself may
-     * exceed the limit: a full table is longer than what may wait when the next message comes.
+     * Adds a message unless more than {@code limitBytes} are already unsent. The message itself may
+     * exceed the limit, because a full table is longer than the limit for unsent bytes.
      */
     boolean offer(byte[] message, int limitBytes) {
         if (unsentBytes.getAndAdd(message.length) > limitBytes) {
@@ -27,12 +27,14 @@
         return true;
     }
 
-    /** Forgets what is unsent, as the connection has ended. */
+    /** Discards the unsent messages, once the connection has ended. */
     void clear() {
         messages.clear();
     }
 
-    /** Writes what the socket takes, and asks to be called again while anything is left. */
+    /**
+     * Writes as much as the socket accepts, and keeps the write event set while anything is left.
+     */
     void writeTo(IOSession session) throws IOException {
         for (ByteBuffer next = messages.peek(); next != null; next = messages.peek()) {
             unsentBytes.addAndGet(-session.write(next));
@@ -42,7 +44,7 @@
             messages.remove();
         }
         session.clearEvent(SelectionKey.OP_WRITE);
-        // A message offered since the last look may have set the event before it was cleared.
+        // A message offered since the last peek may have set the event before it was cleared.
         if (!messages.isEmpty()) {
             session.setEvent(SelectionKey.OP_WRITE);
         }
--- a/src/main/java/rockshift/server/UpdateMessage.java
+++ b/src/main/java/rockshift/server/UpdateMessage.java
@@ -6,9 +6,9 @@
 import rockshift.planner.ProxyCommands;
 
 /**
- * What one proxy is sent in one turn: parts, and after the last of them what concerns all its
- * tables. Parts beyond the protocol's limit for a message become further messages. Used by the
- * event loop's thread.
+ * The update that one proxy is sent in one turn: parts, and a trailer after the last part that
+ * applies to all its tables. Parts beyond the protocol's limit for a message go into further
+ * messages. Used only by the event loop's thread.
  */
 final class UpdateMessage {
     private static final List<String> MORE_PARTS = List.of(RespCodec.MORE_PARTS, "1");
@@ -16,7 +16,7 @@
     private final List<UpdatePart> parts = new ArrayList<>();
     private final List<String> trailer = new ArrayList<>();
 
-    /** How many messages so many parts take. */
+    /** Returns the number of messages that a number of parts takes. */
     static int messageCount(int parts) {
         return (parts + ProxyCommands.MAX_PARTS_PER_MESSAGE - 1)
                 / ProxyCommands.MAX_PARTS_PER_MESSAGE;
@@ -30,22 +30,24 @@
         parts.add(part);
     }
 
-    /** Names replicas, joined by commas, that the proxy may not send to from now on. */
+    /** Adds the names of replicas, joined by commas, that the proxy may not send to from now on. */
     void exclude(String replicas) {
         trailer.addAll(List.of(RespCodec.EXCLUDED, replicas));
     }
 
-    /** Names replicas, joined by commas, that the proxy may send to again. */
+    /** Adds the names of replicas, joined by commas, that the proxy may send to again. */
     void readmit(String replicas) {
         trailer.addAll(List.of(RespCodec.READMITTED, replicas));
     }
 
-    /** Asks the proxy to acknowledge the message with a serial number. */
+    /** Requests an acknowledgement of the message with a serial number. */
     void requestAcknowledgement(int serial) {
         trailer.addAll(List.of(RespCodec.ACKNOWLEDGE, Integer.toString(serial)));
     }
 
-    /** The bytes of the messages. All parts of one but its last say that more follow. */
+    /**
+     * Encodes the messages. All parts of a message except its last are marked as followed by more.
+     */
     byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int i = 1; i < parts.size(); i++) {
--- a/src/main/java/rockshift/server/UpdatePart.java
+++ b/src/main/java/rockshift/server/UpdatePart.java
@@ -10,8 +10,8 @@
 import rockshift.settings.ClassNames;
 
 /**
- * One part of an update, encoded but for its array header: all proxies that are sent the same part
- * share the bytes. Immutable.
+ * One part of an update, encoded except for its array header. All proxies that are sent the same
+ * part share its bytes. Immutable.
  */
 final class UpdatePart {
     private final int stringCount;
@@ -22,7 +22,7 @@
         encoded = RespCodec.bulkStrings(strings);
     }
 
-    /** Writes the part with further strings at its end. */
+    /** Writes the part, with further strings at its end. */
     void write(List<String> trailer, ByteArrayOutputStream into) {
         into.writeBytes(RespCodec.arrayHeader(stringCount + trailer.size()));
         into.writeBytes(encoded);
@@ -33,14 +33,14 @@
     static final class Builder {
         private final List<String> strings = new ArrayList<>(List.of(RespCodec.UPDATE));
 
-        /** Begins a part that is meant for some classes. */
+        /** Starts a part that applies to some classes. */
         Builder(ClassNames classNames, ClassSet classes) {
             if (!classes.isAll()) {
                 strings.addAll(List.of(RespCodec.CLASSES, classNames.joined(classes)));
             }
         }
 
-        /** Adds a table's entries: all that it has, or those that changed. */
+        /** Adds a table's entries: all of them if {@code whole}, otherwise the changed ones. */
         Builder entries(boolean whole, Map<Long, Double> weights, Map<Long, String> names) {
             if (whole) {
                 strings.addAll(List.of(RespCodec.WHOLE_TABLE, "1"));
@@ -62,7 +62,7 @@
             return new UpdatePart(strings);
         }
 
-        /** Without an exponent, which the protocol does not have. */
+        /** Formats a number without an exponent, which the protocol does not allow. */
         private static String decimal(double number) {
             return BigDecimal.valueOf(number).toPlainString();
         }
--- a/src/main/java/rockshift/server/UpdatePartEncoder.java
+++ b/src/main/java/rockshift/server/UpdatePartEncoder.java
@@ -11,13 +11,13 @@
 import rockshift.settings.ClassNames;
 
 /**
- * Turns table entries and admission levels into parts of an update, with the names that replicas
- * have in discovery. Used by the event loop's thread.
+ * Encodes table entries and admission levels into parts of an update, with the replicas' names in
+ * discovery. Used only by the event loop's thread.
  */
 final class UpdatePartEncoder {
     private final ClassNames classNames;
 
-    /** By id, of the replicas that the planner knows. */
+    /** Names of the replicas that the planner knows, by id. */
     private final Map<Long, String> replicaNames = new HashMap<>();
 
     UpdatePartEncoder(ClassNames classNames) {
@@ -40,24 +40,24 @@
         return replicaNames.get(replica);
     }
 
-    /** Names of replicas, joined by commas. */
+    /** Returns the names of replicas, joined by commas. */
     String replicaNames(Set<Long> replicas) {
         StringJoiner list = new StringJoiner(",");
         replicas.forEach(replica -> list.add(replicaNames.get(replica)));
         return list.toString();
     }
 
-    /** A part that says nothing, for a message that has only a trailer. */
+    /** Returns a part without content, for a message that has only a trailer. */
     UpdatePart emptyPart() {
         return new UpdatePart.Builder(classNames, ClassSet.all()).build();
     }
 
     /**
-     * The parts that tell proxies bound to a table for some classes of its entries and levels. The
-     * first level that holds for all of these classes goes with the entries; each other one that
-     * concerns them has a part of its own.
+     * Encodes the entries and levels of a table for proxies that are bound to it for some classes.
+     * The first level that applies to all of these classes is in the part with the entries; each
+     * other level that applies to any of them has its own part.
      *
-     * @param whole whether the entries are the whole table, which also resets levels
+     * @param whole whether the entries are the whole table, which also resets the levels
      */
     List<UpdatePart> encode(
             ClassSet classes,
