--- a/src/main/java/rockshift/cluster/AgreedItems.java
+++ b/src/main/java/rockshift/cluster/AgreedItems.java
@@ -6,36 +6,36 @@
 import rockshift.distribution.Item;
 
 /**
- * What is agreed as items of the distribution, and back. An item's value is the change that it
- * stands for, as JSON. It depends on what is agreed alone, so that it is the same on every member,
- * whether that came by the log or by a snapshot.
+ * Converts the agreed state to distribution items and back. The value of an item is the JSON form
+ * of the change that set it. It depends only on the agreed state, so it is the same on every
+ * member, whether the change came from the log or from a snapshot.
  */
 public final class AgreedItems {
-    private static final String OUT = "out/";
-    private static final String TERM = "term/";
-    private static final String BUDGET = "budget/";
+    private static final String DRAIN_PREFIX = "out/";
+    private static final String SETTING_PREFIX = "term/";
+    private static final String BUDGET_PREFIX = "budget/";
 
     private AgreedItems() {}
 
-    /** The key of the item that a change concerns. */
+    /** Returns the key of the item that a change sets or deletes. */
     static String key(Change change) {
         return switch (change.kind()) {
-            case DRAIN, HOLD, BACK -> OUT + change.subject();
-            case TERM -> TERM + change.subject();
-            case BUDGET -> BUDGET + change.subject();
+            case DRAIN, HOLD, BACK -> DRAIN_PREFIX + change.subject();
+            case TERM -> SETTING_PREFIX + change.subject();
+            case BUDGET -> BUDGET_PREFIX + change.subject();
         };
     }
 
-    /** The item of a change that sets something. */
+    /** Returns the item that a change sets. */
     static Item item(Change change) {
-        Change kept =
+        Change canonical =
                 change.isScoped()
                         ? change
                         : new Change(change.kind(), change.subject(), 0, change.value(), "");
-        return new Item(key(change), kept.service(), kept.zone(), kept.json());
+        return new Item(key(change), canonical.service(), canonical.zone(), canonical.json());
     }
 
-    /** All that is agreed. */
+    /** Returns the items of the whole agreed state. */
     static List<Item> all(AgreedState agreed) {
         List<Item> items = new ArrayList<>();
         agreed.drains().values().forEach(change -> items.add(item(change)));
@@ -52,13 +52,15 @@
     }
 
     /**
-     * The change that an item stands for; an error where it is none, or not the one that its key
-     * names.
+     * Returns the change that an item holds.
+     *
+     * @throws IOException if the value is not a valid change, or does not match the item's key
      */
     public static Change change(Item item) throws IOException {
         Change change = Change.read(item.value());
         if (!key(change).equals(item.key()) || change.kind() == Change.Kind.BACK) {
-            throw new Change.MalformedChangeException("change", "does not stand for " + item.key());
+            throw new Change.MalformedChangeException(
+                    "change", "does not match the item key " + item.key());
         }
         return change;
     }
--- a/src/main/java/rockshift/cluster/AgreedState.java
+++ b/src/main/java/rockshift/cluster/AgreedState.java
@@ -8,13 +8,13 @@
 import rockshift.raft.ClientSessions;
 
 /**
- * What all controllers agree on: the replicas that operators drain or hold, budgets, and settings
- * that may change while running. Changes are applied in one order everywhere, and each one that
- * takes effect makes the next version. Replicas are known by their names. Used by the member's
- * thread alone.
+ * The replicated state machine of the cluster: the replicas that operators drain or hold, budgets,
+ * and overrides of settings that may change at run time. All members apply the same changes in the
+ * same order, and each change that takes effect increments the version. Replicas are identified by
+ * name. Used only by the member's thread.
  */
 public final class AgreedState implements ClientSessions.StateMachine {
-    /** Replicas that may be drained or held at a time: a bound on the snapshot. */
+    /** The maximum number of replicas drained or held at a time; bounds the snapshot. */
     public static final int MAX_DRAINS = 2_000;
 
     private record Range(double min, double max) {
@@ -25,7 +25,7 @@
 
     private static final Range FRACTION = new Range(0, 1);
 
-    /** Settings that may change while running. */
+    /** Settings that may change at run time, with their ranges. */
     private static final Map<String, Range> OVERRIDABLE_SETTINGS =
             Map.of(
                     "price.crossing",
@@ -43,31 +43,31 @@
     private final TreeMap<String, Double> overrides = new TreeMap<>();
     private final TreeMap<String, Double> budgets = new TreeMap<>();
 
-    /** How many changes have taken effect. */
+    /** Returns the number of changes that have taken effect. */
     public long version() {
         return version;
     }
 
-    /** Drains and holds in force, by replica. */
+    /** Returns the drains and holds in force, by replica name. */
     public Map<String, Change> drains() {
         return drains;
     }
 
-    /** Overridden settings, by name. */
+    /** Returns the overridden settings, by name. */
     public Map<String, Double> overrides() {
         return overrides;
     }
 
-    /** Budgets, by name. */
+    /** Returns the budgets, by name. */
     public Map<String, Double> budgets() {
         return budgets;
     }
 
-    /** Why a change cannot be applied to this state; null if it can. */
-    public String objection(Change change) {
+    /** Returns why a change cannot be applied to this state, or null if it can. */
+    public String rejectionReason(Change change) {
         return switch (change.kind()) {
-            case TERM -> objection(change, OVERRIDABLE_SETTINGS);
-            case BUDGET -> objection(change, BUDGETS);
+            case TERM -> rejectionReason(change, OVERRIDABLE_SETTINGS);
+            case BUDGET -> rejectionReason(change, BUDGETS);
             case BACK ->
                     drains.containsKey(change.subject())
                             ? null
@@ -79,7 +79,7 @@
         };
     }
 
-    private static String objection(Change change, Map<String, Range> ranges) {
+    private static String rejectionReason(Change change, Map<String, Range> ranges) {
         Range range = ranges.get(change.subject());
         if (range == null) {
             String names = String.join(", ", new TreeMap<>(ranges).keySet());
@@ -97,7 +97,7 @@
         String refusal;
         try {
             Change change = Change.read(body);
-            refusal = objection(change);
+            refusal = rejectionReason(change);
             if (refusal == null) {
                 apply(change);
             }
@@ -147,7 +147,8 @@
             budgets.putAll(snapshot.budgets());
         } catch (IOException damaged) {
             throw new IllegalStateException(
-                    "what was agreed can't be read: " + damaged.getMessage(), damaged);
+                    "cannot restore the agreed state from a snapshot: " + damaged.getMessage(),
+                    damaged);
         }
     }
 }
--- a/src/main/java/rockshift/cluster/AgreedStateSnapshot.java
+++ b/src/main/java/rockshift/cluster/AgreedStateSnapshot.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The content of an agreed state, and its JSON form in snapshots. */
+/** A copy of the agreed state, with its JSON encoding in snapshots. */
 record AgreedStateSnapshot(
         long version,
         Map<String, Change> drains,
@@ -66,7 +66,7 @@
                     case "out" -> readDrains(json, drains);
                     case "terms" -> readNumbers(json, overrides);
                     case "budgets" -> readNumbers(json, budgets);
-                    default -> throw new IOException("field " + field + " is not known");
+                    default -> throw new IOException("unknown field '" + field + "'");
                 }
             }
         }
@@ -75,7 +75,7 @@
 
     private static void requireFormat(int format) throws IOException {
         if (format != FORMAT) {
-            throw new IOException("format " + format + ", this is " + FORMAT);
+            throw new IOException("unsupported format " + format + ", expected " + FORMAT);
         }
     }
 
--- a/src/main/java/rockshift/cluster/AppliedChanges.java
+++ b/src/main/java/rockshift/cluster/AppliedChanges.java
@@ -11,8 +11,8 @@
 import rockshift.raft.Member;
 
 /**
- * Passes on what was applied to the agreed state: to the log, the history, the controller and the
- * distribution. Used by the member's thread alone.
+ * Reports applied entries and snapshots to the log, the change history, the controller and the
+ * distribution. Used only by the member's thread.
  */
 final class AppliedChanges {
     private static final Logger LOG = LoggerFactory.getLogger(AppliedChanges.class);
@@ -33,7 +33,7 @@
         return history;
     }
 
-    /** An entry was applied. */
+    /** Called after an entry was applied. */
     void applied(long cluster, Entry entry, ClientSessions.Outcome outcome) {
         if (entry.kind() == Entry.Kind.MEMBERSHIP) {
             LOG.info("membership applied members={}", describe(entry));
@@ -55,7 +55,7 @@
         return member.name() + ":" + member.role().name().toLowerCase(Locale.ROOT);
     }
 
-    /** A snapshot has taken the place of all that was applied. */
+    /** Called after a snapshot replaced the whole applied state. */
     void restored(long cluster, long index) {
         LOG.info("snapshot restored index={} version={}", index, agreed.version());
         history.clear();
@@ -63,7 +63,7 @@
         passToController();
     }
 
-    /** Passes to the controller all that is agreed. */
+    /** Passes the whole agreed state to the controller. */
     void passToController() {
         controller.applyAgreed(
                 agreed.version(),
--- a/src/main/java/rockshift/cluster/ChangeCodec.java
+++ b/src/main/java/rockshift/cluster/ChangeCodec.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import rockshift.cluster.Change.Kind;
 
-/** The JSON form of a change, in the log, in snapshots and on the wire; docs/raft.md has it. */
+/** The JSON encoding of a change in the log, in snapshots and on the wire, see docs/raft.md. */
 final class ChangeCodec {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -32,7 +32,7 @@
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Writes the fields of a change into an object that is begun. */
+    /** Writes the fields of a change into a JSON object that is already open. */
     static void write(Change change, JsonGenerator json) throws IOException {
         json.writeStringField("change", change.kind().name().toLowerCase(Locale.ROOT));
         json.writeStringField("subject", change.subject());
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Reads a change from its opening brace on. */
+    /** Reads the fields of a change; the opening brace has been read already. */
     static Change read(JsonParser json) throws IOException {
         Fields fields = new Fields();
         while (json.nextToken() != JsonToken.END_OBJECT) {
@@ -74,7 +74,7 @@
         return fields.toChange();
     }
 
-    /** The fields as far as they were read. */
+    /** The fields read so far. */
     private static final class Fields {
         private Kind kind;
         private String subject;
@@ -117,7 +117,7 @@
         }
     }
 
-    /** The words are the names of the constants in lower case: renaming one changes the JSON. */
+    /** The JSON contains the lower-case names of the constants: renaming one changes the JSON. */
     private static Kind readKind(String word) throws Change.MalformedChangeException {
         for (Kind kind : Kind.values()) {
             if (kind.name().toLowerCase(Locale.ROOT).equals(word)) {
--- a/src/main/java/rockshift/cluster/ChangeHistory.java
+++ b/src/main/java/rockshift/cluster/ChangeHistory.java
@@ -6,22 +6,22 @@
 import rockshift.wire.Frames;
 
 /**
- * The changes that were applied last, for the command that lists them. Used by the member's thread
- * alone.
+ * The most recently applied changes, for the command that lists them. Used only by the member's
+ * thread.
  */
 final class ChangeHistory {
     private static final int MAX_CHANGES = 4_096;
 
-    /** Characters of a listing: half of the longest frame. */
+    /** The maximum number of characters in a listing: half of the longest frame. */
     private static final int MAX_LISTED_CHARACTERS = Frames.MAX_FRAME_BYTES / 2;
 
-    /** Each as JSON. */
+    /** The changes with their outcomes, each as a JSON object. */
     private final ArrayDeque<String> changes = new ArrayDeque<>();
 
     /** The number of the oldest change that is kept; the first one applied has number 1. */
     private long firstNumber = 1;
 
-    /** Notes a change and its outcome, both as JSON. */
+    /** Adds a change and its outcome, both as JSON. */
     void add(long index, String change, String outcome) {
         changes.add(
                 "{\"index\":" + index + ",\"change\":" + change + ",\"outcome\":" + outcome + "}");
@@ -31,13 +31,13 @@
         }
     }
 
-    /** Forgets all, as a snapshot has taken the place of single changes. */
+    /** Removes all changes, since a snapshot has replaced them. */
     void clear() {
         firstNumber += changes.size();
         changes.clear();
     }
 
-    /** Lists the changes from a number on, as far as they fit into an answer. */
+    /** Writes the changes from a number on, as many as fit into one reply. */
     void write(JsonGenerator json, long from) throws IOException {
         json.writeNumberField("from", Math.max(from, firstNumber));
         json.writeNumberField("next", firstNumber + changes.size());
--- a/src/main/java/rockshift/cluster/ClusterBootstrap.java
+++ b/src/main/java/rockshift/cluster/ClusterBootstrap.java
@@ -13,15 +13,16 @@
 import rockshift.wire.Hello;
 
 /**
- * How a member with an empty folder becomes part of a cluster. Founders begin one once each has met
- * all the others without a cluster; one that founds alone begins at once. Who is named by a cluster
- * that exists joins it. Used by the member's thread, but for its own id and {@link #clusterId}.
+ * Makes a member with an empty folder part of a cluster. The founders found a cluster once each has
+ * received hellos without a cluster from all the others; a single founder does so at once. A member
+ * that is named in the membership of an existing cluster joins that cluster. Used only by the
+ * member's thread, except {@link #memberId} and {@link #clusterId}.
  */
 final class ClusterBootstrap {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterBootstrap.class);
 
-    /** The id of no cluster. */
-    private static final long NONE = 0;
+    /** The cluster id of a member that is not part of a cluster. */
+    private static final long NO_CLUSTER = 0;
 
     private static final long HASH_FACTOR = 31;
 
@@ -30,41 +31,44 @@
     private final DurableLog log;
     private final Engine engine;
 
-    /** The last hello of each member met, by name. */
+    /** The last hello received from each member, by name. */
     private final Map<String, Hello> lastHellos = new TreeMap<>();
 
     /** Publishes the cluster that this member is part of to the reactor's thread. */
     private volatile long clusterId;
 
     ClusterBootstrap(
-            ClusterSettings settings, DurableLog.Recovered found, DurableLog log, Engine engine) {
+            ClusterSettings settings,
+            DurableLog.Recovered recovered,
+            DurableLog log,
+            Engine engine) {
         this.settings = settings;
         this.log = log;
         this.engine = engine;
-        memberId = found.id();
-        clusterId = found.cluster();
+        memberId = recovered.id();
+        clusterId = recovered.cluster();
     }
 
-    /** This member's id, drawn when its folder was new. */
+    /** Returns this member's id, drawn at random when its folder was created. */
     long memberId() {
         return memberId;
     }
 
-    /** The cluster that this member is part of, or 0. Any thread may call it. */
+    /** Returns the id of the cluster that this member is part of, or 0. Thread-safe. */
     long clusterId() {
         return clusterId;
     }
 
     boolean isPartOfCluster() {
-        return clusterId != NONE;
+        return clusterId != NO_CLUSTER;
     }
 
-    /** Notes what another member has said; warns of one that belongs to another cluster. */
+    /** Records the hello of another member; warns if it is part of another cluster. */
     void helloReceived(Hello hello) {
         lastHellos.put(hello.name(), hello);
-        if (isPartOfCluster() && hello.cluster() != NONE && hello.cluster() != clusterId) {
+        if (isPartOfCluster() && hello.cluster() != NO_CLUSTER && hello.cluster() != clusterId) {
             LOG.warn(
-                    "member of another cluster met peer={} cluster={} expected={}",
+                    "peer is a member of another cluster peer={} cluster={} expected={}",
                     hello.name(),
                     Long.toHexString(hello.cluster()),
                     Long.toHexString(clusterId));
@@ -74,21 +78,21 @@
     /**
      * Joins a cluster, or founds one with all founders, if that is possible now.
      *
-     * @param hello what another member has just said, or null as this one begins
+     * @param hello the hello just received from another member, or null at startup
      */
     void tryJoinOrFound(Hello hello) {
         try {
-            if (hello == null || hello.cluster() == NONE) {
+            if (hello == null || hello.cluster() == NO_CLUSTER) {
                 foundWithAllFounders();
             } else if (hello.members().get(memberId) != null) {
                 join(hello);
             } else {
                 LOG.warn(
-                        "not a member of the cluster of peer={}:"
-                                + " add it with 'cluster member add {} {}'",
-                        hello.name(),
+                        "this member is not in the membership of its peer: add it with"
+                                + " 'cluster member add {} {}' peer={}",
                         settings.name(),
-                        settings.address());
+                        settings.address(),
+                        hello.name());
             }
         } catch (IOException failure) {
             LOG.error("cluster bootstrap failed cause=\"{}\"", failure.getMessage());
@@ -101,7 +105,10 @@
         LOG.info("cluster joined id={} by={}", Long.toHexString(clusterId), hello.name());
     }
 
-    /** Every founder works out the same id and members from the same names and ids. */
+    /**
+     * Founds a cluster. Every founder derives the same cluster id and members, since all use the
+     * same names and member ids in the same order.
+     */
     private void foundWithAllFounders() throws IOException {
         if (!settings.founders().containsKey(settings.name())) {
             return;
@@ -112,16 +119,16 @@
             String name = founder.getKey();
             boolean self = name.equals(settings.name());
             Hello hello = lastHellos.get(name);
-            if (!self && (hello == null || hello.cluster() != NONE)) {
+            if (!self && (hello == null || hello.cluster() != NO_CLUSTER)) {
                 return;
             }
             long id = self ? memberId : hello.id();
             hash = hash * HASH_FACTOR + id;
             founders.add(new Member(id, name, founder.getValue(), Member.Role.VOTER));
         }
-        long newCluster = hash >>> 1 | 1;
-        Snapshot first = log.joinCluster(newCluster, founders);
-        clusterId = newCluster;
+        long newClusterId = hash >>> 1 | 1;
+        Snapshot first = log.joinCluster(newClusterId, founders);
+        clusterId = newClusterId;
         engine.bootstrap(first.membership());
         LOG.info(
                 "cluster founded id={} founders={}",
--- a/src/main/java/rockshift/cluster/ClusterClient.java
+++ b/src/main/java/rockshift/cluster/ClusterClient.java
@@ -20,24 +20,24 @@
 import rockshift.wire.Frames;
 
 /**
- * Speaks to members as operators' commands do: asks one, follows its word on who leads, and asks
- * again under the same serial number until it is told the outcome or its time is up. Blocks; used
- * by one thread.
+ * A blocking client for the commands of members. It sends a call to one member, follows the leader
+ * address in the answer, and retries with the same serial number until it gets the outcome or the
+ * deadline passes. Not thread-safe.
  */
 public final class ClusterClient implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int CONNECT_TIMEOUT_MS = 500;
 
-    /** The least pause between two tries; up to as much again is random. */
+    /** The minimum pause before a retry; a random pause of up to the same length is added. */
     private static final int RETRY_PAUSE_MS = 50;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** Refusals after which the same call may be taken, here or by another member. */
+    /** Refusals after which the same call may succeed at the same or another member. */
     private static final Set<String> TRANSIENT_REFUSALS =
             Set.of("not-leader", Engine.Answer.UNKNOWN, "busy", "handing-over", "disk");
 
-    /** Nobody answered, or nobody could say what the outcome was. */
+    /** Thrown if no member answered with the outcome before the deadline. */
     public static final class UnansweredException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -46,28 +46,28 @@
         }
     }
 
-    /** The members, the one to ask first at the front. */
+    /** The addresses of the members, starting with the one to ask next. */
     private final ArrayDeque<String> addresses;
 
     private final RandomGenerator random;
     private final int answerTimeoutMillis;
 
-    /** The session in which changes are made; 0 before the first one. */
+    /** The session in which changes are proposed; 0 before the first change. */
     private long session;
 
     private long lastSerial;
     private long lastCall;
 
-    /** Where the socket is connected to, if there is one. */
+    /** The address that the socket was last connected to, or null. */
     private String connectedAddress;
 
     private Socket socket;
     private DataInputStream input;
 
     /**
-     * Connects to no member yet.
+     * Creates a client, which connects when a call is made.
      *
-     * @param answerTimeoutMillis how long one call waits until another member is asked
+     * @param answerTimeoutMillis how long to wait for the answer of one member
      */
     public ClusterClient(List<String> addresses, RandomGenerator random, int answerTimeoutMillis) {
         this.addresses = new ArrayDeque<>(addresses);
@@ -75,12 +75,12 @@
         this.answerTimeoutMillis = answerTimeoutMillis;
     }
 
-    /** A call of an operation, to which its fields can be added. */
+    /** Creates a call of an operation, to which the caller adds its fields. */
     public static ObjectNode call(String operation) {
         return JSON.createObjectNode().put("op", operation);
     }
 
-    /** Makes one call to one member. */
+    /** Sends a call to one member, and returns its reply. */
     public JsonNode ask(String address, ObjectNode call) throws IOException {
         if (!address.equals(connectedAddress) || socket == null) {
             connect(address);
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Reads until the reply to a call; replies to calls that were given up are skipped. */
+    /** Reads frames until the reply to a call; skips replies to earlier calls that timed out. */
     private JsonNode readReply(long call) throws IOException {
         while (true) {
             Frames.Frame frame = Frames.read(input);
@@ -129,10 +129,11 @@
     }
 
     /**
-     * Asks members in turn, the leader once it is known, until one answers for good.
+     * Sends a call to members in turn, or to the leader once it is known, until one answers with a
+     * result or a permanent refusal.
      *
-     * @param deadlineMillis by {@link System#nanoTime} in milliseconds
-     * @throws UnansweredException if the deadline passes before
+     * @param deadlineMillis the deadline on the clock of {@link System#nanoTime}, in milliseconds
+     * @throws UnansweredException if the deadline passes first
      */
     public JsonNode askLeader(ObjectNode call, long deadlineMillis)
             throws IOException, InterruptedException {
@@ -168,12 +169,12 @@
         }
     }
 
-    /** Has the next member asked. */
+    /** Moves the current member to the end of the queue. */
     private void rotate() {
         addresses.addLast(addresses.removeFirst());
     }
 
-    /** Has a change agreed, once, however often it must be asked for. */
+    /** Proposes a change; it is applied at most once, however often it is sent. */
     public JsonNode change(Change change, boolean force, long deadlineMillis)
             throws IOException, InterruptedException {
         if (session == 0) {
@@ -190,7 +191,7 @@
         return askLeader(call, deadlineMillis);
     }
 
-    /** The status of each member by address; of one that does not answer, why. */
+    /** Returns the status of each member by address, or the cause if it cannot be reached. */
     public Map<String, JsonNode> statuses() {
         Map<String, JsonNode> statuses = new LinkedHashMap<>();
         for (String address : List.copyOf(addresses)) {
--- a/src/main/java/rockshift/cluster/CommandCall.java
+++ b/src/main/java/rockshift/cluster/CommandCall.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One call of a command: a JSON object of plain fields. Immutable. */
+/** The decoded call of a command: a JSON object whose fields are scalar values. Immutable. */
 final class CommandCall {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -21,12 +21,12 @@
         Map<String, String> fields = new HashMap<>();
         try (JsonParser json = JSON.createParser(payload)) {
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("no JSON object");
+                throw new IOException("expected a JSON object");
             }
             while (json.nextToken() != JsonToken.END_OBJECT) {
                 String field = json.currentName();
                 if (!json.nextToken().isScalarValue()) {
-                    throw new IOException("field " + field + ": must be plain");
+                    throw new IOException("field " + field + ": must be a scalar value");
                 }
                 fields.put(field, json.getText());
             }
@@ -34,25 +34,25 @@
         return new CommandCall(fields);
     }
 
-    /** The caller's number of this call, which its reply repeats. */
+    /** Returns the caller's number of this call, which the reply repeats. */
     long callNumber() throws IOException {
         return number("call");
     }
 
-    /** A field's text, or null. */
+    /** Returns the text of a field, or null if it is absent. */
     String text(String field) {
         return fields.get(field);
     }
 
-    String text(String field, String absent) {
-        return fields.getOrDefault(field, absent);
+    String text(String field, String defaultValue) {
+        return fields.getOrDefault(field, defaultValue);
     }
 
     boolean flag(String field) {
         return Boolean.parseBoolean(fields.get(field));
     }
 
-    /** A field's number; 0 where the field is absent. */
+    /** Returns the number in a field, or 0 if it is absent. */
     long number(String field) throws IOException {
         try {
             return Long.parseLong(fields.getOrDefault(field, "0"));
--- a/src/main/java/rockshift/cluster/CommandReply.java
+++ b/src/main/java/rockshift/cluster/CommandReply.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The encoding of replies to commands: JSON objects that repeat the number of the call. */
+/** Encodes replies to commands as JSON objects that repeat the number of the call. */
 final class CommandReply {
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -30,7 +30,7 @@
         return bytes.toByteArray();
     }
 
-    /** The reply to a call that is refused. */
+    /** Encodes the reply to a call that is refused. */
     static byte[] refusal(long callNumber, String refusal) {
         return encode(callNumber, json -> json.writeStringField("refused", refusal));
     }
--- a/src/main/java/rockshift/cluster/CommandService.java
+++ b/src/main/java/rockshift/cluster/CommandService.java
@@ -8,11 +8,12 @@
 import rockshift.wire.Frames;
 
 /**
- * Carries out the calls of commands and replies to them. Calls come on the reactor's thread, which
- * hands them on to the member's; that one owns all else here.
+ * Executes the calls of commands and replies to them. {@link #callReceived} is called by the
+ * reactor's thread and queues the call for the member's thread; everything else is used only by the
+ * member's thread.
  */
 final class CommandService {
-    /** Whom to reply to, and under which number. */
+    /** The connection to reply on, and the caller's number of the call. */
     private record Caller(MemberConnection connection, long callNumber) {}
 
     private final MemberInputs inputs;
@@ -22,7 +23,7 @@
     private final ChangeHistory history;
     private final StatusWriter status;
 
-    /** By the engine's number of a request, who waits for its answer. */
+    /** The callers that wait for an answer, by the engine's request number. */
     private final Map<Long, Caller> callers = new HashMap<>();
 
     private long lastRequest;
@@ -42,7 +43,7 @@
         this.status = status;
     }
 
-    /** A call has come on a connection. Called by the reactor's thread. */
+    /** Queues a call for the member's thread. Called by the reactor's thread. */
     void callReceived(MemberConnection from, byte[] payload) {
         try {
             CommandCall call = CommandCall.parse(payload);
@@ -88,12 +89,12 @@
             case "transfer" -> engine.transferLeadership(request, memberId(call.text("name")));
             case "remove" -> engine.changeMembership(request, memberToRemove(call), true);
             case "add" -> engine.changeMembership(request, memberToAdd(call), false);
-            case "change" -> change(request, call);
-            default -> throw new IOException("field op: '" + operation + "' is not known");
+            case "change" -> proposeChange(request, call);
+            default -> throw new IOException("field op: unknown operation '" + operation + "'");
         }
     }
 
-    /** The id of the member with a name; 0 where there is none. */
+    /** Returns the id of the member with a name, or 0 if there is none. */
     private long memberId(String name) {
         Member member = name == null ? null : engine.raft().membership().byName(name);
         return member == null ? 0 : member.id();
@@ -109,21 +110,21 @@
         return new Member(call.number("id"), call.text("name"), call.text("address"), role);
     }
 
-    private void change(long request, CommandCall call) throws IOException {
+    private void proposeChange(long request, CommandCall call) throws IOException {
         Change change =
                 complete(Change.read(call.text("change", "").getBytes(StandardCharsets.UTF_8)));
-        String objection = objection(change, call);
-        if (objection != null) {
-            answer(request, new Engine.Answer(objection, new byte[0], 0, null));
+        String rejectionReason = rejectionReason(change, call);
+        if (rejectionReason != null) {
+            answer(request, new Engine.Answer(rejectionReason, new byte[0], 0, null));
         } else {
             engine.proposeChange(
                     request, call.number("session"), call.number("serial"), change.json());
         }
     }
 
-    /** Adds what the controller knows of the replica: its start and its zone. */
-    private Change complete(Change asked) {
-        Change change = asked;
+    /** Fills in the replica's start time and zone from the controller, if the call has none. */
+    private Change complete(Change requested) {
+        Change change = requested;
         if (change.kind() == Change.Kind.DRAIN && change.started() == 0) {
             change = change.startedAt(controller.startedMillis(change.subject()));
         }
@@ -134,18 +135,19 @@
     }
 
     /**
-     * Why a change is refused before it is proposed, or null. A change that is sent again is not
-     * checked here: it may have been applied, and only the state can tell, by its serial number.
+     * Returns why a change is refused before it is proposed, or null if it is not. A retried change
+     * is not checked: it may have been applied already, which only the client's session can tell by
+     * the serial number.
      */
-    private String objection(Change change, CommandCall call) {
+    private String rejectionReason(Change change, CommandCall call) {
         if (!engine.raft().isLeader() || call.flag("again")) {
             return null;
         }
-        String objection = agreed.objection(change);
-        if (objection == null && !call.flag("force")) {
-            objection = controller.objection(change, agreed.drains());
+        String rejectionReason = agreed.rejectionReason(change);
+        if (rejectionReason == null && !call.flag("force")) {
+            rejectionReason = controller.objection(change, agreed.drains());
         }
-        return objection;
+        return rejectionReason;
     }
 
     private void reply(long request, CommandReply.Fields fields) {
