--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -22,20 +22,21 @@
 import rockshift.wire.MessageCodec;
 
 /**
- * One running member of the cluster: puts its parts together, and starts and stops their threads.
+ * A running member of the cluster. It creates the member's components, and starts and stops their
+ * threads.
  *
- * <p>The member's own thread owns the engine and all that follows from it: it takes in the time,
- * then a batch of inputs, then lets the engine decide. The disk's thread, the reactor's and the
- * distribution's reach it through {@link MemberInputs}. {@link #start}, {@link #close} and the
- * getters may be called by any thread.
+ * <p>The member's thread owns the engine and everything that depends on its state. In each
+ * iteration it passes the time and a batch of inputs to the engine, and then runs the engine. The
+ * threads of the disk and the reactor pass their inputs through {@link MemberInputs}. {@link
+ * #start}, {@link #close} and the getters may be called by any thread.
  */
 public final class ClusterMember implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
 
-    /** How long the member's thread waits for an input before it looks at the clock again. */
+    /** How long the member's thread waits for an input before it reads the clock again. */
     private static final long MAX_WAIT_MS = 10;
 
-    /** How long the threads may take to end. */
+    /** How long {@link #close} waits for each thread to end. */
     private static final long STOP_TIMEOUT_MS = 500;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -57,16 +58,16 @@
     private final CommandService commands;
     private final Thread thread = new Thread(this::run, "agreement");
 
-    /** Publishes to the member's thread that it is to end. */
+    /** Tells the member's thread to end. */
     private volatile boolean closed;
 
-    /** Publishes whether it leads, as the member's thread last saw it. */
+    /** Whether this member is the leader, as last seen by the member's thread. */
     private volatile boolean leading;
 
     private int port;
 
     /**
-     * Opens the member's folder; takes no part before {@link #start}.
+     * Opens the member's folder and recovers its state. The member takes part after {@link #start}.
      *
      * @throws IOException if the folder is in use or cannot be recovered
      */
@@ -85,7 +86,7 @@
             connections =
                     new MemberConnections(
                             new FrameHandler(),
-                            distribution.port(),
+                            distribution.downstream(),
                             new SplittableRandom(random.nextLong()));
             engine = newEngine(recovered, new SplittableRandom(random.nextLong()));
             bootstrap = new ClusterBootstrap(settings, recovered, log, engine);
@@ -130,7 +131,7 @@
                 inputs, engine, agreed, controller, appliedChanges.history(), status);
     }
 
-    /** Listens and takes part. */
+    /** Starts to listen and to take part in the cluster. */
     public void start() throws IOException, InterruptedException {
         port = connections.listen(settings.listen());
         thread.setDaemon(true);
@@ -139,7 +140,7 @@
         diskWriter.start();
         thread.start();
         LOG.info(
-                "member {} ({}) listens on {}, port {}, {} entries, agreed version {}",
+                "member {} ({}) listens on {}, port {}, lastIndex={} version={}",
                 settings.name(),
                 Long.toHexString(bootstrap.memberId()),
                 settings.listen().getHostString(),
@@ -148,12 +149,12 @@
                 agreed.version());
     }
 
-    /** The port on which it listens. */
+    /** Returns the port that the member listens on. */
     public int port() {
         return port;
     }
 
-    /** Whether it leads, as its own thread last saw it. */
+    /** Returns whether this member is the leader, as last seen by the member's thread. */
     public boolean leads() {
         return leading;
     }
@@ -185,20 +186,22 @@
         }
         while (!closed) {
             try {
-                turn(batch);
+                runIteration(batch);
             } catch (InterruptedException stopped) {
                 return;
             } catch (RuntimeException failure) {
-                // What it holds in memory may be wrong now: a restart reads the disk anew.
-                LOG.error("member failed and stops here, restart this controller", failure);
+                // The state in memory may be wrong now; a restart recovers it from the disk.
+                LOG.error("member stopped after a failure, restart this controller", failure);
                 quorum.stopped();
                 return;
             }
         }
     }
 
-    /** Takes in the time and what waits, lets the engine decide, and tends what follows. */
-    private void turn(List<Runnable> batch) throws InterruptedException {
+    /**
+     * Passes the time and the waiting inputs to the engine, runs it, and updates its dependents.
+     */
+    private void runIteration(List<Runnable> batch) throws InterruptedException {
         Runnable first = inputs.poll(MAX_WAIT_MS);
         engine.tick(nowTicks());
         if (first != null) {
@@ -211,24 +214,24 @@
             batch.clear();
         }
         engine.run();
-        updateSurroundings();
+        updateDependents();
     }
 
-    /** Brings the distribution, the hello, the controller and the connections up to date. */
-    private void updateSurroundings() {
+    /** Updates the distribution, the hello, the controller and the connections. */
+    private void updateDependents() {
         leading = engine.raft().isLeader();
-        distribution.handOverAndNoteFreshness(bootstrap.clusterId(), agreed, engine.raft());
-        if (!hello.names(engine.raft().membership())) {
+        distribution.refresh(bootstrap.clusterId(), agreed, engine.raft());
+        if (!hello.hasMembership(engine.raft().membership())) {
             updateHello();
-            connections.greet();
+            connections.sendHello();
         }
         quorum.update(engine.raft());
-        connections.tend(
+        connections.update(
                 directory.otherAddresses(bootstrap.isPartOfCluster()),
                 System.nanoTime() / NANOS_PER_MILLI);
     }
 
-    /** Has new connections say who this member is now. */
+    /** Updates the hello and the peers' addresses to the current cluster and membership. */
     private void updateHello() {
         hello.update(bootstrap.clusterId(), engine.raft().membership());
         directory.invalidate();
@@ -238,21 +241,21 @@
         bootstrap.tryJoinOrFound(other);
         if (bootstrap.isPartOfCluster()) {
             updateHello();
-            connections.greet();
+            connections.sendHello();
         }
     }
 
     private void handleHello(Hello other) {
         bootstrap.helloReceived(other);
         if (other.members().get(bootstrap.memberId()) != null) {
-            directory.namedIn(other.members());
+            directory.membershipReceived(other.members());
         }
         if (!bootstrap.isPartOfCluster()) {
             tryJoinOrFound(other);
         }
     }
 
-    /** Frames of the connections. Called by the reactor's thread. */
+    /** Handles received frames. Called by the reactor's thread. */
     private final class FrameHandler implements MemberConnections.Handler {
         @Override
         public byte[] hello() {
@@ -282,7 +285,7 @@
         }
     }
 
-    /** What the engine orders. Called by the member's thread. */
+    /** Carries out the engine's output. Called by the member's thread. */
     private final class EngineEnvironment implements Engine.Environment {
         @Override
         public void send(Message message) {
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -11,15 +11,15 @@
 import rockshift.raft.Timing;
 
 /**
- * The block {@code cluster} of the operator's file: who it is, where it listens and keeps its
- * folder, who founded the cluster, and how long it waits. It is what one reading found and never
- * changes.
+ * The settings of a cluster member: its name, address and folder, the founders of the cluster, and
+ * its timeouts. Read once from the block {@code cluster} of the operator's file; immutable.
  *
- * @param founders by name: where those are that begin the cluster; empty for one that is added
- *     later
- * @param routes by name: where this member reaches another, if not at the address that all were
- *     told
- * @param subscribers relays and controllers that may subscribe here at a time
+ * @param founders the addresses of the members that found the cluster, by name; empty for a member
+ *     that is added later
+ * @param routes by name, the addresses at which this member reaches others, where they differ from
+ *     the agreed addresses
+ * @param subscribers the maximum number of relays and controllers that subscribe to this member at
+ *     a time
  */
 public record ClusterSettings(
         String name,
@@ -33,9 +33,9 @@
         Minority minority,
         int subscribers) {
     /**
-     * The operator's choice of what a controller may still change without a quorum: all, removals
-     * only, or nothing. The constants in lower case are the words of the operator's file. In effect
-     * it becomes a {@link LocalController.Reach}.
+     * What a controller may still change without a quorum, as chosen by the operator: everything,
+     * removals only, or nothing. The operator's file contains the names of the constants in lower
+     * case. The member derives the {@link LocalController.Reach} from it.
      */
     public enum Minority {
         SERVE,
@@ -47,7 +47,7 @@
     private static final int MAX_ELECTION_TIMEOUT_MS = 60_000;
     private static final int MAX_FOUNDERS = 5;
 
-    /** Reads the block, and refuses what it does not know. */
+    /** Reads the block {@code cluster}, and rejects unknown fields. */
     public static ClusterSettings read(Section file) throws InvalidFileException {
         Section cluster = file.block("cluster");
         if (cluster == null) {
@@ -83,17 +83,19 @@
     }
 
     private static Timing readTiming(Section cluster) throws InvalidFileException {
-        long election =
+        long electionTicks =
                 cluster.durationTicks(
                         "election", "1s", MIN_ELECTION_TIMEOUT_MS, MAX_ELECTION_TIMEOUT_MS);
-        long heartbeat = cluster.durationTicks("heartbeat", election / 50 + "ms", 5, 30_000);
-        if (heartbeat * 3 > election) {
-            throw cluster.invalid("heartbeat", "must be a third of election at most");
+        // The default is a fifth of the election timeout: 50 ticks of 100 us are 5 ms.
+        long heartbeatTicks =
+                cluster.durationTicks("heartbeat", electionTicks / 50 + "ms", 5, 30_000);
+        if (heartbeatTicks * 3 > electionTicks) {
+            throw cluster.invalid("heartbeat", "must be at most a third of election");
         }
         double drift = cluster.number("drift", 0.05, 0, 0.5);
         boolean leases = cluster.flag("leases", true);
         int batch = cluster.integer("batch", 512, 1, 4_096);
-        return new Timing(election, heartbeat, drift, leases, batch);
+        return new Timing(electionTicks, heartbeatTicks, drift, leases, batch);
     }
 
     private static Engine.Compaction readCompaction(Section cluster) throws InvalidFileException {
@@ -112,9 +114,9 @@
         Map<String, String> founders = readAddresses(cluster, "founder");
         int count = founders.size();
         if (count > 0 && !founders.containsKey(name)) {
-            throw cluster.invalid("founder", "does not name " + name + " itself");
+            throw cluster.invalid("founder", "must include this member (" + name + ")");
         } else if (count > MAX_FOUNDERS || count == 2 || count == 4) {
-            throw cluster.invalid("founder", "must name one, three or five, not " + count);
+            throw cluster.invalid("founder", "must name one, three or five members, not " + count);
         }
         return founders;
     }
--- a/src/main/java/rockshift/cluster/DiskWriter.java
+++ b/src/main/java/rockshift/cluster/DiskWriter.java
@@ -8,24 +8,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what must be durable, one task after the other, on a thread of its own, so that the
- * member's thread waits for no disk. A task that fails is tried until the disk takes it: what was
- * durable before it stays so.
+ * Runs disk writes one at a time on its own thread, so that the member's thread never waits for the
+ * disk. A write that fails is retried until it succeeds; data that was durable before it stays
+ * durable.
  */
 final class DiskWriter {
     private static final Logger LOG = LoggerFactory.getLogger(DiskWriter.class);
 
-    /** The pause between two tries of a task that failed. */
+    /** The pause before a failed task is retried. */
     private static final long RETRY_PAUSE_MS = 500;
 
-    /** A write to the disk; trying it again after a failure is safe. */
+    /** A write to the disk that is safe to retry after a failure. */
     interface DiskTask {
         void run() throws IOException;
     }
 
-    /** Hears of tries, on the member's thread. */
+    /** Receives the results of attempts on the member's thread. */
     interface StatusListener {
-        /** Called after each try, with whether the disk takes what it is given. */
+        /** Called after each attempt, with whether it succeeded. */
         void statusChanged(boolean works);
     }
 
@@ -35,16 +35,16 @@
     private final MemberInputs inputs;
     private final StatusListener listener;
 
-    /** Bounded by the protocol: it gives out one save at a time, and one snapshot. */
+    /** Bounded by the protocol, which has at most one save and one snapshot in progress. */
     private final LinkedBlockingQueue<QueuedTask> tasks = new LinkedBlockingQueue<>();
 
     private final Thread thread = new Thread(this::run, "agreement-disk");
 
-    /** Publishes to the writer's thread that it is to end. */
+    /** Tells the writer's thread to end. */
     private volatile boolean stopping;
 
-    /** Publishes to the member's thread why disk writes fail; empty while they work. */
-    private volatile String trouble = "";
+    /** Publishes to the member's thread why disk writes fail; empty while they succeed. */
+    private volatile String failureCause = "";
 
     DiskWriter(Path folder, MemberInputs inputs, StatusListener listener) {
         this.folder = folder;
@@ -57,17 +57,17 @@
         thread.start();
     }
 
-    /** Why disk writes fail; empty while they work. */
-    String trouble() {
-        return trouble;
+    /** Returns why disk writes fail; empty while they succeed. */
+    String failureCause() {
+        return failureCause;
     }
 
-    /** Queues a task; once it is durable, its completion runs on the member's thread. */
+    /** Queues a task; its completion runs on the member's thread once the task succeeded. */
     void submit(DiskTask task, Runnable completion) {
         tasks.add(new QueuedTask(task, completion));
     }
 
-    /** Has the thread end, whatever waits. */
+    /** Tells the thread to end; queued tasks are dropped. */
     void stop() {
         stopping = true;
         thread.interrupt();
@@ -101,9 +101,9 @@
     }
 
     private void succeeded(Runnable completion) throws InterruptedException {
-        if (!trouble.isEmpty()) {
-            LOG.info("disk writes work again folder={}", folder);
-            trouble = "";
+        if (!failureCause.isEmpty()) {
+            LOG.info("disk writes succeed again folder={}", folder);
+            failureCause = "";
         }
         inputs.put(
                 () -> {
@@ -113,13 +113,13 @@
     }
 
     private void failed(String cause) throws InterruptedException {
-        if (!cause.equals(trouble)) {
+        if (!cause.equals(failureCause)) {
             LOG.error(
-                    "disk writes fail: not voting, not acknowledging or applying new entries"
+                    "disk writes fail: not voting, and not acknowledging or applying new entries"
                             + " folder={} cause=\"{}\"",
                     folder,
                     cause);
-            trouble = cause;
+            failureCause = cause;
         }
         inputs.put(() -> listener.statusChanged(false));
     }
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -26,81 +26,88 @@
 import rockshift.raft.RaftNode;
 
 /**
- * Publishes the agreed state to the relays and controllers that subscribe at a member, on a thread
- * of its own, so that the cluster's protocol waits for none of it.
+ * Publishes the agreed state to the relays and controllers that subscribe to a member, on its own
+ * thread, so that the consensus protocol never waits for subscribers.
  *
- * <p>It owns that thread, which alone uses the publisher and its store. The member's thread hands
- * in what is agreed; subscribers' messages come from the reactor's thread. Both queue steps.
+ * <p>Only the publisher's thread uses the publisher and its store. The member's thread passes in
+ * the agreed state, and the reactor's thread passes in the subscribers' messages; both queue steps
+ * for the publisher's thread.
  */
 final class DistributionService implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionService.class);
 
     /**
-     * Changes that may wait to be published; beyond them the whole state is handed over once there
-     * is room.
+     * The maximum number of changes queued for publishing. Beyond it, the whole state is queued
+     * once no more changes are waiting.
      */
     private static final int MAX_PENDING_CHANGES = 10_000;
 
-    /** Ms between two looks at what is due, with subscribers and without. */
+    /** The interval between ticks of the publisher while there are connections. */
     private static final long TICK_MS = 50;
 
+    /** The interval between ticks of the publisher without connections. */
     private static final long IDLE_TICK_MS = 1_000;
 
-    /** How long the thread may take to end. */
+    /** How long {@link #close} waits for the thread to end. */
     private static final long STOP_TIMEOUT_MS = 500;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final DownstreamConnections port;
-    // Used by the publisher's thread alone.
+    private final DownstreamConnections downstream;
+    // Used only by the publisher's thread.
     private final ConfigurationStore store;
     private final Publisher publisher;
-    private boolean changed;
+    private boolean storeChanged;
 
-    /** Steps of the port are bounded there, changes of the member by {@link #pendingChanges}. */
+    /**
+     * Bounded by {@link #downstream} for subscribers' messages, and by {@link #pendingChanges} for
+     * changes.
+     */
     private final LinkedBlockingQueue<Runnable> steps = new LinkedBlockingQueue<>();
 
     private final AtomicInteger pendingChanges = new AtomicInteger();
-    private final Thread thread = new Thread(this::work, "distribution");
+    private final Thread thread = new Thread(this::run, "distribution");
 
-    /** Publishes to the publisher's thread that it is to end. */
+    /** Tells the publisher's thread to end. */
     private volatile boolean closed;
 
-    /** Publishes from the member's thread up to when what was handed over is the newest. */
-    private volatile long freshAt = Long.MIN_VALUE;
+    /**
+     * Publishes from the member's thread the time in ms up to which the queued state is the newest.
+     */
+    private volatile long freshAtMillis = Long.MIN_VALUE;
 
-    /** Publishes from the publisher's thread how publishing stands, for the status. */
+    /** Publishes the state of publishing from the publisher's thread, for the member's status. */
     private volatile PublishingStatus publishingStatus =
             new PublishingStatus(0, 0, new Summary(0, 0, 0, 0, 0));
 
-    // Used by the member's thread alone.
+    // Used only by the member's thread.
     private final Freshness freshness;
-    private final Map<String, Item> handedOver = new HashMap<>();
-    private Revision handedOverAt = Revision.NONE;
-    private boolean resendWhole;
+    private final Map<String, Item> queuedItems = new HashMap<>();
+    private Revision queuedRevision = Revision.NONE;
+    private boolean wholeStateDue;
 
     /**
-     * How publishing stands.
+     * The state of publishing.
      *
-     * @param connections open, those of relays included
-     * @param revision the number of what is published
-     * @param summary what is in force below
+     * @param connections the open connections, including those of relays
+     * @param revision the number of the published revision
+     * @param summary the state in force at the subscribers and below them
      */
     record PublishingStatus(int connections, long revision, Summary summary) {}
 
     /**
-     * A service that holds nothing yet.
+     * Creates a service without state.
      *
-     * @param subscribers connections that are served at most
-     * @param election of the member, in tenths of a ms
+     * @param subscribers the maximum number of connections served
+     * @param electionTimeoutTicks the member's election timeout, in ticks of 100 us
      */
-    DistributionService(int subscribers, long election, RandomGenerator random) {
+    DistributionService(int subscribers, long electionTimeoutTicks, RandomGenerator random) {
         Limits limits = DistributionSettings.limits(subscribers);
-        freshness = new Freshness(election);
-        port = new DownstreamConnections(subscribers, this::execute);
+        freshness = new Freshness(electionTimeoutTicks);
+        downstream = new DownstreamConnections(subscribers, this::execute);
         store = new ConfigurationStore(limits.sizes());
-        publisher = new Publisher(store, Scope.all(), limits, random, port);
-        port.serve(publisher);
+        publisher = new Publisher(store, Scope.all(), limits, random, downstream);
+        downstream.serve(publisher);
         thread.setDaemon(true);
     }
 
@@ -108,8 +115,8 @@
         thread.start();
     }
 
-    DownstreamConnections port() {
-        return port;
+    DownstreamConnections downstream() {
+        return downstream;
     }
 
     PublishingStatus publishingStatus() {
@@ -120,49 +127,49 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    /** A message of another member has come. */
+    /** Called for each message from another member. */
     void messageReceived(Message message, RaftNode raft) {
         freshness.messageReceived(message, raft, now());
     }
 
     /**
-     * To be called again and again: hands over all that is agreed where that could not be done
-     * change by change, and notes up to when it is fresh.
+     * Queues the whole agreed state if it could not be queued change by change, and updates the
+     * time up to which it is fresh. Called in each iteration of the member's thread.
      */
-    void handOverAndNoteFreshness(long cluster, AgreedState agreed, RaftNode raft) {
-        if (cluster != handedOverAt.cluster() || resendWhole && pendingChanges.get() == 0) {
+    void refresh(long cluster, AgreedState agreed, RaftNode raft) {
+        if (cluster != queuedRevision.cluster() || wholeStateDue && pendingChanges.get() == 0) {
             restored(cluster, agreed);
         }
-        freshAt = freshness.freshAt(raft, now());
+        freshAtMillis = freshness.freshAt(raft, now());
     }
 
-    /** All that is agreed may be another. */
+    /** Queues the whole agreed state, which may have been replaced. */
     void restored(long cluster, AgreedState agreed) {
         if (cluster == 0) {
             return;
         }
-        resendWhole = false;
-        handedOver.clear();
+        wholeStateDue = false;
+        queuedItems.clear();
         List<Item> items = AgreedItems.all(agreed);
-        items.forEach(item -> handedOver.put(item.key(), item));
+        items.forEach(item -> queuedItems.put(item.key(), item));
         Revision revision = new Revision(cluster, agreed.version());
-        handedOverAt = revision;
-        handOver(() -> store.reset(revision, items));
+        queuedRevision = revision;
+        enqueue(() -> store.reset(revision, items));
     }
 
-    /** A change was applied; it may have been refused there. */
+    /** Queues a change that was applied; does nothing if the agreed state refused it. */
     void applied(long cluster, AgreedState agreed, byte[] body) {
-        if (cluster != handedOverAt.cluster() || agreed.version() == handedOverAt.number()) {
+        if (cluster != queuedRevision.cluster() || agreed.version() == queuedRevision.number()) {
             return;
         }
         Revision revision = new Revision(cluster, agreed.version());
-        handedOverAt = revision;
+        queuedRevision = revision;
         List<Update> updates = List.of(update(revision, body));
         if (pendingChanges.get() >= MAX_PENDING_CHANGES) {
-            resendWhole = true;
+            wholeStateDue = true;
         }
-        if (!resendWhole) {
-            handOver(() -> store.apply(revision, updates));
+        if (!wholeStateDue) {
+            enqueue(() -> store.apply(revision, updates));
         }
     }
 
@@ -170,10 +177,11 @@
         try {
             Change change = Change.read(body);
             if (change.kind() == Change.Kind.BACK) {
-                return Update.delete(revision.number(), handedOver.remove(AgreedItems.key(change)));
+                return Update.delete(
+                        revision.number(), queuedItems.remove(AgreedItems.key(change)));
             }
             Item item = AgreedItems.item(change);
-            handedOver.put(item.key(), item);
+            queuedItems.put(item.key(), item);
             return Update.put(revision.number(), item);
         } catch (IOException impossible) {
             throw new IllegalStateException("an applied change cannot be decoded", impossible);
@@ -184,14 +192,14 @@
         void run() throws RejectionException;
     }
 
-    private void handOver(StoreStep step) {
+    private void enqueue(StoreStep step) {
         pendingChanges.incrementAndGet();
         steps.add(
                 () -> {
                     pendingChanges.decrementAndGet();
                     try {
                         step.run();
-                        changed = true;
+                        storeChanged = true;
                     } catch (RejectionException refused) {
                         LOG.error(
                                 "agreed change not published reason={} detail=\"{}\"",
@@ -201,7 +209,7 @@
                 });
     }
 
-    private void work() {
+    private void run() {
         List<Runnable> batch = new ArrayList<>();
         while (!closed) {
             try {
@@ -209,33 +217,36 @@
                         steps.poll(
                                 publisher.connections() > 0 ? TICK_MS : IDLE_TICK_MS,
                                 TimeUnit.MILLISECONDS);
-                // Read before the queue: what was agreed by then is in the queue.
-                long fresh = freshAt;
+                // Read before the queue, which then contains all changes agreed up to this time.
+                long currentFreshAtMillis = freshAtMillis;
                 if (first != null) {
                     batch.add(first);
                     steps.drainTo(batch);
-                    batch.forEach(this::guarded);
+                    batch.forEach(this::runLoggingFailure);
                     batch.clear();
                 }
-                guarded(() -> publish(fresh));
+                runLoggingFailure(() -> publish(currentFreshAtMillis));
             } catch (InterruptedException stopped) {
                 return;
             }
         }
     }
 
-    /** Has subscribers told of what changed; nothing else may come between a change and this. */
+    /**
+     * Notifies subscribers of changes to the store; must follow a change before any other use of
+     * the publisher.
+     */
     private void flush() {
-        if (changed) {
-            changed = false;
+        if (storeChanged) {
+            storeChanged = false;
             publisher.published(now());
         }
     }
 
-    private void publish(long fresh) {
+    private void publish(long currentFreshAtMillis) {
         flush();
-        if (fresh != Long.MIN_VALUE) {
-            publisher.freshAt(fresh);
+        if (currentFreshAtMillis != Long.MIN_VALUE) {
+            publisher.freshAt(currentFreshAtMillis);
         }
         publisher.tick(now());
         publishingStatus =
@@ -243,7 +254,7 @@
                         publisher.connections(), store.current().number(), publisher.summary());
     }
 
-    private void guarded(Runnable step) {
+    private void runLoggingFailure(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException failure) {
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -20,19 +20,23 @@
 import rockshift.wire.StateCodec;
 
 /**
- * One member's decisions: the protocol, the client sessions, and who waits for what. It does no
- * I/O, reads no clock and starts no thread, and the simulated cluster runs this same class.
+ * The core of a member: the Raft node, the client sessions, and the requests that wait for an
+ * answer. It does no I/O, reads no clock and starts no thread; the simulated cluster runs this same
+ * class.
  *
- * <p>One thread uses it: it hands in the time first, then what has come, and then has it {@link
- * #run}.
+ * <p>Not thread-safe. The caller passes in the time first, then the received inputs, and then calls
+ * {@link #run}.
  */
 public final class Engine implements RaftOutput {
-    /** What surrounds a member. Calls come on the engine's thread and must not wait. */
+    /** The host of an engine. Methods are called on the engine's thread and must not block. */
     public interface Environment {
-        /** Sends a message to another member; it may be lost. */
+        /** Sends a message to another member; the message may be lost. */
         void send(Message message);
 
-        /** Has a save made durable elsewhere, which ends in {@link Engine#writeCompleted}. */
+        /**
+         * Writes to disk asynchronously, and calls {@link Engine#writeCompleted} once it is
+         * durable.
+         */
         void save(
                 long writeNumber,
                 TermAndVote vote,
@@ -40,16 +44,16 @@
                 List<Entry> entries,
                 Snapshot snapshot);
 
-        /** Has a snapshot saved elsewhere, which ends in {@link Engine#snapshotSaved}. */
+        /** Saves a snapshot asynchronously, and calls {@link Engine#snapshotSaved} at the end. */
         void saveSnapshot(Snapshot snapshot);
 
         /** Answers a request. */
         void answer(long request, Answer answer);
 
-        /** An entry was applied here, with this outcome. */
+        /** Called after an entry was applied, with its outcome. */
         void applied(Entry entry, ClientSessions.Outcome outcome);
 
-        /** All that was applied was replaced by a snapshot's state. */
+        /** Called after a snapshot replaced the whole applied state. */
         void restored(long index);
 
         /** Logs an event of the protocol. */
@@ -59,12 +63,12 @@
     /**
      * The answer to a request.
      *
-     * @param refused null, or why it had no effect; {@link #UNKNOWN} where that cannot be told: ask
-     *     again, with the same serial number
-     * @param leader the address to ask, if another member leads
+     * @param refused why the request had no effect, or null; {@link #UNKNOWN} if it may have had
+     *     one, in which case it must be retried with the same serial number
+     * @param leader the address of the leader, if another member leads, or null
      */
     public record Answer(String refused, byte[] body, long index, String leader) {
-        /** In place of a reason: whether the request had an effect is not known. */
+        /** Instead of a reason: it is not known whether the request had an effect. */
         public static final String UNKNOWN = "unknown";
 
         static Answer refused(String reason, String leader) {
@@ -76,7 +80,7 @@
         }
     }
 
-    /** When a snapshot is taken: after so many entries, or so many bytes of them. */
+    /** The number of applied entries, or of bytes in the log, after which a snapshot is taken. */
     public record Compaction(long entries, long bytes) {}
 
     private final RaftNode raft;
@@ -85,14 +89,14 @@
     private final Environment environment;
     private final PendingProposals pending = new PendingProposals();
 
-    /** Whether a snapshot is being kept. */
+    /** Whether a snapshot is being saved. */
     private boolean savingSnapshot;
 
-    /** The entry up to which the last snapshot was taken. */
+    /** The index up to which the last snapshot was taken. */
     private long snapshotIndex;
 
     /**
-     * Builds a member from what its disk held.
+     * Creates an engine from the state recovered from the disk.
      *
      * @throws IOException if the snapshot's image cannot be decoded
      */
@@ -125,42 +129,42 @@
         }
     }
 
-    /** The protocol's state, for reading. */
+    /** Returns the Raft node, for reading only. */
     public RaftNode raft() {
         return raft;
     }
 
-    /** The sessions of clients, with the state machine. */
+    /** Returns the client sessions, with the state machine. */
     public ClientSessions sessions() {
         return sessions;
     }
 
-    /** The cluster was founded with these members, before anything else happened here. */
+    /** Sets the founders of a new cluster; called before any other input. */
     public void bootstrap(Membership members) {
         raft.bootstrap(members);
     }
 
-    /** Hands in the time. */
+    /** Passes in the time. */
     public void tick(long nowTicks) {
         raft.tick(nowTicks);
     }
 
-    /** Hands in a message of another member. */
+    /** Passes in a message from another member. */
     public void receive(Message message) {
         raft.receive(message);
     }
 
-    /** A save is durable. */
+    /** Called once a write is durable. */
     public void writeCompleted(long writeNumber) {
         raft.writeCompleted(writeNumber);
     }
 
-    /** Whether the disk takes what it is given. */
+    /** Called with whether the disk accepts writes. */
     public void diskStatusChanged(boolean works) {
         raft.diskStatusChanged(works);
     }
 
-    /** A snapshot is on the disk, or (null) could not be saved. */
+    /** Called once a snapshot was saved, or with null if it could not be. */
     public void snapshotSaved(Snapshot snapshot) {
         savingSnapshot = false;
         if (snapshot != null) {
@@ -168,12 +172,12 @@
         }
     }
 
-    /** Opens a session under a number that its client drew. */
+    /** Opens a session under an id that the client drew at random. */
     public void openSession(long request, long session) {
         propose(request, Entry.Kind.OPEN_SESSION, session, 0, new byte[0]);
     }
 
-    /** Proposes a change within a session; a serial number is applied once. */
+    /** Proposes a change in a session; a serial number is applied at most once. */
     public void proposeChange(long request, long session, long serial, byte[] body) {
         propose(request, Entry.Kind.CHANGE, session, serial, body);
     }
@@ -191,7 +195,7 @@
         }
     }
 
-    /** Answers with the state machine's image once it is known to be no older than the call. */
+    /** Answers with an image of the state machine that is at least as recent as the call. */
     public void requestRead(long request) {
         raft.requestRead(request);
     }
@@ -206,7 +210,7 @@
         }
     }
 
-    /** Hands leadership over to another member. */
+    /** Transfers leadership to another member. */
     public void transferLeadership(long request, long target) {
         ProposalRejection rejection = raft.transferLeadership(target);
         if (rejection != null) {
@@ -222,13 +226,16 @@
                 request, Answer.refused(rejection.code(), askLeader ? leaderAddress() : null));
     }
 
-    /** The leader's address, or null where none is known. */
+    /** Returns the leader's address, or null if no leader is known. */
     private String leaderAddress() {
         Member leader = raft.membership().get(raft.leader());
         return leader == null ? null : leader.address();
     }
 
-    /** Decides all that there is to decide now. */
+    /**
+     * Runs the protocol until it has no more output, answers the proposals that were abandoned, and
+     * takes a snapshot if one is due.
+     */
     public void run() {
         while (raft.poll(this)) {
             continue;
@@ -242,8 +249,8 @@
     }
 
     /**
-     * Another member leads now: whether the pending proposals will be agreed is not known here, and
-     * nobody is kept waiting for it.
+     * Answers the pending proposals as unknown. This member no longer leads and cannot know whether
+     * they will be committed, so their clients are not kept waiting.
      */
     private void abandonProposals() {
         Answer unknown = Answer.refused(Answer.UNKNOWN, leaderAddress());
@@ -258,7 +265,11 @@
         return manyEntries || manyBytes;
     }
 
-    /** Takes a snapshot of what is applied; false if one is under way or nothing is new. */
+    /**
+     * Takes a snapshot of the applied state.
+     *
+     * @return false if one is being saved already, or nothing was applied since the last one
+     */
     public boolean takeSnapshot() {
         if (savingSnapshot || raft.appliedIndex() <= raft.snapshot().index()) {
             return false;
@@ -273,7 +284,8 @@
                     new Snapshot(index, raft.log().term(index), raft.membershipAt(index), image));
             return true;
         } catch (IOException failure) {
-            throw new IllegalStateException("the state machine's image", failure);
+            throw new IllegalStateException(
+                    "cannot encode the image of the state machine", failure);
         }
     }
 
@@ -313,7 +325,11 @@
             StateCodec.restoreImage(snapshot.data(), sessions);
         } catch (IOException damaged) {
             throw new IllegalStateException(
-                    "snapshot of entry " + snapshot.index() + ": " + damaged.getMessage(), damaged);
+                    "cannot restore the snapshot at index "
+                            + snapshot.index()
+                            + ": "
+                            + damaged.getMessage(),
+                    damaged);
         }
         snapshotIndex = snapshot.index();
         environment.restored(snapshot.index());
--- a/src/main/java/rockshift/cluster/Freshness.java
+++ b/src/main/java/rockshift/cluster/Freshness.java
@@ -5,16 +5,17 @@
 import rockshift.raft.RaftNode;
 
 /**
- * Up to when what a member has applied was the newest that was agreed. A leader that a quorum
- * answered within an election timeout was the leader then. A follower is as fresh as its leader was
- * when it last announced its commit index, once the entries up to that are applied. Used by the
- * member's thread alone.
+ * Tracks the time up to which the state applied by a member is known to contain all committed
+ * changes. A leader that a quorum has answered within the last election timeout was still the
+ * leader at the start of that timeout. A follower is as fresh as its leader was when it announced
+ * its commit index, once the entries up to that index are applied. Used only by the member's
+ * thread.
  */
 final class Freshness {
     private final long electionTimeoutMillis;
     private long freshAtMillis = Long.MIN_VALUE;
 
-    /** The commit index that the leader has announced, while it is not applied here; or 0. */
+    /** The commit index that the leader announced and that is not yet applied here, or 0. */
     private long announcedIndex;
 
     private long announcedAtMillis;
@@ -23,7 +24,7 @@
         electionTimeoutMillis = electionTimeoutTicks / Ticks.TICKS_PER_MILLI;
     }
 
-    /** A message has come to the member. */
+    /** Called for each message from another member. */
     void messageReceived(Message message, RaftNode raft, long nowMillis) {
         if (message instanceof Message.AppendRequest append
                 && append.from() == raft.leader()
@@ -34,8 +35,8 @@
     }
 
     /**
-     * The time up to which all that was agreed is known to be applied here, in ms; {@link
-     * Long#MIN_VALUE} if it never was.
+     * Returns the time in ms up to which all committed changes are known to be applied here, or
+     * {@link Long#MIN_VALUE} if there is none.
      */
     long freshAt(RaftNode raft, long nowMillis) {
         if (raft.isLeader()) {
--- a/src/main/java/rockshift/cluster/IncomingConnectionLimits.java
+++ b/src/main/java/rockshift/cluster/IncomingConnectionLimits.java
@@ -1,14 +1,11 @@
 package rockshift.cluster;
 
-/**
- * Bounds the connections that others have opened, by what they turned out to be. Used by the
- * reactor's thread alone.
- */
+/** Limits the number of incoming connections in each role. Used only by the reactor's thread. */
 final class IncomingConnectionLimits {
-    /** Connections of members and of commands. */
+    /** The maximum number of connections of members and commands. */
     private static final int MAX_MEMBERS_AND_COMMANDS = 64;
 
-    /** What a connection turned out to be, by its first frame. */
+    /** The role of a connection, determined by its first frame. */
     enum Role {
         UNIDENTIFIED,
         MEMBER_OR_COMMAND,
@@ -23,10 +20,10 @@
     }
 
     /**
-     * Counts a connection in another role than before.
+     * Moves a connection to another role.
      *
-     * @param before its role before, or null
-     * @return whether there are no more of its new role than allowed
+     * @param before its role so far, or null
+     * @return whether the number of connections in the new role is within the limit
      */
     boolean enter(Role before, Role next) {
         leave(before);
@@ -34,7 +31,7 @@
         return open[next.ordinal()] <= max(next);
     }
 
-    /** Counts a connection no more; null for one that was never counted. */
+    /** Stops counting a connection; null stands for one that was never counted. */
     void leave(Role role) {
         if (role != null) {
             open[role.ordinal()]--;
--- a/src/main/java/rockshift/cluster/LocalController.java
+++ b/src/main/java/rockshift/cluster/LocalController.java
@@ -3,37 +3,40 @@
 import java.util.Map;
 
 /**
- * The controller that a member belongs to, as far as the agreed state concerns it. Calls come on
- * the member's thread and must not wait.
+ * The controller in the same process as a member. Methods are called on the member's thread and
+ * must not block.
  */
 public interface LocalController {
     /**
-     * How much a controller may change, by whether its member is in touch with a quorum: what the
-     * member passes to its controller. {@link ClusterSettings.Minority} is the operator's choice
-     * that it follows from, {@link rockshift.model.ControlScope} what the planner makes of it. The
-     * constants in lower case are words of {@code cluster status}.
+     * What a controller may change, which its member derives from its contact with a quorum and the
+     * operator's choice in {@link ClusterSettings.Minority}. The planner gets it as a {@link
+     * rockshift.model.ControlScope}. The output of {@code cluster status} contains the names of the
+     * constants in lower case.
      */
     enum Reach {
-        /** All: the member is in touch, or its file says so. */
+        /** Everything: the member has quorum contact, or the operator's file allows it without. */
         FULL,
-        /** Removals only: what the rules owe to replicas that drain. */
+        /** Only the removals that the rules require for replicas that drain. */
         WITHDRAW,
         /** Nothing. */
         HOLD
     }
 
-    /** Takes over all that is agreed, anew after each change. */
+    /** Applies the whole agreed state; called after each change. */
     void applyAgreed(long version, Map<String, Change> drains, Map<String, Double> overrides);
 
-    /** Takes over how much it may change. */
+    /** Sets what the controller may change. */
     void setReach(Reach reach);
 
-    /** Why the controller refuses a change, by what discovery lists now; null if it does not. */
+    /**
+     * Returns why the controller refuses a change, given the replicas that discovery lists now, or
+     * null if it accepts the change.
+     */
     String objection(Change change, Map<String, Change> drains);
 
-    /** When a listed replica last started, in ms of Unix time; 0 where that is not known. */
+    /** Returns the start time of a listed replica in ms of Unix time, or 0 if it is not known. */
     long startedMillis(String replica);
 
-    /** The zone of a listed replica; empty where that is not known. */
+    /** Returns the zone of a listed replica, or an empty text if it is not known. */
     String zoneOf(String replica);
 }
--- a/src/main/java/rockshift/cluster/MemberConnection.java
+++ b/src/main/java/rockshift/cluster/MemberConnection.java
@@ -11,57 +11,58 @@
 import rockshift.wire.Hello;
 
 /**
- * One connection of a member: to another member, or from a member, a command or a subscriber.
- * Frames come on the reactor's thread; {@link #send} may be called by any.
+ * A connection of a member: outgoing to another member, or incoming from a member, a command or a
+ * subscriber. Frames are received on the reactor's thread; {@link #send} may be called by any
+ * thread.
  */
 final class MemberConnection extends FramedConnection {
     private static final Logger LOG = LoggerFactory.getLogger(MemberConnection.class);
 
-    /** Bytes that may wait to be sent: a flight of full messages. */
+    /** The maximum number of bytes that wait to be sent: several messages of full size. */
     private static final int MAX_UNSENT_BYTES = 8 << 20;
 
-    /** How long a new connection may take until its first frame. */
+    /** How long a new connection may take to send its first frame. */
     private static final int IDENTIFY_TIMEOUT_MS = 2_000;
 
-    /** How long an identified one may be silent. */
+    /** How long an identified incoming connection may send nothing. */
     private static final int IDLE_TIMEOUT_MS = 60_000;
 
     private final MemberConnections connections;
 
-    /** What was dialled for this connection, or null where the other side has opened it. */
-    private final OutgoingPeer dialled;
+    /** The peer that this member connected to, or null for an incoming connection. */
+    private final OutgoingPeer outgoingPeer;
 
-    /** What the other member has said of itself, or null. */
+    /** The last hello received from the peer, or null. */
     private Hello peerHello;
 
-    /** Of a connection that the other side has opened. */
+    /** The role of an incoming connection, or null. */
     private Role role;
 
-    MemberConnection(IOSession session, MemberConnections connections, OutgoingPeer dialled) {
+    MemberConnection(IOSession session, MemberConnections connections, OutgoingPeer outgoingPeer) {
         super(session, connections.readBuffer(), MAX_UNSENT_BYTES);
         this.connections = connections;
-        this.dialled = dialled;
+        this.outgoingPeer = outgoingPeer;
     }
 
     @Override
     public void connected(IOSession same) {
-        if (dialled == null) {
+        if (outgoingPeer == null) {
             if (enter(Role.UNIDENTIFIED)) {
                 session().setSocketTimeout(Timeout.ofMilliseconds(IDENTIFY_TIMEOUT_MS));
             }
         } else {
-            dialled.connected(this);
+            outgoingPeer.connected(this);
             session().setSocketTimeout(Timeout.DISABLED);
             sendHello();
         }
     }
 
-    /** Says who this member is. */
+    /** Sends this member's hello. */
     void sendHello() {
         send(Frames.HELLO, connections.handler().hello());
     }
 
-    /** Takes on another role; closes the connection where there are too many of that. */
+    /** Changes the role; closes the connection if there are too many in the new role. */
     private boolean enter(Role next) {
         boolean allowed = connections.limits().enter(role, next);
         role = next;
@@ -91,7 +92,7 @@
         }
     }
 
-    /** Learns from its first frame what the connection is; false where there are too many. */
+    /** Determines the role from the first frame; returns false if that closed the connection. */
     private boolean identify(Frames.Frame first) {
         session().setSocketTimeout(Timeout.ofMilliseconds(IDLE_TIMEOUT_MS));
         boolean subscribes = first.kind() == Frames.WATCH;
@@ -106,7 +107,7 @@
 
     private void helloReceived(Hello hello) {
         peerHello = hello;
-        if (dialled == null) {
+        if (outgoingPeer == null) {
             sendHello();
         }
         connections.handler().helloReceived(hello);
@@ -115,7 +116,7 @@
     private void messageReceived(byte[] payload) throws IOException {
         if (peerHello == null) {
             throw new Frames.InvalidFrameException(
-                    "unexpected", "a message before its sender's name");
+                    "unexpected", "message received before the sender's hello");
         }
         connections.handler().messageReceived(payload, peerHello.cluster());
     }
@@ -133,8 +134,8 @@
     @Override
     protected void ended() {
         connections.limits().leave(role);
-        if (dialled != null) {
-            dialled.disconnected(this);
+        if (outgoingPeer != null) {
+            outgoingPeer.disconnected(this);
         }
         if (role == Role.SUBSCRIBER) {
             connections.subscribers().ended(this);
@@ -143,11 +144,14 @@
         }
     }
 
-    /** Commands come and go: the end of theirs is logged only where it was no ordinary one. */
+    /**
+     * Logs the end of the connection, except that of a command that ended normally, since commands
+     * connect often.
+     */
     private void logEnd() {
         String reason = reason();
         boolean ordinaryCommand = reason == null || reason.equals("left");
-        if (dialled == null && peerHello == null && ordinaryCommand) {
+        if (outgoingPeer == null && peerHello == null && ordinaryCommand) {
             return;
         }
         LOG.info(
--- a/src/main/java/rockshift/cluster/MemberConnections.java
+++ b/src/main/java/rockshift/cluster/MemberConnections.java
@@ -23,45 +23,49 @@
 import rockshift.wire.Hello;
 
 /**
- * A member's sockets: a listener of its own, and one outgoing connection to each other member. What
- * does not fit into a connection is dropped, since the protocol bears any loss; nothing here waits.
+ * The sockets of a member: a listener, and one outgoing connection to each other member. A message
+ * that does not fit into a connection's buffer is dropped, since the protocol tolerates message
+ * loss; sending never blocks.
  *
- * <p>It owns the reactor's threads. {@link #tend}, {@link #greet} and {@link #send} are called by
- * the member's thread; the handler is called by the reactor's.
+ * <p>Owns the reactor's threads. {@link #update}, {@link #sendHello} and {@link #send} are called
+ * by the member's thread; the handler is called by the reactor's thread.
  */
 final class MemberConnections implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(MemberConnections.class);
 
-    /** Bytes read from a connection at a time. */
+    /** The maximum number of bytes read from a connection at a time. */
     private static final int READ_CHUNK_BYTES = 64 << 10;
 
-    /** Connections that may wait to be accepted: all subscribers connecting at once. */
+    /**
+     * The maximum number of connections that wait to be accepted; allows for all subscribers
+     * connecting at once.
+     */
     private static final int ACCEPT_BACKLOG = 1_024;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** How often the reactor looks for connections that are idle. */
+    /** How often the reactor checks for idle connections. */
     private static final int IDLE_CHECK_INTERVAL_MS = 50;
 
-    /** How long all connections may take to close. */
+    /** How long {@link #close} waits for the connections to close. */
     private static final int SHUTDOWN_GRACE_MS = 300;
 
-    /** What hears of frames, on the reactor's thread. */
+    /** Handles received frames, on the reactor's thread. */
     interface Handler {
-        /** This member's own hello, encoded. */
+        /** Returns this member's own hello, encoded. */
         byte[] hello();
 
         void helloReceived(Hello hello);
 
         /**
-         * A message of the protocol.
+         * Handles a message of the protocol.
          *
-         * @param cluster the cluster that its sender belongs to
-         * @throws IOException if it cannot be decoded, which closes its connection
+         * @param cluster the id of the sender's cluster
+         * @throws IOException if the message cannot be decoded; the connection is then closed
          */
         void messageReceived(byte[] payload, long cluster) throws IOException;
 
-        /** A command; its answer goes to the connection that it came from. */
+        /** Handles the call of a command; the reply goes to the connection that it came from. */
         void callReceived(MemberConnection from, byte[] payload);
     }
 
@@ -71,7 +75,7 @@
     private final DefaultListeningIOReactor reactor;
     private final Map<String, OutgoingPeer> peersByAddress = new ConcurrentHashMap<>();
 
-    /** Used by the reactor's thread alone, by whichever connection is being read. */
+    /** Used only by the reactor's thread, for the connection that is being read. */
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_CHUNK_BYTES);
 
     private final IncomingConnectionLimits limits;
@@ -95,8 +99,8 @@
                                 new MemberConnection(
                                         session,
                                         this,
-                                        attachment instanceof OutgoingPeer dialled
-                                                ? dialled
+                                        attachment instanceof OutgoingPeer outgoingPeer
+                                                ? outgoingPeer
                                                 : null),
                         config,
                         null,
@@ -126,7 +130,7 @@
     }
 
     /**
-     * Begins to accept connections.
+     * Starts to accept connections.
      *
      * @return the port
      */
@@ -145,8 +149,11 @@
         reactor.awaitShutdown(TimeValue.ofMilliseconds(SHUTDOWN_GRACE_MS));
     }
 
-    /** Dials addresses that have no connection, and closes connections to any other address. */
-    void tend(Set<String> addresses, long nowMillis) {
+    /**
+     * Connects to the addresses that have no connection, and closes connections to all other
+     * addresses.
+     */
+    void update(Set<String> addresses, long nowMillis) {
         for (String gone : new HashSet<>(peersByAddress.keySet())) {
             if (!addresses.contains(gone)) {
                 MemberConnection connection = peersByAddress.remove(gone).connection();
@@ -157,14 +164,14 @@
         }
         for (String address : addresses) {
             OutgoingPeer peer = peersByAddress.computeIfAbsent(address, OutgoingPeer::new);
-            if (peer.isDialDue(nowMillis)) {
-                peer.dialStarted(nowMillis, random);
-                dial(address, peer);
+            if (peer.isConnectDue(nowMillis)) {
+                peer.connectStarted(nowMillis, random);
+                connect(address, peer);
             }
         }
     }
 
-    private void dial(String address, OutgoingPeer peer) {
+    private void connect(String address, OutgoingPeer peer) {
         InetSocketAddress remote = Section.parseAddress(address);
         reactor.connect(
                 new HttpHost(remote.getHostString(), remote.getPort()),
@@ -175,8 +182,8 @@
                 peer);
     }
 
-    /** Says anew on all outgoing connections who this member is. */
-    void greet() {
+    /** Sends this member's hello on all outgoing connections. */
+    void sendHello() {
         for (OutgoingPeer peer : peersByAddress.values()) {
             MemberConnection connection = peer.connection();
             if (connection != null) {
@@ -185,7 +192,7 @@
         }
     }
 
-    /** Sends a message to an address, if there is a connection that has room. */
+    /** Sends a message to an address; drops it if there is no connection with room for it. */
     void send(String address, byte[] payload) {
         OutgoingPeer peer = peersByAddress.get(address);
         MemberConnection connection = peer == null ? null : peer.connection();
--- a/src/main/java/rockshift/cluster/MemberDirectory.java
+++ b/src/main/java/rockshift/cluster/MemberDirectory.java
@@ -8,18 +8,19 @@
 import rockshift.raft.RaftNode;
 
 /**
- * Where the other members are: by the agreed membership, or before this member has any, by what
- * another one has said, or by the founders in the file. Used by the member's thread alone.
+ * The addresses of the other members. They come from the agreed membership or, before this member
+ * has one, from the membership that another member sent and from the founders in the operator's
+ * file. Used only by the member's thread.
  */
 final class MemberDirectory {
     private final ClusterSettings settings;
     private final long memberId;
     private final RaftNode raft;
 
-    /** The membership that another member has named this one in, or null. */
-    private Membership namedBy;
+    /** The last membership received that contains this member, or null. */
+    private Membership receivedMembership;
 
-    /** The addresses to be connected to, or null where they are to be worked out anew. */
+    /** The addresses to connect to, or null if they must be recomputed. */
     private Set<String> otherAddresses;
 
     MemberDirectory(ClusterSettings settings, long memberId, RaftNode raft) {
@@ -28,18 +29,18 @@
         this.raft = raft;
     }
 
-    /** Notes a membership that names this member. */
-    void namedIn(Membership membership) {
-        namedBy = membership;
+    /** Called with a membership from another member that contains this member. */
+    void membershipReceived(Membership membership) {
+        receivedMembership = membership;
         otherAddresses = null;
     }
 
-    /** The membership or the cluster is another than before. */
+    /** Called when the membership or the cluster has changed. */
     void invalidate() {
         otherAddresses = null;
     }
 
-    /** The addresses to be connected to. */
+    /** Returns the addresses to connect to. */
     Set<String> otherAddresses(boolean partOfCluster) {
         if (otherAddresses == null) {
             otherAddresses = findOtherAddresses(partOfCluster);
@@ -49,7 +50,7 @@
 
     private Set<String> findOtherAddresses(boolean partOfCluster) {
         Set<String> addresses = new HashSet<>();
-        for (Member member : reachable().all()) {
+        for (Member member : knownMembership().all()) {
             if (member.id() != memberId) {
                 addresses.add(route(member.name(), member.address()));
             }
@@ -64,14 +65,14 @@
         return addresses;
     }
 
-    private Membership reachable() {
+    private Membership knownMembership() {
         Membership agreed = raft.membership();
-        return agreed.all().isEmpty() && namedBy != null ? namedBy : agreed;
+        return agreed.all().isEmpty() && receivedMembership != null ? receivedMembership : agreed;
     }
 
-    /** Where messages to a member go; null for one that is not known. */
+    /** Returns the address for messages to a member, or null if the member is not known. */
     String addressOf(long member) {
-        Member known = reachable().get(member);
+        Member known = knownMembership().get(member);
         return known == null ? null : route(known.name(), known.address());
     }
 
@@ -79,7 +80,7 @@
         return settings.routes().getOrDefault(name, address);
     }
 
-    /** A member's name by the agreed membership, for the log and the status. */
+    /** Returns a member's name in the agreed membership, for the log and the status. */
     String nameOf(long member) {
         Member known = raft.membership().get(member);
         return known == null ? "none" : known.name();
--- a/src/main/java/rockshift/cluster/MemberHello.java
+++ b/src/main/java/rockshift/cluster/MemberHello.java
@@ -7,8 +7,8 @@
 import rockshift.wire.Hello;
 
 /**
- * What this member says of itself at the start of a connection, and again when it changes. Updated
- * by the member's thread, read by any.
+ * The hello that this member sends at the start of a connection, and again when its content
+ * changes. Updated by the member's thread, read by any thread.
  */
 final class MemberHello {
     private final long memberId;
@@ -17,7 +17,7 @@
     /** Publishes the encoded hello to the reactor's thread. */
     private volatile byte[] encoded;
 
-    /** The membership that it names. Used by the member's thread alone. */
+    /** The membership in the hello. Used only by the member's thread. */
     private Membership membership;
 
     MemberHello(long memberId, String name) {
@@ -29,8 +29,8 @@
         return encoded;
     }
 
-    /** Whether it names this very membership. */
-    boolean names(Membership current) {
+    /** Returns whether the hello was made from this same membership object. */
+    boolean hasMembership(Membership current) {
         return membership == current;
     }
 
--- a/src/main/java/rockshift/cluster/MemberInputs.java
+++ b/src/main/java/rockshift/cluster/MemberInputs.java
@@ -5,28 +5,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The bounded queue of inputs for the member's thread. Sockets offer and drop what does not fit,
- * like a lost message; the disk's thread waits for room, since its results must not be lost.
+ * The bounded queue of inputs for the member's thread. Inputs from sockets are dropped if the queue
+ * is full, like a lost message; the disk's thread waits for room, since its results must not be
+ * lost.
  */
 final class MemberInputs {
     private static final int QUEUE_CAPACITY = 20_000;
 
-    /** Inputs taken in before the engine decides. */
+    /** The maximum number of inputs moved into a batch before the engine runs. */
     private static final int MAX_BATCH = 1_000;
 
     private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>(QUEUE_CAPACITY);
 
-    /** Adds an input; false where the queue is full. */
+    /** Adds an input; returns false if the queue is full. */
     boolean offer(Runnable input) {
         return queue.offer(input);
     }
 
-    /** Adds an input, and waits until there is room for it. */
+    /** Adds an input; waits until there is room for it. */
     void put(Runnable input) throws InterruptedException {
         queue.put(input);
     }
 
-    /** Waits for an input; null after the timeout. */
+    /** Waits for an input; returns null after the timeout. */
     Runnable poll(long timeoutMillis) throws InterruptedException {
         return queue.poll(timeoutMillis, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/rockshift/cluster/OutgoingPeer.java
+++ b/src/main/java/rockshift/cluster/OutgoingPeer.java
@@ -7,13 +7,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Another member's address, its connection if there is one, and when to dial it next. The member's
- * thread decides when to dial; the reactor's thread reports what came of it.
+ * The address of another member, the connection to it if there is one, and the time of the next
+ * attempt to connect. The member's thread decides when to connect; the reactor's thread reports the
+ * result.
  */
 final class OutgoingPeer implements FutureCallback<IOSession> {
     private static final Logger LOG = LoggerFactory.getLogger(OutgoingPeer.class);
 
-    /** The pause between two dials doubles from the first to the last; half of it is random. */
+    /**
+     * The pause before the next attempt doubles from this to {@link #MAX_PAUSE_MS}; half of it is
+     * random.
+     */
     private static final long MIN_PAUSE_MS = 20;
 
     private static final long MAX_PAUSE_MS = 1_000;
@@ -23,37 +27,37 @@
     /** Publishes the open connection, or null, to the member's thread. */
     private volatile MemberConnection connection;
 
-    /** Publishes to the member's thread whether a dial is under way. */
-    private volatile boolean dialling;
+    /** Publishes to the member's thread whether an attempt to connect is in progress. */
+    private volatile boolean connecting;
 
-    /** Publishes to the member's thread that the pauses begin anew after a connection. */
+    /** The last pause; reset by the reactor's thread once connected. */
     private volatile long pauseMillis = MIN_PAUSE_MS;
 
-    /** Used by the member's thread alone. */
-    private long nextDialMillis;
+    /** Used only by the member's thread. */
+    private long nextConnectMillis;
 
-    /** Whether the failure to reach it was logged. Used by the reactor's thread alone. */
+    /** Whether the failure to connect was logged already. Used only by the reactor's thread. */
     private boolean failureLogged;
 
     OutgoingPeer(String address) {
         this.address = address;
     }
 
-    /** The open connection, or null. */
+    /** Returns the open connection, or null. */
     MemberConnection connection() {
         return connection;
     }
 
-    boolean isDialDue(long nowMillis) {
-        return connection == null && !dialling && nowMillis >= nextDialMillis;
+    boolean isConnectDue(long nowMillis) {
+        return connection == null && !connecting && nowMillis >= nextConnectMillis;
     }
 
-    /** Notes that a dial begins, and when the next one may. */
-    void dialStarted(long nowMillis, RandomGenerator random) {
-        dialling = true;
+    /** Records the start of an attempt, and the time of the next one. */
+    void connectStarted(long nowMillis, RandomGenerator random) {
+        connecting = true;
         long pause = Math.min(MAX_PAUSE_MS, 2 * pauseMillis);
         pauseMillis = pause;
-        nextDialMillis = nowMillis + pause / 2 + random.nextLong(pause / 2 + 1);
+        nextConnectMillis = nowMillis + pause / 2 + random.nextLong(pause / 2 + 1);
     }
 
     void connected(MemberConnection opened) {
@@ -70,20 +74,23 @@
 
     @Override
     public void completed(IOSession session) {
-        dialling = false;
+        connecting = false;
     }
 
     @Override
     public void failed(Exception failure) {
         if (!failureLogged) {
-            LOG.info("member not reached address={} cause=\"{}\"", address, failure.getMessage());
+            LOG.info(
+                    "connecting to member failed address={} cause=\"{}\"",
+                    address,
+                    failure.getMessage());
         }
         failureLogged = true;
-        dialling = false;
+        connecting = false;
     }
 
     @Override
     public void cancelled() {
-        dialling = false;
+        connecting = false;
     }
 }
--- a/src/main/java/rockshift/cluster/PendingProposals.java
+++ b/src/main/java/rockshift/cluster/PendingProposals.java
@@ -5,22 +5,22 @@
 import java.util.function.LongConsumer;
 
 /**
- * The requests that wait until the entry proposed for them is applied, by the entry's index. Used
- * by the engine's thread alone.
+ * The requests whose proposed entries are not applied yet, by the index of the entry. Used only by
+ * the engine's thread.
  */
 final class PendingProposals {
-    /** Requests that may wait; more are refused as busy. */
+    /** The maximum number of pending requests; more are refused as busy. */
     private static final int MAX_PENDING = 20_000;
 
     private record Pending(long request, long term) {}
 
-    /** Hears of requests whose wait is over. */
+    /** Receives the requests that are no longer pending. */
     interface Completion {
         /**
-         * The entry at a request's index was applied.
+         * Called when the entry at a request's index was applied.
          *
-         * @param same whether it is the entry that was proposed for the request; another leader may
-         *     have put its own in that place
+         * @param same whether it is the entry proposed for the request; another leader may have
+         *     replaced it by its own
          */
         void completed(long request, boolean same);
     }
@@ -35,12 +35,12 @@
         return byIndex.isEmpty();
     }
 
-    /** Notes that a request waits for an entry of a term. */
+    /** Adds a request that waits for the entry with an index and a term. */
     void add(long index, long request, long term) {
         byIndex.put(index, new Pending(request, term));
     }
 
-    /** Ends the wait of all requests up to an applied entry. */
+    /** Completes all requests up to an applied entry. */
     void applied(long index, long term, Completion completion) {
         while (!byIndex.isEmpty() && byIndex.firstKey() <= index) {
             Map.Entry<Long, Pending> first = byIndex.pollFirstEntry();
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Ends the wait of all requests without an outcome. */
+    /** Removes all requests without an outcome. */
     void abandonAll(LongConsumer abandoned) {
         byIndex.values().forEach(pending -> abandoned.accept(pending.request));
         byIndex.clear();
--- a/src/main/java/rockshift/cluster/QuorumContactReporter.java
+++ b/src/main/java/rockshift/cluster/QuorumContactReporter.java
@@ -6,8 +6,8 @@
 import rockshift.raft.RaftNode;
 
 /**
- * Passes to the controller how much it may change, by whether this member is in touch with a
- * quorum. Used by the member's thread alone.
+ * Tells the controller what it may change, depending on this member's contact with a quorum. Used
+ * only by the member's thread.
  */
 final class QuorumContactReporter {
     private static final Logger LOG = LoggerFactory.getLogger(QuorumContactReporter.class);
@@ -16,7 +16,7 @@
     private final LocalController controller;
     private final MemberDirectory directory;
 
-    /** What was last reported to the controller, or null. */
+    /** The value last passed to the controller, or null. */
     private LocalController.Reach reported;
 
     QuorumContactReporter(
@@ -26,12 +26,12 @@
         this.directory = directory;
     }
 
-    /** What was last reported to the controller, or null. */
+    /** Returns the value last passed to the controller, or null. */
     LocalController.Reach reported() {
         return reported;
     }
 
-    /** Passes it to the controller if that has changed. */
+    /** Passes the present value to the controller if it has changed. */
     void update(RaftNode raft) {
         boolean contact = raft.hasQuorumContact();
         LocalController.Reach reach = contact ? LocalController.Reach.FULL : withoutQuorum();
@@ -42,15 +42,15 @@
         reported = reach;
         controller.setReach(reach);
         if (contact) {
-            LOG.info("quorum contact leader={}", directory.nameOf(raft.leader()));
+            LOG.info("quorum contact established leader={}", directory.nameOf(raft.leader()));
         } else if (!first) {
             LOG.warn(
-                    "quorum contact lost, nothing new is agreed here minority={}",
+                    "quorum contact lost, this member applies no new changes minority={}",
                     settings.minority().name().toLowerCase(Locale.ROOT));
         }
     }
 
-    /** Tells the controller that this member takes no part any more. */
+    /** Limits the controller as without a quorum, since this member has stopped. */
     void stopped() {
         controller.setReach(withoutQuorum());
     }
--- a/src/main/java/rockshift/cluster/StatusWriter.java
+++ b/src/main/java/rockshift/cluster/StatusWriter.java
@@ -6,7 +6,7 @@
 import rockshift.raft.Member;
 import rockshift.raft.RaftNode;
 
-/** Writes a member's status as commands read it. Used by the member's thread alone. */
+/** Writes a member's status as JSON for commands. Used only by the member's thread. */
 final class StatusWriter {
     private final ClusterSettings settings;
     private final RaftNode raft;
@@ -64,7 +64,10 @@
         json.writeBooleanField("leased", status.holdsLease());
     }
 
-    /** The role as the status tells it: commands and their users know the pre-vote as a trial. */
+    /**
+     * Returns the role in the status, where commands and their users know a pre-candidate as a
+     * trial.
+     */
     private static String roleWord(RaftNode.Role role) {
         return role == RaftNode.Role.PRE_CANDIDATE ? "trial" : role.name().toLowerCase(Locale.ROOT);
     }
@@ -77,17 +80,17 @@
         json.writeNumberField("last", status.lastIndex());
         json.writeNumberField("snapshot", raft.snapshot().index());
         json.writeNumberField("version", agreed.version());
-        json.writeStringField("disk", disk.trouble());
+        json.writeStringField("disk", disk.failureCause());
     }
 
     private void writeDistribution(JsonGenerator json) throws IOException {
-        DistributionService.PublishingStatus standing = distribution.publishingStatus();
+        DistributionService.PublishingStatus publishing = distribution.publishingStatus();
         json.writeObjectFieldStart("distribution");
-        json.writeNumberField("connections", standing.connections());
-        json.writeNumberField("subscribers", standing.summary().subscribers());
-        json.writeNumberField("lowest", standing.summary().lowestRevision());
-        json.writeNumberField("behind", standing.summary().behind());
-        json.writeNumberField("unreachable", standing.summary().unreachable());
+        json.writeNumberField("connections", publishing.connections());
+        json.writeNumberField("subscribers", publishing.summary().subscribers());
+        json.writeNumberField("lowest", publishing.summary().lowestRevision());
+        json.writeNumberField("behind", publishing.summary().behind());
+        json.writeNumberField("unreachable", publishing.summary().unreachable());
         json.writeEndObject();
     }
 
--- a/src/main/java/rockshift/cluster/package-info.java
+++ b/src/main/java/rockshift/cluster/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A member of the agreement as it runs: its connections and threads, and what is agreed. It must
- * never use the proxies' listener, decide what stands in a table, or promise anything before it is
- * durable. The protocol's decisions are {@code rockshift.raft}'s, the files {@code
- * rockshift.storage}'s.
+ * A running member of the cluster: its connections and threads, and the agreed state. This package
+ * must never use the proxies' listener, decide the content of a routing table, or acknowledge
+ * anything before it is durable. The Raft protocol is in {@code rockshift.raft}, the files are in
+ * {@code rockshift.storage}.
  */
 package rockshift.cluster;
