--- a/src/main/java/rockshift/testkit/FaultInjection.java
+++ b/src/main/java/rockshift/testkit/FaultInjection.java
@@ -7,32 +7,33 @@
 import rockshift.raft.TermAndVote;
 
 /**
- * The points at which the code of simulated members can be made wrong. As it stands nothing is; a
- * test of the checks overrides one method, and the explorer must find it.
+ * The points at which faults can be injected into simulated members and hosts. This class injects
+ * no code faults; a test of the checks overrides one method, and the explorer must find the
+ * violation.
  */
 public class FaultInjection {
-    /** The safety conditions that the members go by. */
+    /** The safety rules of the members. */
     public SafetyRules rules() {
         return new SafetyRules();
     }
 
-    /** Whether disks say that they have synced without doing so. */
+    /** Whether disks report a sync without making data durable. */
     public boolean skipsSync() {
         return false;
     }
 
-    /** The vote as it reaches the disk. */
+    /** The term and vote that are written to disk in place of the given ones. */
     public TermAndVote persistedVote(TermAndVote vote) {
         return vote;
     }
 
-    /** The sessions as a member takes them from its own disk. */
+    /** The client sessions that a member restores from its disk in place of the given ones. */
     public List<ClientSessions.Session> recoveredSessions(List<ClientSessions.Session> sessions) {
         return sessions;
     }
 
-    /** The number of a member whose disk was wiped. */
-    public long memberIdAfterWipe(long before, RandomGenerator random) {
+    /** The ID of a member after its disk was wiped. */
+    public long memberIdAfterWipe(long previousId, RandomGenerator random) {
         return randomId(random);
     }
 
@@ -40,7 +41,7 @@
         return random.nextLong() >>> 1 | 1;
     }
 
-    /** How far clocks drift from the true rate at most, as a fraction. */
+    /** The maximum deviation of clock rates from the true rate, as a fraction. */
     public double maxClockDrift() {
         return 0.04;
     }
--- a/src/main/java/rockshift/testkit/FaultyNetwork.java
+++ b/src/main/java/rockshift/testkit/FaultyNetwork.java
@@ -6,11 +6,11 @@
 import rockshift.model.Ticks;
 
 /**
- * What the network of a simulated cluster does to messages: cuts between members, loss, doubles and
- * delays.
+ * The simulated network of a cluster: injects partitions, message loss, duplication and delay.
+ * Single-threaded, in simulated time.
  */
 final class FaultyNetwork {
-    /** Tenths of a ms: the longest delays that a disturbed network may have. */
+    /** The maximum message delays that {@link #disturb} chooses from. */
     private static final long[] DISTURBED_DELAYS_TICKS = {100, 1_000, 3_000, 20_000};
 
     private final boolean[][] partition;
@@ -22,11 +22,11 @@
         partition = new boolean[members][members];
     }
 
-    /** Ends all faults; what is sent then takes so long at most. */
-    void heal(long delayTicks) {
+    /** Ends all faults and sets the maximum message delay. */
+    void heal(long newMaxDelayTicks) {
         lossRatio = 0;
         duplicateRatio = 0;
-        maxDelayTicks = delayTicks;
+        maxDelayTicks = newMaxDelayTicks;
         for (boolean[] row : partition) {
             Arrays.fill(row, false);
         }
@@ -36,7 +36,7 @@
         partition[from][to] = partitioned;
     }
 
-    /** Draws how much is lost, doubled and delayed from now on. */
+    /** Draws new ratios of loss and duplication and a new maximum delay. */
     void disturb(RandomGenerator random) {
         lossRatio = random.nextBoolean() ? 0 : random.nextDouble(0.3);
         duplicateRatio = random.nextBoolean() ? 0 : random.nextDouble(0.2);
@@ -48,7 +48,7 @@
         return partition[from][to] || loses(random);
     }
 
-    /** Whether a message on a way that is never cut is lost, as between a client and a member. */
+    /** Whether a message is lost on a link without partitions, as between client and member. */
     boolean loses(RandomGenerator random) {
         return random.nextDouble() < lossRatio;
     }
@@ -57,7 +57,7 @@
         return random.nextDouble() < duplicateRatio;
     }
 
-    /** The longest delay of a message, in tenths of a ms. */
+    /** The maximum delay of a message, in ticks of 100 us. */
     long maxDelayTicks() {
         return maxDelayTicks;
     }
@@ -66,7 +66,7 @@
     public String toString() {
         return String.format(
                 Locale.ROOT,
-                "loses %.2f, doubles %.2f, delays up to %.1f ms",
+                "loss ratio %.2f, duplicate ratio %.2f, delay up to %.1f ms",
                 lossRatio,
                 duplicateRatio,
                 maxDelayTicks / (double) Ticks.TICKS_PER_MILLI);
