--- a/src/main/java/rockshift/testkit/ChangeProposer.java
+++ b/src/main/java/rockshift/testkit/ChangeProposer.java
@@ -8,8 +8,8 @@
 import rockshift.cluster.ClusterClient;
 
 /**
- * A client of a {@link FaultTrial} that proposes one change after the other, each with a reason of
- * its own by which it is found again. Runs on the thread that calls {@link #run}.
+ * A client of a {@link FaultTrial} that proposes changes one at a time, each with a unique reason
+ * that identifies it in the logs. Runs on the thread that calls {@link #run}.
  */
 final class ChangeProposer {
     private static final int CALL_TIMEOUT_MILLIS = 1_500;
@@ -21,7 +21,7 @@
     private final SplittableRandom random;
     private final TrialRecord record;
 
-    /** Says to the proposing thread that the trial is over. */
+    /** Set when the trial ends; read by the proposing thread. */
     private volatile boolean stopped;
 
     ChangeProposer(
@@ -36,7 +36,7 @@
         stopped = true;
     }
 
-    /** Proposes until it is stopped. */
+    /** Proposes changes until {@link #stop} is called. */
     void run() {
         try (ClusterClient client = new ClusterClient(addresses, random, CALL_TIMEOUT_MILLIS)) {
             for (int serial = 0; !stopped; serial++) {
@@ -60,13 +60,14 @@
             if (client.change(change, true, deadlineMillis).path("answer").has("version")) {
                 record.acknowledged(reason);
             }
-            record.answeredAfter(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNanos));
+            record.recordCommitLatency(
+                    TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedNanos));
         } catch (IOException unknown) {
             record.problem(reason + " not answered: " + unknown.getMessage());
         }
     }
 
-    /** A setting, a hold and the end of that hold in turn. */
+    /** Returns in turn a setting, a hold and the end of that hold. */
     private Change change(int serial, String reason) {
         return switch (serial % 3) {
             case 0 ->
--- a/src/main/java/rockshift/testkit/FaultyLink.java
+++ b/src/main/java/rockshift/testkit/FaultyLink.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A TCP link from one member to another on loopback, which can be cut, slowed, or made to lose and
- * double whole frames. What it does to a frame comes from its seed. A cut says nothing: the
- * connection stays open and silent, as when a machine is cut off.
+ * A TCP link from one member to another on loopback that can be partitioned, delayed, or made to
+ * lose and duplicate whole frames. Losses and duplicates are drawn from a seed. During a partition
+ * the connections stay open and silent, as when a machine is isolated.
  */
 public final class FaultyLink implements AutoCloseable {
     private static final int MAX_FRAME_BYTES = 1 << 21;
@@ -25,7 +25,8 @@
     private final SplittableRandom random;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    // Set by the trial's thread, read by those that forward frames: faults act on the next frame.
+    // Written by the trial's thread and read by the forwarding threads: a fault takes effect on the
+    // next frame.
     private volatile int targetPort;
     private volatile boolean partitioned;
     private volatile boolean reversePartitioned;
@@ -33,7 +34,7 @@
     private volatile double duplicateRatio;
     private volatile long delayMillis;
 
-    /** Listens on a free port; {@link #connectTo} says where it leads. */
+    /** Listens on a free port; {@link #connectTo} sets the target. */
     public FaultyLink(long seed) throws IOException {
         random = new SplittableRandom(seed);
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -46,28 +47,30 @@
         thread.start();
     }
 
-    /** Where to dial to come through it. */
+    /** The address to connect to in order to use the link. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Where it leads from now on: a member has another port after each start. */
+    /**
+     * Sets the target port, as a member has another port after each start, and closes connections.
+     */
     public void connectTo(int port) {
         targetPort = port;
         closeAll();
     }
 
-    /** Whether it drops all frames, both ways, with its connections open. */
+    /** Sets whether all frames are dropped in both directions while connections stay open. */
     public void setPartitioned(boolean now) {
         partitioned = now;
     }
 
-    /** Whether it drops the frames of the answering side alone. */
+    /** Sets whether only the frames of the accepting side are dropped. */
     public void setReversePartitioned(boolean now) {
         reversePartitioned = now;
     }
 
-    /** Loses and duplicates so much of what the dialling side sends, and delays it. */
+    /** Sets loss, duplication and delay of the frames that the connecting side sends. */
     public void disturb(double newLossRatio, double newDuplicateRatio, long newDelayMillis) {
         lossRatio = newLossRatio;
         duplicateRatio = newDuplicateRatio;
@@ -95,8 +98,8 @@
                     startThread(() -> forward(from, to, true));
                     startThread(() -> forward(to, from, false));
                 } catch (IOException refused) {
-                    // The target is down: the dialling side sees the connection end, and dials
-                    // again.
+                    // The target is down: the connecting side sees its connection end and
+                    // reconnects.
                     closeAndForget(from);
                     closeAndForget(to);
                 }
@@ -111,7 +114,7 @@
         close(socket);
     }
 
-    /** Forwards frames in one direction; faults are done to those of the dialling side. */
+    /** Forwards frames in one direction; {@code disturbed} is set for the connecting side's. */
     private void forward(Socket from, Socket to, boolean disturbed) {
         try (from;
                 to) {
@@ -145,7 +148,7 @@
                 }
             }
         } catch (IOException ended) {
-            // One side went; the other is closed with it.
+            // One side ended; the try block closes the other.
         } finally {
             openSockets.remove(from);
             openSockets.remove(to);
@@ -156,7 +159,7 @@
         try {
             socket.close();
         } catch (IOException gone) {
-            // It is closed all the same.
+            // A failed close releases the socket as well.
         }
     }
 
--- a/src/main/java/rockshift/testkit/LoggedProcess.java
+++ b/src/main/java/rockshift/testkit/LoggedProcess.java
@@ -11,10 +11,11 @@
 import java.util.regex.Pattern;
 
 /**
- * A process of this program that logs the port on which it serves; ended with whoever started it.
+ * A child process of this program that logs the port on which it serves. It is killed when this JVM
+ * shuts down.
  */
 public final class LoggedProcess implements AutoCloseable {
-    private static final int START_SECONDS = 60;
+    private static final int START_TIMEOUT_SECONDS = 60;
 
     private final Process process;
     private final Pattern portLine;
@@ -23,10 +24,10 @@
     private final Thread shutdownHook;
 
     /**
-     * Starts it.
+     * Starts the process.
      *
-     * @param portLine finds the port as its first group in a logged line
-     * @param lines hears each logged line, on a thread of its own
+     * @param portLine matches the log line with the port, which is its first group
+     * @param lines receives each log line, on a separate thread
      */
     public LoggedProcess(ProcessBuilder builder, Pattern portLine, Consumer<String> lines)
             throws IOException {
@@ -43,45 +44,49 @@
     private void readLog() {
         try (BufferedReader log = process.inputReader()) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
-                Matcher serves = portLine.matcher(line);
-                if (serves.find()) {
-                    port.complete(Integer.parseInt(serves.group(1)));
+                Matcher portMatcher = portLine.matcher(line);
+                if (portMatcher.find()) {
+                    port.complete(Integer.parseInt(portMatcher.group(1)));
                 }
                 lines.accept(line);
             }
         } catch (IOException killed) {
             // The process was killed.
         }
-        port.completeExceptionally(new IOException("the process ended before it served"));
+        port.completeExceptionally(new IOException("process ended before it logged its port"));
     }
 
-    /** Waits until it serves, and returns the port. */
+    /**
+     * Waits until the process serves, and returns its port.
+     *
+     * @throws IOException if the process ends before, or does not serve within 60 s
+     */
     public int awaitPort() throws IOException, InterruptedException {
         try {
-            return port.get(START_SECONDS, TimeUnit.SECONDS);
+            return port.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException failure) {
-            throw new IOException("a process does not serve: " + failure.getMessage(), failure);
+            throw new IOException(
+                    "process did not start serving: " + failure.getMessage(), failure);
         }
     }
 
-    /** Its process id. */
+    /** The process ID. */
     public long pid() {
         return process.pid();
     }
 
-    /** Whether it has not ended. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Kills it and waits until it has gone. */
+    /** Kills the process and waits until it has ended. */
     @Override
     public void close() {
         process.destroyForcibly().onExit().join();
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
-        } catch (IllegalStateException ending) {
-            // The hook runs already.
+        } catch (IllegalStateException shutdownInProgress) {
+            // The JVM is already shutting down.
         }
     }
 }
--- a/src/main/java/rockshift/testkit/ProgramCommand.java
+++ b/src/main/java/rockshift/testkit/ProgramCommand.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * How this program is started as a process of its own, with the options of {@code
+ * Command lines that start this program as a child process, with the JVM options of {@code
  * deploy/balancer.toml}.
  */
 public final class ProgramCommand {
@@ -24,24 +24,24 @@
 
     private ProgramCommand() {}
 
-    /** A controller on this program's own classes; what it logs comes on the process's output. */
+    /** Returns the command of a controller, which logs to the process's output. */
     public static ProcessBuilder serve(
             Path configuration, List<String> moreOptions, List<String> arguments) {
-        List<String> words = new ArrayList<>(List.of("serve"));
-        words.addAll(arguments);
-        ProcessBuilder builder = command(moreOptions, words);
+        List<String> commandArguments = new ArrayList<>(List.of("serve"));
+        commandArguments.addAll(arguments);
+        ProcessBuilder builder = command(moreOptions, commandArguments);
         builder.environment().put("RELAY_CONFIG", configuration.toString());
         return builder;
     }
 
-    /** Any command on this program's own classes. */
-    public static ProcessBuilder command(List<String> moreOptions, List<String> words) {
+    /** Returns a command that runs on the class path of this JVM. */
+    public static ProcessBuilder command(List<String> moreOptions, List<String> arguments) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(OPTIONS);
         command.addAll(moreOptions);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "rockshift.Main"));
-        command.addAll(words);
+        command.addAll(arguments);
         return new ProcessBuilder(command).redirectErrorStream(true);
     }
 }
--- a/src/main/java/rockshift/testkit/ProxyTraffic.java
+++ b/src/main/java/rockshift/testkit/ProxyTraffic.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A proxy and the collector of its zone at one controller of a {@link FaultTrial}. Their reports
- * vary, so that the controller sends new tables all the time. Runs on the thread that calls {@link
- * #run}, and reads commands on one of its own.
+ * A simulated proxy and the collector of its zone, connected to one controller of a {@link
+ * FaultTrial}. Their reports vary, so that the controller keeps sending new tables. Runs on the
+ * thread that calls {@link #run}, and reads commands on a separate thread.
  */
 final class ProxyTraffic {
     private static final int REPLICAS = 6;
@@ -26,7 +26,7 @@
     private final TrialRecord record;
     private final SplittableRandom random;
 
-    /** Says to the reporting thread that the trial is over. */
+    /** Set when the trial ends; read by the reporting thread. */
     private volatile boolean stopped;
 
     ProxyTraffic(int member, ControllerProcesses controllers, TrialRecord record) {
@@ -40,7 +40,7 @@
         stopped = true;
     }
 
-    /** Reports until it is stopped, and connects again after each failure. */
+    /** Sends reports until {@link #stop} is called, and reconnects after each failure. */
     void run() {
         while (!stopped) {
             int port = controllers.proxyPort(member);
@@ -59,7 +59,7 @@
     private void report(Socket proxy, Socket collector) throws IOException, InterruptedException {
         send(proxy, "joined", "sidecar", "0", "az", "hall-a", "share", "20", "standing", "1");
         send(collector, "collector", "az", "hall-a");
-        Thread reader = new Thread(() -> readCommands(proxy), "orders of n" + member);
+        Thread reader = new Thread(() -> readCommands(proxy), "commands of n" + member);
         reader.setDaemon(true);
         reader.start();
         while (!stopped) {
--- a/src/main/java/rockshift/testkit/StaticDiscoveryServer.java
+++ b/src/main/java/rockshift/testkit/StaticDiscoveryServer.java
@@ -16,14 +16,14 @@
 import java.util.stream.IntStream;
 
 /**
- * A discovery agent on loopback whose list never changes: a watch of it is answered once its wait
- * is over. Each call has a thread of its own.
+ * A discovery agent on loopback whose list of replicas never changes. A watch request is answered
+ * only when its wait expires. Each connection has its own thread.
  */
 public final class StaticDiscoveryServer implements AutoCloseable {
     private static final Pattern WAIT = Pattern.compile("wait=(\\d+)");
     private static final int BACKLOG = 50;
 
-    /** Calls that were answered, and the bytes of their answers. */
+    /** The number of requests answered, and the bytes of the responses. */
     public record Traffic(long calls, long bytes) {}
 
     private final ServerSocket listener =
@@ -35,7 +35,7 @@
     private final AtomicLong calls = new AtomicLong();
     private final AtomicLong bytes = new AtomicLong();
 
-    /** Lists that many replicas, spread evenly over the zones. */
+    /** Starts a server that lists replicas spread evenly over the zones. */
     public StaticDiscoveryServer(int replicas, List<String> zones) throws IOException {
         list =
                 IntStream.range(0, replicas)
@@ -69,17 +69,17 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Where it listens on loopback. */
+    /** The port on loopback. */
     public int port() {
         return listener.getLocalPort();
     }
 
-    /** What it has answered so far. */
+    /** The responses sent so far. */
     public Traffic traffic() {
         return new Traffic(calls.get(), bytes.get());
     }
 
-    /** The whole list as JSON. */
+    /** The full list of replicas as JSON. */
     public String list() {
         return list;
     }
@@ -88,9 +88,9 @@
         while (!listener.isClosed()) {
             try {
                 Socket call = listener.accept();
-                Thread one = new Thread(() -> answer(call), "discovery-call");
-                one.setDaemon(true);
-                one.start();
+                Thread handler = new Thread(() -> answer(call), "discovery-call");
+                handler.setDaemon(true);
+                handler.start();
             } catch (IOException closed) {
                 return;
             }
