--- a/src/main/java/rockshift/capacity/CapacityReport.java
+++ b/src/main/java/rockshift/capacity/CapacityReport.java
@@ -11,31 +11,31 @@
 import java.util.function.Predicate;
 
 /**
- * What was measured, worked out at the target by lines through it, beside the budgets. It reads the
- * tables that the other commands keep; void runs are left out.
+ * Projects measured figures to the target size by linear fits and compares them with budgets. It
+ * reads the tables that the other commands write; void runs are left out.
  */
 public final class CapacityReport {
     private static final double TARGET_CONTROLLERS = 1_300;
 
-    /** Replicas of the average controller's scope, and of the largest: a hundred times that. */
-    private static final double AVERAGE_SCOPE = 36;
+    /** The number of replicas in the average controller's scope; the largest has 100 times that. */
+    private static final double AVERAGE_SCOPE_REPLICAS = 36;
 
-    private static final double LARGEST_SCOPE = 3_600;
+    private static final double LARGEST_SCOPE_REPLICAS = 3_600;
     private static final double MANY_CLASSES = 12;
     private static final double MANY_PROXIES = 800;
-    private static final int SMALL_SCOPES = 300;
-    private static final double CORE_BUDGET = 0.037;
+    private static final int SMALL_SCOPE_REPLICAS = 300;
+    private static final double CORE_SHARE_BUDGET = 0.037;
     private static final double MEMORY_BUDGET_MB = 64;
-    private static final double BYTES_BUDGET = 10_000;
+    private static final double BYTES_PER_SECOND_BUDGET = 10_000;
     private static final double IN_FORCE_BUDGET_MILLIS = ScaleVerdict.MAX_IN_FORCE_MILLIS;
 
     /**
-     * One figure at the target.
+     * One figure projected to the target size.
      *
-     * @param what role and unit
-     * @param size the size at the target, in the unit of the line
-     * @param line through what was measured
-     * @param budget what it may be; NaN where there is no budget
+     * @param what the name of the figure: role and unit
+     * @param size the target size, in the unit of the fit
+     * @param line the fit of the measurements
+     * @param budget the maximum value, or NaN if there is none
      */
     public record Projection(String what, double size, SlopeFit line, double budget) {
         /** Whether there is a budget. */
@@ -43,7 +43,7 @@
             return !Double.isNaN(budget);
         }
 
-        /** Times the budget. */
+        /** The projected value as a multiple of the budget. */
         public double factor() {
             return line.at(size).value() / budget;
         }
@@ -56,17 +56,17 @@
                     "| %s | %s (%s to %s)%s | %s | %s + %s each (%s to %s), "
                             + "%d runs from %.0f to %.0f, r2 %.2f |",
                     what,
-                    number(at.value()),
-                    number(at.low()),
-                    number(at.high()),
-                    at.marked()
-                            ? " **far: " + number(at.reach()) + " times what was measured**"
+                    format(at.value()),
+                    format(at.low()),
+                    format(at.high()),
+                    at.isFar()
+                            ? " **far: " + format(at.reach()) + " times what was measured**"
                             : "",
                     budgeted() ? verdict() : "",
-                    number(line.intercept()),
-                    number(line.slope()),
-                    number(line.slopeLow()),
-                    number(line.slopeHigh()),
+                    format(line.intercept()),
+                    format(line.slope()),
+                    format(line.slopeLow()),
+                    format(line.slopeHigh()),
                     line.points(),
                     line.least(),
                     line.most(),
@@ -76,12 +76,12 @@
         private String verdict() {
             return (factor() <= 1 ? "holds" : "**does not hold**")
                     + ": "
-                    + number(factor())
+                    + format(factor())
                     + " of "
-                    + number(budget);
+                    + format(budget);
         }
 
-        private static String number(double value) {
+        private static String format(double value) {
             return String.format(Locale.ROOT, Math.abs(value) >= 100 ? "%,.0f" : "%.3g", value);
         }
     }
@@ -92,7 +92,7 @@
     /** One figure of one run of many controllers. */
     private record RunFigure(int controllers, String name, double value) {}
 
-    /** Reads a folder of tables; one that is missing counts as empty. */
+    /** Reads the tables in a folder; a missing table counts as empty. */
     public CapacityReport(Path folder) throws IOException {
         for (String row : rows(folder.resolve("governor.csv"))) {
             ControllerSample sample = ControllerSample.parse(row);
@@ -120,7 +120,7 @@
                 : List.of();
     }
 
-    /** All that can be worked out from the tables; what has too few runs is left out. */
+    /** Returns all projections of the tables; figures with too few runs are left out. */
     public List<Projection> projections() {
         List<Projection> projections = new ArrayList<>();
         addSweeps(projections);
@@ -129,8 +129,8 @@
     }
 
     private void addSweeps(List<Projection> projections) {
-        Predicate<FleetShape> usual = shape -> shape.proxies() == 16;
-        Predicate<FleetShape> two = usual.and(shape -> shape.classes() == 2);
+        Predicate<FleetShape> sixteenProxies = shape -> shape.proxies() == 16;
+        Predicate<FleetShape> twoClasses = sixteenProxies.and(shape -> shape.classes() == 2);
         Set<ControllerSweep.Figure> budgeted =
                 EnumSet.of(
                         ControllerSweep.Figure.CORE_SHARE,
@@ -140,29 +140,29 @@
                 projections,
                 "average governor",
                 ControllerSweep.Size.REPLICAS,
-                AVERAGE_SCOPE,
-                two.and(shape -> shape.replicas() <= SMALL_SCOPES),
+                AVERAGE_SCOPE_REPLICAS,
+                twoClasses.and(shape -> shape.replicas() <= SMALL_SCOPE_REPLICAS),
                 EnumSet.allOf(ControllerSweep.Figure.class));
         addSweep(
                 projections,
                 "average, 12 classes",
                 ControllerSweep.Size.CLASSES,
                 MANY_CLASSES,
-                usual.and(shape -> shape.replicas() == AVERAGE_SCOPE),
+                sixteenProxies.and(shape -> shape.replicas() == AVERAGE_SCOPE_REPLICAS),
                 budgeted);
         addSweep(
                 projections,
                 "largest governor",
                 ControllerSweep.Size.REPLICAS,
-                LARGEST_SCOPE,
-                two.and(shape -> shape.replicas() >= SMALL_SCOPES),
+                LARGEST_SCOPE_REPLICAS,
+                twoClasses.and(shape -> shape.replicas() >= SMALL_SCOPE_REPLICAS),
                 EnumSet.allOf(ControllerSweep.Figure.class));
         addSweep(
                 projections,
                 "largest, 12 classes",
                 ControllerSweep.Size.REPLICAS_TIMES_CLASSES,
-                LARGEST_SCOPE * MANY_CLASSES,
-                usual.and(shape -> shape.replicas() >= SMALL_SCOPES),
+                LARGEST_SCOPE_REPLICAS * MANY_CLASSES,
+                sixteenProxies.and(shape -> shape.replicas() >= SMALL_SCOPE_REPLICAS),
                 budgeted);
         addSweep(
                 projections,
@@ -175,12 +175,12 @@
 
     private void addRunFigures(List<Projection> projections) {
         addRunFigure(projections, "in force everywhere, longest ms", IN_FORCE_BUDGET_MILLIS);
-        addRunFigure(projections, "governor, bytes a second", BYTES_BUDGET);
+        addRunFigure(projections, "governor, bytes a second", BYTES_PER_SECOND_BUDGET);
         for (String role : List.of("leader", "follower", "relay", "real governor")) {
             addRunFigure(
                     projections,
                     role + ", share of a core",
-                    role.equals("real governor") ? CORE_BUDGET : Double.NaN);
+                    role.equals("real governor") ? CORE_SHARE_BUDGET : Double.NaN);
             addRunFigure(projections, role + ", bytes a second read", Double.NaN);
             addRunFigure(projections, role + ", bytes a second written", Double.NaN);
             addRunFigure(
@@ -199,9 +199,9 @@
             List<Projection> projections,
             String role,
             ControllerSweep.Size size,
-            double at,
+            double targetSize,
             Predicate<FleetShape> shapes,
-            Set<ControllerSweep.Figure> wanted) {
+            Set<ControllerSweep.Figure> selected) {
         ControllerSweep sweep = new ControllerSweep();
         samples.stream()
                 .filter(sample -> shapes.test(sample.shape()))
@@ -209,11 +209,11 @@
         sweep.fits(size)
                 .forEach(
                         (figure, line) -> {
-                            if (wanted.contains(figure)) {
+                            if (selected.contains(figure)) {
                                 projections.add(
                                         new Projection(
                                                 role + ": " + figure.unit(),
-                                                at,
+                                                targetSize,
                                                 line,
                                                 budget(figure)));
                             }
@@ -222,22 +222,22 @@
 
     private static double budget(ControllerSweep.Figure figure) {
         return switch (figure) {
-            case CORE_SHARE -> CORE_BUDGET;
+            case CORE_SHARE -> CORE_SHARE_BUDGET;
             case PEAK -> MEMORY_BUDGET_MB;
-            case BYTES_OUT -> BYTES_BUDGET;
+            case BYTES_OUT -> BYTES_PER_SECOND_BUDGET;
             default -> Double.NaN;
         };
     }
 
     private void addRunFigure(List<Projection> projections, String name, double budget) {
-        List<RunFigure> found =
+        List<RunFigure> matching =
                 figures.stream().filter(figure -> figure.name().equals(name)).toList();
-        if (found.size() > 2
-                && found.stream().mapToInt(RunFigure::controllers).distinct().count() > 1) {
+        if (matching.size() > 2
+                && matching.stream().mapToInt(RunFigure::controllers).distinct().count() > 1) {
             SlopeFit line =
                     SlopeFit.of(
-                            found.stream().mapToDouble(RunFigure::controllers).toArray(),
-                            found.stream().mapToDouble(RunFigure::value).toArray());
+                            matching.stream().mapToDouble(RunFigure::controllers).toArray(),
+                            matching.stream().mapToDouble(RunFigure::value).toArray());
             projections.add(new Projection(name, TARGET_CONTROLLERS, line, budget));
         }
     }
--- a/src/main/java/rockshift/capacity/ChangeLoad.java
+++ b/src/main/java/rockshift/capacity/ChangeLoad.java
@@ -15,9 +15,9 @@
 import rockshift.distribution.Update;
 
 /**
- * Proposes changes to members one after the other at a rate, and hands the checker what was agreed.
- * A third of the changes concerns everyone, a third one service, and a third one service in one
- * zone; one in four takes an earlier one back.
+ * Proposes changes one at a time at a fixed rate, and passes the committed ones to the checker. A
+ * third of the new holds concern everyone, a third one service, and a third one service in one
+ * zone; one in four changes ends an earlier hold.
  */
 final class ChangeLoad implements Runnable {
     private static final int REPLICAS = 400;
@@ -42,27 +42,28 @@
         random = new SplittableRandom(scenario.seed());
     }
 
-    /** Changes proposed so far. */
+    /** The number of changes proposed so far. */
     int proposed() {
         return proposed.get();
     }
 
-    /**
-     * Changes of which nobody said what came of them; what they did is not known to the checker.
-     */
+    /** The number of changes without a known outcome. The checker does not know their effect. */
     int unanswered() {
         return unanswered.get();
     }
 
     @Override
     public void run() {
-        long began = LightweightController.nowMillis();
+        long startMillis = LightweightController.nowMillis();
         try (ClusterClient client =
                 new ClusterClient(members, random.split(), (int) CALL_TIMEOUT_MILLIS)) {
             for (int i = 0; i < count; i++) {
-                long rest = began + (long) (i * millisBetween) - LightweightController.nowMillis();
-                TimeUnit.MILLISECONDS.sleep(Math.max(0, rest));
-                propose(client, next());
+                long waitMillis =
+                        startMillis
+                                + (long) (i * millisBetween)
+                                - LightweightController.nowMillis();
+                TimeUnit.MILLISECONDS.sleep(Math.max(0, waitMillis));
+                propose(client, nextChange());
                 proposed.incrementAndGet();
             }
         } catch (IOException | InterruptedException ended) {
@@ -70,18 +71,25 @@
         }
     }
 
-    private Change next() {
-        List<String> out = new ArrayList<>(activeHolds.keySet());
-        if (!out.isEmpty() && random.nextInt(4) == 0) {
-            return new Change(Change.Kind.BACK, out.get(random.nextInt(out.size())), 0, 0, "");
+    private Change nextChange() {
+        List<String> heldReplicas = new ArrayList<>(activeHolds.keySet());
+        if (!heldReplicas.isEmpty() && random.nextInt(4) == 0) {
+            return new Change(
+                    Change.Kind.BACK,
+                    heldReplicas.get(random.nextInt(heldReplicas.size())),
+                    0,
+                    0,
+                    "");
         }
-        int whom = random.nextInt(3);
+        int targetKind = random.nextInt(3);
         String service =
-                whom == 0 ? "" : ScaleScenario.service(random.nextInt(ScaleScenario.SERVICES));
-        String zone = whom < 2 ? "" : ScaleScenario.zone(random.nextInt(ScaleScenario.ZONES));
+                targetKind == 0
+                        ? ""
+                        : ScaleScenario.service(random.nextInt(ScaleScenario.SERVICES));
+        String zone = targetKind < 2 ? "" : ScaleScenario.zone(random.nextInt(ScaleScenario.ZONES));
         String subject = "replica-" + random.nextInt(REPLICAS);
         Change before = activeHolds.get(subject);
-        // A replica stays where it is: a change of it concerns the same service and zone again.
+        // A replica keeps its service and zone: a further hold of it concerns the same ones.
         return new Change(
                 Change.Kind.HOLD,
                 subject,
@@ -94,10 +102,10 @@
 
     private void propose(ClusterClient client, Change change)
             throws IOException, InterruptedException {
-        long at = LightweightController.nowMillis();
+        long proposedAtMillis = LightweightController.nowMillis();
         JsonNode answer;
         try {
-            answer = client.change(change, true, at + CHANGE_TIMEOUT_MILLIS);
+            answer = client.change(change, true, proposedAtMillis + CHANGE_TIMEOUT_MILLIS);
         } catch (ClusterClient.UnansweredException unknown) {
             unanswered.incrementAndGet();
             return;
@@ -111,11 +119,13 @@
         if (change.kind() == Change.Kind.BACK) {
             Change before = activeHolds.remove(change.subject());
             Item item = new Item(key, before.service(), before.zone(), new byte[0]);
-            checker.observe(new Observation.Committed(at, Update.delete(revision, item)));
+            checker.observe(
+                    new Observation.Committed(proposedAtMillis, Update.delete(revision, item)));
         } else {
             activeHolds.put(change.subject(), change);
             Item item = new Item(key, change.service(), change.zone(), change.json());
-            checker.observe(new Observation.Committed(at, Update.put(revision, item)));
+            checker.observe(
+                    new Observation.Committed(proposedAtMillis, Update.put(revision, item)));
         }
     }
 }
--- a/src/main/java/rockshift/capacity/CommittedChanges.java
+++ b/src/main/java/rockshift/capacity/CommittedChanges.java
@@ -8,12 +8,12 @@
 import rockshift.distribution.Update;
 
 /**
- * The changes that members agreed, in the order of their revisions: what every controller's state
- * is compared with. Not thread-safe.
+ * The committed changes of a run in the order of their revisions, with which every controller's
+ * state is compared. Not thread-safe.
  */
 final class CommittedChanges {
     private final TreeMap<Long, Observation.Committed> byRevision = new TreeMap<>();
-    private final Map<Long, Map<String, Update>> states = new HashMap<>();
+    private final Map<Long, Map<String, Update>> statesByRevision = new HashMap<>();
 
     void add(Observation.Committed change) {
         byRevision.put(change.update().revision(), change);
@@ -23,13 +23,13 @@
         return byRevision.size();
     }
 
-    /** The last update of each key up to a revision, deletions among them. */
+    /** The last update of each key up to a revision, including deletions. */
     Map<String, Update> state(long revision) {
-        return states.computeIfAbsent(
+        return statesByRevision.computeIfAbsent(
                 revision, number -> latestByKey(byRevision.headMap(number, true).values()));
     }
 
-    /** The changes after one revision and up to another; none if that is no later. */
+    /** The changes after one revision and up to another; empty if the other is not later. */
     Collection<Observation.Committed> between(long after, long upTo) {
         return byRevision.subMap(after, false, Math.max(after, upTo), true).values();
     }
@@ -39,7 +39,7 @@
         return latestByKey(between(after, upTo));
     }
 
-    /** The last revision that was proposed before a time; 0 if there is none. */
+    /** The last revision proposed up to a time, or 0 if there is none. */
     long revisionAt(long atMillis) {
         return byRevision.values().stream()
                 .filter(change -> change.atMillis() <= atMillis)
@@ -48,7 +48,7 @@
                 .orElse(0);
     }
 
-    /** The newest change of a scope that was proposed before a time; 0 if there is none. */
+    /** The last revision in a scope that was proposed up to a time, or 0 if there is none. */
     long newestBefore(long atMillis, Scope scope) {
         for (Observation.Committed change : byRevision.descendingMap().values()) {
             if (change.atMillis() <= atMillis && scope.matches(change.update())) {
--- a/src/main/java/rockshift/capacity/ControllerCheck.java
+++ b/src/main/java/rockshift/capacity/ControllerCheck.java
@@ -11,15 +11,15 @@
 import rockshift.distribution.Update;
 
 /**
- * Follows one controller through a run, from each of its starts to its end, and reports what it
- * lost, took out of order or took for fresher than it was. Not thread-safe.
+ * Checks the observations of one controller over a run, and reports changes that it lost or
+ * received out of order, and states that were older than it reported. Not thread-safe.
  */
 final class ControllerCheck {
-    /** After a partition, within which a controller is to be up to date again. */
+    /** The time within which a controller must be up to date after a partition. */
     private static final long MAX_CATCH_UP_MILLIS = ScaleVerdict.MAX_IN_FORCE_MILLIS;
 
-    /** What clocks and this program's own threads may put between an event and its observation. */
-    private static final long SLACK_MILLIS = 250;
+    /** The tolerated delay between an event and its observation, due to clocks and scheduling. */
+    private static final long OBSERVATION_DELAY_MILLIS = 250;
 
     private final String name;
     private final CommittedChanges committed;
@@ -32,8 +32,8 @@
     private long healedAtMillis = Long.MIN_VALUE;
 
     /**
-     * The newest change before the partition ended; 0 once the controller has it, or where no
-     * partition ended.
+     * The last revision in scope from before the partition ended; 0 once the controller has it, or
+     * if no partition has ended.
      */
     private long missingAfterHeal;
 
@@ -43,42 +43,42 @@
         this.findings = findings;
     }
 
-    /** Checks all observations of the controller, which are in their order. */
-    void checkAll(List<Observation.OfController> all, long endMillis) {
-        for (Observation.OfController seen : all) {
-            checkCatchUp(seen.atMillis());
-            check(seen);
+    /** Checks all observations of the controller, which must be in order. */
+    void checkAll(List<Observation.OfController> observations, long endMillis) {
+        for (Observation.OfController observation : observations) {
+            checkCatchUp(observation.atMillis());
+            check(observation);
         }
         checkCatchUp(endMillis);
         checkEnd(endMillis);
     }
 
-    private void check(Observation.OfController seen) {
-        if (seen instanceof Observation.Started start) {
-            started(start);
-        } else if (seen instanceof Observation.Ended) {
+    private void check(Observation.OfController observation) {
+        if (observation instanceof Observation.Started start) {
+            handleStarted(start);
+        } else if (observation instanceof Observation.Ended) {
             running = false;
             missingAfterHeal = 0;
-        } else if (seen instanceof Observation.SnapshotTaken snapshot) {
+        } else if (observation instanceof Observation.SnapshotTaken snapshot) {
             checkSnapshot(snapshot);
-        } else if (seen instanceof Observation.DifferenceTaken difference) {
+        } else if (observation instanceof Observation.DifferenceTaken difference) {
             checkDifference(difference);
-        } else if (seen instanceof Observation.Advanced advanced) {
+        } else if (observation instanceof Observation.Advanced advanced) {
             checkAdvanced(advanced);
-        } else if (seen instanceof Observation.RevisionLogged logged) {
+        } else if (observation instanceof Observation.RevisionLogged logged) {
             checkLogged(logged);
-        } else if (seen instanceof Observation.AgeReported reported) {
+        } else if (observation instanceof Observation.AgeReported reported) {
             checkAge(reported);
-        } else if (seen instanceof Observation.Partitioned) {
+        } else if (observation instanceof Observation.Partitioned) {
             partitioned = true;
-        } else if (seen instanceof Observation.Healed healed) {
+        } else if (observation instanceof Observation.Healed healed) {
             partitioned = false;
             healedAtMillis = healed.atMillis();
             missingAfterHeal = committed.newestBefore(healedAtMillis, scope);
         }
     }
 
-    private void started(Observation.Started start) {
+    private void handleStarted(Observation.Started start) {
         scope = start.scope();
         revision = Revision.NONE;
         startedAtMillis = start.atMillis();
@@ -89,7 +89,7 @@
     private void checkSnapshot(Observation.SnapshotTaken snapshot) {
         if (revision.sameCluster(snapshot.revision())
                 && snapshot.revision().number() < revision.number()) {
-            addDisordered("a snapshot at " + snapshot.revision() + " after " + revision);
+            addDisordered("snapshot at " + snapshot.revision() + " after revision " + revision);
         }
         Map<String, Item> items = new HashMap<>();
         snapshot.items().forEach(item -> items.put(item.key(), item));
@@ -97,24 +97,30 @@
                 .state(snapshot.revision().number())
                 .forEach((key, update) -> checkItem(snapshot, update, items.remove(key)));
         items.values()
-                .forEach(item -> addDisordered("the snapshot holds " + item + ", never agreed"));
+                .forEach(
+                        item ->
+                                addDisordered(
+                                        "snapshot at "
+                                                + snapshot.revision()
+                                                + " contains uncommitted "
+                                                + item));
         reached(snapshot.revision(), snapshot.atMillis());
     }
 
-    /** Compares an item of a snapshot, null if it is not there, with its last update. */
+    /** Compares an item of a snapshot, or null if it is absent, with its last update. */
     private void checkItem(Observation.SnapshotTaken snapshot, Update update, Item item) {
         boolean expected = isInScope(update);
         if (expected && !update.item().equals(item)) {
-            addLost(update, "the snapshot at " + snapshot.revision());
+            addLost(update, "snapshot at " + snapshot.revision());
         } else if (!expected && item != null) {
-            addDisordered("the snapshot at " + snapshot.revision() + " holds " + item);
+            addDisordered("snapshot at " + snapshot.revision() + " contains unexpected " + item);
         }
     }
 
     private void checkDifference(Observation.DifferenceTaken difference) {
         Revision target = difference.to();
         if (target.number() <= revision.number()) {
-            addDisordered("a difference to " + target + " after " + revision);
+            addDisordered("difference to " + target + " after revision " + revision);
             return;
         }
         Map<String, Update> missing = relevantChanges(target.number());
@@ -124,15 +130,20 @@
             String key = update.item().key();
             if (!isExpected(update, changes.get(key)) || !updatedKeys.add(key)) {
                 addDisordered(
-                        "a difference to " + target + " after " + revision + " brings " + update);
+                        "difference to "
+                                + target
+                                + " after revision "
+                                + revision
+                                + " contains unexpected "
+                                + update);
             }
             missing.remove(key);
         }
-        missing.values().forEach(update -> addLost(update, "the difference to " + target));
+        missing.values().forEach(update -> addLost(update, "difference to " + target));
         reached(target, difference.atMillis());
     }
 
-    /** Whether an update is the last committed one; out of scope it must delete the item. */
+    /** Whether an update is the last committed one or, if that is out of scope, a deletion. */
     private boolean isExpected(Update update, Update last) {
         if (last == null) {
             return false;
@@ -142,18 +153,18 @@
 
     private void checkAdvanced(Observation.Advanced advanced) {
         if (advanced.to().number() < revision.number()) {
-            addDisordered("advanced to " + advanced.to() + " after " + revision);
+            addDisordered("advance to " + advanced.to() + " after revision " + revision);
             return;
         }
         relevantChanges(advanced.to().number())
                 .values()
-                .forEach(update -> addLost(update, "advanced to " + advanced.to()));
+                .forEach(update -> addLost(update, "advance to " + advanced.to()));
         reached(advanced.to(), advanced.atMillis());
     }
 
     private void checkLogged(Observation.RevisionLogged logged) {
         if (logged.revision().number() < revision.number()) {
-            addDisordered("logged " + logged.revision() + " after " + revision);
+            addDisordered("logged revision " + logged.revision() + " after revision " + revision);
         } else {
             reached(logged.revision(), logged.atMillis());
         }
@@ -162,17 +173,18 @@
     private void checkAge(Observation.AgeReported reported) {
         long newest =
                 committed.newestBefore(
-                        reported.atMillis() - reported.ageMillis() - SLACK_MILLIS, scope);
+                        reported.atMillis() - reported.ageMillis() - OBSERVATION_DELAY_MILLIS,
+                        scope);
         if (!revision.isNone() && newest > revision.number()) {
             findings.stale(
                     name
-                            + " holds "
-                            + revision
-                            + " and calls it "
+                            + " reports an age of "
                             + reported.ageMillis()
-                            + " ms old at "
+                            + " ms at "
                             + reported.atMillis()
-                            + ", before "
+                            + " ms for revision "
+                            + revision
+                            + ", but lacks older change "
                             + newest);
         }
     }
@@ -184,17 +196,18 @@
                 && atMillis > healedAtMillis + MAX_CATCH_UP_MILLIS) {
             findings.stale(
                     name
-                            + " holds "
+                            + " is still at revision "
                             + revision
                             + " at "
                             + atMillis
-                            + ", the cut ended at "
-                            + healedAtMillis);
+                            + " ms; its partition ended at "
+                            + healedAtMillis
+                            + " ms");
             missingAfterHeal = 0;
         }
     }
 
-    /** All that was proposed long enough before the end is there. */
+    /** Checks that the state has all changes that had to be in force by the end. */
     private void checkEnd(long endMillis) {
         if (!running || partitioned) {
             return;
@@ -203,15 +216,15 @@
         if (!revision.isNone()) {
             relevantChanges(committed.revisionAt(dueMillis))
                     .values()
-                    .forEach(update -> addLost(update, "what is held at the end"));
+                    .forEach(update -> addLost(update, "final state"));
         } else if (startedAtMillis <= dueMillis) {
-            findings.lost(name + " holds nothing at the end");
+            findings.lost(name + " has no state at the end");
         }
     }
 
     /**
-     * The last change since the present revision of each key that matters here: of an item that is
-     * to be there, or of one that was and is to be there no more.
+     * Returns the last change of each key since the current revision that affects this controller:
+     * the item must be present after it, or it was present and must no longer be.
      */
     private Map<String, Update> relevantChanges(long upTo) {
         Map<String, Update> changes = committed.latestBetween(revision.number(), upTo);
@@ -229,8 +242,8 @@
     }
 
     /**
-     * The state is at a revision now. The time that changes took counts where the controller was
-     * running and connected all the while.
+     * Records that the state has reached a revision. The latency of a change counts only if the
+     * controller was running and connected throughout.
      */
     private void reached(Revision next, long atMillis) {
         if (!revision.isNone() && !partitioned) {
@@ -249,10 +262,10 @@
     }
 
     private void addLost(Update update, String where) {
-        findings.lost(name + ", which holds " + revision + ": " + where + " is without " + update);
+        findings.lost(name + " at revision " + revision + ": " + where + " lacks " + update);
     }
 
-    private void addDisordered(String what) {
-        findings.disordered(name + ": " + what);
+    private void addDisordered(String description) {
+        findings.disordered(name + ": " + description);
     }
 }
--- a/src/main/java/rockshift/capacity/ControllerInRegion.java
+++ b/src/main/java/rockshift/capacity/ControllerInRegion.java
@@ -14,8 +14,8 @@
 import rockshift.testkit.StaticDiscoveryServer;
 
 /**
- * A real controller as a process of its own that subscribes at a region's relays for everything;
- * its log tells what is in force.
+ * A real controller in its own process that subscribes to all changes at a region's relays. The
+ * revisions in force are read from its log.
  */
 final class ControllerInRegion implements AutoCloseable {
     private static final FleetShape SHAPE = new FleetShape(36, 2, 16, 3);
@@ -60,11 +60,11 @@
                                 List.of(),
                                 List.of("--operator", operator.toString())),
                         PORT,
-                        this::line);
+                        this::handleLogLine);
         process.awaitPort();
     }
 
-    private void line(String line) {
+    private void handleLogLine(String line) {
         Matcher inForce = IN_FORCE.matcher(line);
         if (inForce.find()) {
             checker.observe(
--- a/src/main/java/rockshift/capacity/ControllerRun.java
+++ b/src/main/java/rockshift/capacity/ControllerRun.java
@@ -14,28 +14,35 @@
 import rockshift.testkit.StaticDiscoveryServer;
 
 /**
- * One real controller as a process of its own, with a fleet of some shape before it, watched for a
- * while once all proxies have tables or the wait for them is over. It owns the process and
- * everything it talks to, and ends them also when it is ended.
+ * One measured run of a real controller in its own process, connected to a simulated fleet. The
+ * measurement starts once all proxies have tables or the wait for them times out. It owns the
+ * process and all its peers; the process is also killed when this JVM shuts down.
  */
 public final class ControllerRun implements AutoCloseable {
     private static final Pattern PORT = Pattern.compile("serves on .*, port (\\d+)");
 
     /**
-     * What the collector's log says after each collection: heap before, heap after, heap committed.
+     * Matches a line of the garbage collector's log: heap before and after a collection, and
+     * committed heap.
      */
     private static final Pattern COLLECTION = Pattern.compile("(\\d+)M->(\\d+)M\\((\\d+)M\\)");
 
-    private static final String DECIDING_THREAD = "event-loop";
+    private static final String DECISION_THREAD = "event-loop";
     private static final String FOLDER_PREFIX = "rockshift-scale";
 
     /**
-     * Ms that a round of the simulated fleet's reports may be late before the run counts for
-     * nothing: two rounds.
+     * The longest delay of the simulated fleet's reports for which a run is not void: two report
+     * rounds.
      */
-    private static final long RIG_LATE_MILLIS = 100;
+    private static final long MAX_REPORT_DELAY_MILLIS = 100;
 
-    /** How long a run waits and watches, in ms. */
+    /**
+     * The durations of a run's phases, in ms.
+     *
+     * @param tables the timeout for all proxies to have tables
+     * @param settle the time after that until the measurement
+     * @param watch the length of the measurement
+     */
     public record Times(long tables, long settle, long watch) {}
 
     private final FleetShape shape;
@@ -43,7 +50,7 @@
     private final boolean watchHeap;
     private final StaticDiscoveryServer discovery;
     private final LoggedProcess controller;
-    private final Thread atEnd;
+    private final Thread shutdownHook;
 
     private ControllerRun(FleetShape shape, Path folder, boolean watchHeap) throws IOException {
         this.shape = shape;
@@ -58,37 +65,39 @@
                 watchHeap ? List.of("-Xlog:gc:file=" + folder.resolve("gc.log")) : List.of();
         controller =
                 new LoggedProcess(ProgramCommand.serve(file, options, List.of()), PORT, line -> {});
-        atEnd = new Thread(this::end);
-        Runtime.getRuntime().addShutdownHook(atEnd);
+        shutdownHook = new Thread(this::cleanUp);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /**
-     * Runs once, with its files in a folder of its own under another while it runs. A run that
-     * watches the heap has the collector's log on, and its other figures are not for slopes. The
-     * run's number is the seed of its reports.
+     * Runs once, with its files in a temporary folder. With heap measurement, the garbage
+     * collector's log is on and the other figures must not be used for fits.
+     *
+     * @param run the number of the run, which is also the seed of its reports
+     * @param parentFolder the folder in which the temporary folder is created
      */
     public static ControllerSample measure(
-            FleetShape shape, int run, boolean watchHeap, Times times, Path under)
+            FleetShape shape, int run, boolean watchHeap, Times times, Path parentFolder)
             throws IOException, InterruptedException {
-        Path folder = Files.createTempDirectory(under, FOLDER_PREFIX);
+        Path folder = Files.createTempDirectory(parentFolder, FOLDER_PREFIX);
         try (ControllerRun controller = new ControllerRun(shape, folder, watchHeap)) {
             return controller.measure(run, times);
         }
     }
 
-    /** Ends the process and leaves nothing behind; also run when this program is ended. */
-    private void end() {
+    /** Kills the process and deletes its files; also run when this JVM shuts down. */
+    private void cleanUp() {
         controller.close();
         for (String file : List.of("governor.json", "gc.log", "")) {
             folder.resolve(file).toFile().delete();
         }
     }
 
-    /** What was counted at one moment. */
+    /** All counters, read at one moment. */
     private record Counts(
             ProcessUsage usage,
             FleetSimulator.Traffic traffic,
-            StaticDiscoveryServer.Traffic asked) {}
+            StaticDiscoveryServer.Traffic discoveryTraffic) {}
 
     private ControllerSample measure(int run, Times times)
             throws IOException, InterruptedException {
@@ -96,15 +105,16 @@
             double tables = awaitTables(fleet, times.tables());
             try {
                 TimeUnit.MILLISECONDS.sleep(times.settle());
-                long lateBefore = fleet.longestDelayMillis();
+                long delayBefore = fleet.longestDelayMillis();
                 Counts before = count(fleet);
                 TimeUnit.MILLISECONDS.sleep(times.watch());
                 Counts after = count(fleet);
-                boolean late = fleet.longestDelayMillis() > Math.max(lateBefore, RIG_LATE_MILLIS);
+                boolean late =
+                        fleet.longestDelayMillis() > Math.max(delayBefore, MAX_REPORT_DELAY_MILLIS);
                 return sample(run, fleet, tables, before, after, late);
-            } catch (IOException unread) {
+            } catch (IOException failure) {
                 if (controller.isAlive()) {
-                    throw unread;
+                    throw failure;
                 }
                 return ControllerSample.died(
                         shape,
@@ -130,7 +140,7 @@
             throws IOException {
         double seconds = (after.usage().takenNanos() - before.usage().takenNanos()) / 1e9;
         double share = after.usage().coreShareSince(before.usage());
-        double deciding = after.usage().coreShareSince(before.usage(), DECIDING_THREAD);
+        double decisionShare = after.usage().coreShareSince(before.usage(), DECISION_THREAD);
         FleetSimulator.Traffic from = before.traffic();
         FleetSimulator.Traffic to = after.traffic();
         Heap heap = watchHeap ? heap() : new Heap(Double.NaN, Double.NaN);
@@ -138,13 +148,13 @@
                 shape,
                 run,
                 share,
-                deciding,
-                share - deciding,
+                decisionShare,
+                share - decisionShare,
                 (to.bytesIn() - from.bytesIn()) / seconds,
                 (to.bytesOut() - from.bytesOut()) / seconds,
                 (to.messagesIn() - from.messagesIn()) / seconds,
                 (to.messagesOut() - from.messagesOut()) / seconds,
-                (after.asked().bytes() - before.asked().bytes()) / seconds,
+                (after.discoveryTraffic().bytes() - before.discoveryTraffic().bytes()) / seconds,
                 after.usage().residentMegabytes(),
                 after.usage().peakMegabytes(),
                 heap.live(),
@@ -159,22 +169,20 @@
                 false);
     }
 
-    /** Seconds until all proxies had a table, or NaN where the wait was over before. */
-    private double awaitTables(FleetSimulator fleet, long millis) throws InterruptedException {
-        long began = System.nanoTime();
+    /** Returns the seconds until all proxies had a table, or NaN after the timeout. */
+    private double awaitTables(FleetSimulator fleet, long timeoutMillis)
+            throws InterruptedException {
+        long startNanos = System.nanoTime();
         while (fleet.withTables() < shape.proxies()) {
-            if (System.nanoTime() - began > TimeUnit.MILLISECONDS.toNanos(millis)) {
+            if (System.nanoTime() - startNanos > TimeUnit.MILLISECONDS.toNanos(timeoutMillis)) {
                 return Double.NaN;
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        return (System.nanoTime() - began) / 1e9;
+        return (System.nanoTime() - startNanos) / 1e9;
     }
 
-    /**
-     * The heap that was left after the last collection, and the most that was ever committed, in
-     * MB.
-     */
+    /** The heap in use after the last collection and the maximum committed heap, in MB. */
     private record Heap(double live, double committed) {}
 
     private Heap heap() throws IOException {
@@ -195,8 +203,8 @@
 
     @Override
     public void close() throws IOException {
-        end();
+        cleanUp();
         discovery.close();
-        Runtime.getRuntime().removeShutdownHook(atEnd);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 }
--- a/src/main/java/rockshift/capacity/ControllerSample.java
+++ b/src/main/java/rockshift/capacity/ControllerSample.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 
 /**
- * What one real controller used in one run at one size. Shares are of one core; rates are a second;
- * memory is in MB, and NaN where the run did not watch it. A run is void where this program itself
- * was the limit.
+ * The resource usage of one real controller in one run at one size. Shares are of one core, rates
+ * are per second, and memory is in MB, or NaN if the run did not measure it. A run is void if this
+ * program itself was the bottleneck.
  */
 public record ControllerSample(
         FleetShape shape,
@@ -31,14 +31,14 @@
         double loadAverage,
         boolean isVoid,
         boolean died) {
-    /** The names of {@link #row()}'s fields. */
+    /** The column names of {@link #row()}. */
     public static final String HEADER =
             "replicas,classes,proxies,zones,run,core_share,decision_share,socket_share,bytes_in_s,"
                 + "bytes_out_s,messages_in_s,messages_out_s,discovery_bytes_in_s,rss_mb,peak_mb,"
                 + "heap_after_gc_mb,heap_committed_mb,tables_s,tables,"
                 + "connections_lost,reports_dropped,rig_late_ms,load_average,void,died";
 
-    /** A run in which the controller's process ended by itself. */
+    /** Creates the sample of a run in which the controller's process exited by itself. */
     static ControllerSample died(
             FleetShape shape,
             int run,
@@ -72,7 +72,7 @@
                 true);
     }
 
-    /** Reads back a line of a table. */
+    /** Parses a row of a table. */
     static ControllerSample parse(String row) {
         String[] fields = row.split(",");
         double[] values =
@@ -106,7 +106,7 @@
                 Boolean.parseBoolean(fields[fields.length - 1]));
     }
 
-    /** One line of a table. */
+    /** Returns the sample as a row of a table. */
     public String row() {
         return String.format(
                 Locale.ROOT,
--- a/src/main/java/rockshift/capacity/ControllerSweep.java
+++ b/src/main/java/rockshift/capacity/ControllerSweep.java
@@ -16,12 +16,12 @@
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
 
-/** Runs of one real controller over sizes, and the lines through what they used. */
+/** Runs of one real controller over several sizes, and linear fits of its resource usage. */
 public final class ControllerSweep {
-    /** Core shares from which a controller is busy throughout: what it uses then tells no slope. */
+    /** The core share from which a controller is saturated; such runs are left out of fits. */
     private static final double SATURATED_CORE_SHARE = 0.95;
 
-    /** What is measured of each run and fitted against the size. */
+    /** A quantity that is measured in each run and fitted against the size. */
     public enum Figure {
         CORE_SHARE("core", ControllerSample::coreShare),
         DECISION_SHARE("share of a core that decides", ControllerSample::decisionShare),
@@ -45,19 +45,19 @@
             this.of = of;
         }
 
-        /** What it is, with its unit. */
+        /** The description of the figure, with its unit. */
         public String unit() {
             return unit;
         }
 
-        /** The figure of one run. */
+        /** The value of the figure in one run. */
         public double of(ControllerSample sample) {
             return of.applyAsDouble(sample);
         }
     }
 
     /**
-     * What the size is: the one dimension that a sweep varies, or replicas times classes where it
+     * The measure of size: the dimension that a sweep varies, or replicas times classes if it
      * varies both.
      */
     public enum Size {
@@ -82,7 +82,7 @@
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
 
-        /** The one that tells these shapes apart. */
+        /** Returns the measure of size in which the shapes differ. */
         public static Size of(List<FleetShape> shapes) {
             boolean replicas =
                     shapes.stream().mapToInt(FleetShape::replicas).distinct().count() > 1;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Median, least and most of some runs. */
+    /** The median, minimum and maximum of a figure over runs. */
     public record Spread(double median, double least, double most) {
         static Spread of(double[] values) {
             double[] sorted =
@@ -113,34 +113,41 @@
     private final List<ControllerSample> samples = new ArrayList<>();
 
     /**
-     * Runs each shape some times, and once more with the heap watched. The runs of one shape go
-     * side by side, each with a process and a fleet of its own, as each takes half a minute until
-     * what starting costs is over.
+     * Runs each shape several times, and once more with heap measurement. The runs of one shape run
+     * in parallel, each with its own process and fleet, because each takes half a minute until the
+     * costs of starting are over.
+     *
+     * @param runs the number of runs without heap measurement
+     * @param parentFolder the folder for the runs' temporary folders
      */
     public void run(
             List<FleetShape> shapes,
             int runs,
             ControllerRun.Times times,
-            Path under,
+            Path parentFolder,
             Consumer<String> progress)
             throws IOException, InterruptedException {
-        ExecutorService beside = Executors.newFixedThreadPool(runs + 1);
+        ExecutorService executor = Executors.newFixedThreadPool(runs + 1);
         try {
             for (FleetShape shape : shapes) {
-                List<Callable<ControllerSample>> all = new ArrayList<>();
+                List<Callable<ControllerSample>> tasks = new ArrayList<>();
                 for (int run = 0; run <= runs; run++) {
                     int number = run;
-                    all.add(() -> ControllerRun.measure(shape, number, number == 0, times, under));
+                    tasks.add(
+                            () ->
+                                    ControllerRun.measure(
+                                            shape, number, number == 0, times, parentFolder));
                 }
-                for (Future<ControllerSample> run : beside.invokeAll(all)) {
+                for (Future<ControllerSample> run : executor.invokeAll(tasks)) {
                     add(run.get(), progress);
                 }
             }
         } catch (ExecutionException failure) {
             throw new IOException(
-                    "a run failed: " + failure.getCause().getMessage(), failure.getCause());
+                    "controller run failed: " + failure.getCause().getMessage(),
+                    failure.getCause());
         } finally {
-            beside.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
@@ -157,20 +164,20 @@
                         sample.residentMegabytes(),
                         sample.tablesSeconds(),
                         sample.died()
-                                ? ", the governor ended by itself"
-                                : sample.isVoid() ? ", void: the rig was late" : ""));
+                                ? ", controller process exited"
+                                : sample.isVoid() ? ", void: simulated fleet was late" : ""));
     }
 
-    /** All runs so far, those that are void among them. */
+    /** The samples of all runs so far, including void ones. */
     public List<ControllerSample> samples() {
         return samples;
     }
 
     /**
-     * The runs that count: heap runs for what they watch, the others for all else, and none that is
-     * void.
+     * Returns the samples for a figure: those with heap measurement for the heap, the others for
+     * all other figures. Void runs are left out.
      */
-    private List<ControllerSample> counted(Figure figure) {
+    private List<ControllerSample> validSamples(Figure figure) {
         return samples.stream()
                 .filter(
                         sample ->
@@ -180,7 +187,7 @@
                 .toList();
     }
 
-    /** Each figure by shape. */
+    /** The spread of a figure by shape. */
     public Map<FleetShape, Spread> spreads(Figure figure) {
         Map<FleetShape, Spread> all = new LinkedHashMap<>();
         for (ControllerSample sample : samples) {
@@ -188,7 +195,7 @@
                     sample.shape(),
                     shape ->
                             Spread.of(
-                                    counted(figure).stream()
+                                    validSamples(figure).stream()
                                             .filter(other -> other.shape().equals(shape))
                                             .mapToDouble(figure::of)
                                             .toArray()));
@@ -197,13 +204,14 @@
     }
 
     /**
-     * The lines through what was measured below saturation; those with too few runs are left out.
+     * Returns linear fits of the runs below saturation. Figures with fewer than three such runs, or
+     * with runs at only one size, are left out.
      */
     public Map<Figure, SlopeFit> fits(Size size) {
         Map<Figure, SlopeFit> fits = new LinkedHashMap<>();
         for (Figure figure : Figure.values()) {
             List<ControllerSample> points =
-                    counted(figure).stream()
+                    validSamples(figure).stream()
                             .filter(sample -> sample.coreShare() < SATURATED_CORE_SHARE)
                             .toList();
             if (points.size() > 2
--- a/src/main/java/rockshift/capacity/FleetShape.java
+++ b/src/main/java/rockshift/capacity/FleetShape.java
@@ -5,41 +5,47 @@
 import java.util.stream.IntStream;
 
 /**
- * The size of what one controller serves. The protocol of controllers knows classes of requests and
- * no services.
+ * The size of the fleet that one controller serves. The protocol of controllers has request classes
+ * but no services.
  */
 public record FleetShape(int replicas, int classes, int proxies, int zones) {
     /**
-     * Lines a second and lines that may wait at the channel of a deployment with 16 proxies, and
-     * what grows beside them.
+     * The rate and the queue limit of the channel in a deployment with 16 proxies. Both grow with
+     * the number of further proxies.
      */
-    private static final double CHANNEL_RATE = 6_100;
+    private static final double CHANNEL_ENTRIES_PER_SECOND = 6_100;
 
-    private static final double CHANNEL_BACKLOG = 9_200;
+    private static final double CHANNEL_QUEUE_LIMIT_ENTRIES = 9_200;
     private static final int CHANNEL_PROXIES = 16;
 
-    /** Lines that each proxy's first table may take of the channel. */
-    private static final double LINES_PER_PROXY = 60;
+    /** The table entries of the channel that each further proxy's first table may use. */
+    private static final double ENTRIES_PER_PROXY = 60;
 
-    /** Descriptors that the controller uses beside its proxies' and collectors' streams. */
+    /** The descriptors that the controller uses besides its proxies' and collectors' streams. */
     private static final int OWN_DESCRIPTORS = 200;
 
-    /** The zones by name. */
+    /** The names of the zones. */
     public List<String> zoneNames() {
         return IntStream.range(0, zones).mapToObj(i -> "zone-" + i).toList();
     }
 
-    /** A class by name. */
+    /** The name of a request class. */
     public static String className(int number) {
         return "class-" + number;
     }
 
-    /** The controller's file: the settings of {@code example/governor.json} at this size. */
+    /**
+     * Returns a controller's configuration file, with the settings of {@code example/governor.json}
+     * at this size.
+     *
+     * @param known the initial list of replicas as JSON
+     */
     String configuration(int discoveryPort, String known) {
-        double more = LINES_PER_PROXY * Math.max(0, proxies - CHANNEL_PROXIES);
-        StringBuilder kinds = new StringBuilder();
+        double extraEntries = ENTRIES_PER_PROXY * Math.max(0, proxies - CHANNEL_PROXIES);
+        StringBuilder classesJson = new StringBuilder();
         for (int i = 0; i < classes; i++) {
-            kinds.append(i == 0 ? "" : ",")
+            classesJson
+                    .append(i == 0 ? "" : ",")
                     .append("{\"name\":\"")
                     .append(className(i))
                     .append(
@@ -69,10 +75,10 @@
                 proxies + zones + OWN_DESCRIPTORS,
                 known,
                 String.join("\",\"", zoneNames()),
-                kinds,
+                classesJson,
                 proxies,
-                CHANNEL_RATE + more,
-                CHANNEL_BACKLOG + more,
+                CHANNEL_ENTRIES_PER_SECOND + extraEntries,
+                CHANNEL_QUEUE_LIMIT_ENTRIES + extraEntries,
                 FleetSimulator.REPORT_MILLIS * 1_000L);
     }
 }
--- a/src/main/java/rockshift/capacity/FleetSimulator.java
+++ b/src/main/java/rockshift/capacity/FleetSimulator.java
@@ -22,30 +22,32 @@
 import rockshift.testkit.StaticDiscoveryServer;
 
 /**
- * The proxies and collectors of one controller, on one thread: each proxy joins, acknowledges its
- * tables and reports its requests; each zone's collector reports the load of the replicas there.
- * The figures reported are drawn from a seed; nothing is served.
+ * Simulates the proxies and collectors of one controller on one thread. Each proxy joins,
+ * acknowledges its tables and reports its requests; the collector of each zone reports the load of
+ * the replicas there. The reported figures are drawn from a seed; no requests are served.
  */
 public final class FleetSimulator implements AutoCloseable {
-    /** Ms between two reports on the same replica or by the same proxy. */
+    /** The interval between two reports on the same replica or by the same proxy. */
     public static final int REPORT_MILLIS = 2_000;
 
     private static final int TICK_MILLIS = 50;
-    private static final int TICKS = REPORT_MILLIS / TICK_MILLIS;
+    private static final int TICKS_PER_REPORT = REPORT_MILLIS / TICK_MILLIS;
 
-    /** Requests that a replica answers between two reports, and the share by which they vary. */
+    /**
+     * The mean number of requests that a replica answers between two reports, and their variation.
+     */
     private static final int REQUESTS_PER_REPORT = 40;
 
     private static final double VARIATION = 0.1;
     private static final int READ_BUFFER_BYTES = 1 << 16;
 
     /**
-     * Bytes that a controller may leave unread of one peer before its reports are dropped and
+     * The maximum number of bytes that wait to be sent by one peer. Further reports are dropped and
      * counted.
      */
     private static final int MAX_UNSENT_BYTES = 1 << 18;
 
-    /** One connection to the controller: a proxy by its number, or a collector with -1. */
+    /** A connection to the controller, of a proxy with its number or of a collector with -1. */
     private static final class Peer {
         private final int proxy;
         private final String zone;
@@ -70,7 +72,7 @@
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     private final Thread thread = new Thread(this::run, "fleet-stand-in");
 
-    /** Says to the fleet's thread that it is to end. */
+    /** Set on close; read by the fleet's thread. */
     private volatile boolean closed;
 
     private final AtomicLong bytesIn = new AtomicLong();
@@ -82,10 +84,10 @@
     private final AtomicLong droppedReports = new AtomicLong();
     private final AtomicLong longestDelayMillis = new AtomicLong();
 
-    /** What passed so far, as the controller sees it: in is what it was sent. */
+    /** The traffic so far from the controller's side: in is what the controller received. */
     public record Traffic(long bytesIn, long bytesOut, long messagesIn, long messagesOut) {}
 
-    /** Connects all peers of a shape to the controller at a port, and begins to report. */
+    /** Connects all peers to the controller at a port and starts reporting. */
     public FleetSimulator(FleetShape shape, int port, long seed) throws IOException {
         this.shape = shape;
         controller = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -107,7 +109,7 @@
         thread.start();
     }
 
-    /** Dials, also again where the controller ended a connection, and says who it is. */
+    /** Connects or reconnects a peer to the controller and sends its identification. */
     private void connect(Peer peer) throws IOException {
         peer.channel = SocketChannel.open(controller);
         peer.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -136,47 +138,48 @@
         }
     }
 
-    /** What passed so far. */
     public Traffic traffic() {
         return new Traffic(bytesIn.get(), bytesOut.get(), messagesIn.get(), messagesOut.get());
     }
 
-    /** Proxies that were sent a table so far. */
+    /** The number of proxies that have received a table. */
     public int withTables() {
         return withTables.get();
     }
 
-    /** Connections that the controller ended. */
+    /** The number of connections that the controller closed. */
     public int lostConnections() {
         return lostConnections.get();
     }
 
-    /** Reports dropped as the controller left too much unread. */
+    /** The number of reports dropped because the controller read too slowly. */
     public long droppedReports() {
         return droppedReports.get();
     }
 
     /**
-     * How late a round of reports began at most: this thread, not the controller, was the limit
-     * then.
+     * The longest delay of a round of reports. A late round means that this thread, not the
+     * controller, was the bottleneck.
      */
     public long longestDelayMillis() {
         return longestDelayMillis.get();
     }
 
     private void run() {
-        long next = System.nanoTime();
+        long nextTickNanos = System.nanoTime();
         try {
             for (int tick = 0; !closed; tick++) {
-                report(tick % TICKS);
-                next += TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS);
-                long rest = TimeUnit.NANOSECONDS.toMillis(next - System.nanoTime());
-                longestDelayMillis.accumulateAndGet(-rest, Math::max);
+                report(tick % TICKS_PER_REPORT);
+                nextTickNanos += TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS);
+                long remainingMillis =
+                        TimeUnit.NANOSECONDS.toMillis(nextTickNanos - System.nanoTime());
+                longestDelayMillis.accumulateAndGet(-remainingMillis, Math::max);
                 do {
-                    selector.select(Math.max(1, rest));
+                    selector.select(Math.max(1, remainingMillis));
                     readAll();
-                    rest = TimeUnit.NANOSECONDS.toMillis(next - System.nanoTime());
-                } while (rest > 0 && !closed);
+                    remainingMillis =
+                            TimeUnit.NANOSECONDS.toMillis(nextTickNanos - System.nanoTime());
+                } while (remainingMillis > 0 && !closed);
             }
         } catch (IOException failure) {
             lostConnections.incrementAndGet();
@@ -188,7 +191,7 @@
             Peer peer = (Peer) key.attachment();
             try {
                 read(peer);
-            } catch (IOException | MalformedStreamException | InvalidMessageException ended) {
+            } catch (IOException | MalformedStreamException | InvalidMessageException failure) {
                 reconnect(peer);
             }
         }
@@ -208,7 +211,7 @@
         readBuffer.clear();
         int count = peer.channel.read(readBuffer);
         if (count < 0) {
-            throw new IOException("the governor ended a connection");
+            throw new IOException("controller closed the connection");
         }
         bytesOut.addAndGet(count);
         peer.codec.feed(readBuffer.flip());
@@ -230,9 +233,9 @@
         }
     }
 
-    /** The reports of one tick: each replica and each proxy has its turn once in a period. */
+    /** Sends the reports of one tick; each replica and proxy has one tick per report interval. */
     private void report(int tick) {
-        for (int i = tick; i < shape.replicas(); i += TICKS) {
+        for (int i = tick; i < shape.replicas(); i += TICKS_PER_REPORT) {
             Peer collector = collectors.get(i % shape.zones());
             send(
                     collector,
@@ -245,9 +248,9 @@
                             REPORT_MILLIS,
                             0.5 * varied(100) / 100));
         }
-        double each =
+        double requestsPerClass =
                 (double) shape.replicas() * REQUESTS_PER_REPORT / shape.proxies() / shape.classes();
-        for (int i = tick; i < shape.proxies(); i += TICKS) {
+        for (int i = tick; i < shape.proxies(); i += TICKS_PER_REPORT) {
             for (int k = 0; k < shape.classes(); k++) {
                 send(
                         proxies.get(i),
@@ -256,7 +259,7 @@
                                 + " kind "
                                 + FleetShape.className(k)
                                 + " n "
-                                + varied(each)
+                                + varied(requestsPerClass)
                                 + " bad 0 window "
                                 + REPORT_MILLIS);
             }
--- a/src/main/java/rockshift/capacity/LightweightController.java
+++ b/src/main/java/rockshift/capacity/LightweightController.java
@@ -15,9 +15,9 @@
 import rockshift.distribution.wire.DistributionReactor;
 
 /**
- * A controller without a planner: the client of a real one with its own name, socket and scope. All
- * that it receives is in force at once and handed to the checker. Its methods may be called from
- * any thread; its state comes on the threads of its reactor.
+ * A controller without a planner. It uses the subscription client of a real controller, with its
+ * own name, socket and scope. All received state is in force at once and passed to the checker.
+ * Methods may be called from any thread; state arrives on the threads of its reactor.
  */
 final class LightweightController implements DistributionListener, AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -28,8 +28,8 @@
     private final DistributionReactor reactor;
     private final ScaleChecker checker;
 
-    /** Items that many hold are kept once. */
-    private final UnaryOperator<Item> interned;
+    /** Returns the shared instance of equal items. */
+    private final UnaryOperator<Item> itemInterner;
 
     private final SplittableRandom random;
     private DistributionClient client;
@@ -37,8 +37,8 @@
     private long startedAtMillis;
 
     /**
-     * Records how long the first snapshot takes; null once it has. Volatile publishes the start,
-     * with {@link #startedAtMillis}, to the reactor's thread that takes the snapshot.
+     * Records the time until the first snapshot; null after that. Volatile, as it publishes itself
+     * and {@link #startedAtMillis} to the reactor's thread that receives the snapshot.
      */
     private volatile Histogram startTimes;
 
@@ -48,18 +48,18 @@
             List<InetSocketAddress> upstreams,
             DistributionReactor reactor,
             ScaleChecker checker,
-            UnaryOperator<Item> interned,
+            UnaryOperator<Item> itemInterner,
             long seed) {
         this.name = name;
         this.scope = scope;
         this.upstreams = upstreams;
         this.reactor = reactor;
         this.checker = checker;
-        this.interned = interned;
+        this.itemInterner = itemInterner;
         random = new SplittableRandom(seed);
     }
 
-    /** The clock of a run, in ms. */
+    /** The time on the run's monotonic clock. */
     static long nowMillis() {
         return System.nanoTime() / NANOS_PER_MILLI;
     }
@@ -68,7 +68,7 @@
         return name;
     }
 
-    /** Starts without a state; the time until its first snapshot is in force is recorded, in ms. */
+    /** Starts without a state, and records the time in ms until the first snapshot is in force. */
     synchronized void start(Histogram times) {
         startedAtMillis = nowMillis();
         startTimes = times;
@@ -79,7 +79,7 @@
         client.start();
     }
 
-    /** Ends as a killed process does: nothing is said but by the end of the connection. */
+    /** Ends like a killed process: its connection closes without a message. */
     synchronized void kill() {
         client.close();
         checker.observe(new Observation.Ended(nowMillis(), name));
@@ -89,7 +89,7 @@
         return !client.revision().isNone();
     }
 
-    /** Hands the checker how old the state may be, as the client reports it. */
+    /** Passes the state's age, as the client reports it, to the checker. */
     synchronized void reportAge() {
         if (hasState()) {
             long at = nowMillis();
@@ -106,7 +106,7 @@
         }
         checker.observe(
                 new Observation.SnapshotTaken(
-                        nowMillis(), name, revision, items.stream().map(interned).toList()));
+                        nowMillis(), name, revision, items.stream().map(itemInterner).toList()));
         inForce.run();
     }
 
--- a/src/main/java/rockshift/capacity/Region.java
+++ b/src/main/java/rockshift/capacity/Region.java
@@ -14,8 +14,8 @@
 import rockshift.testkit.ProgramCommand;
 
 /**
- * The relays of a region as processes, with links to the members that can be cut; all of the
- * region's controllers use both.
+ * The relays of a region in their own processes, with links to the members that can be partitioned.
+ * Every controller of the region connects to both relays.
  */
 final class Region implements AutoCloseable {
     static final int RELAYS = 2;
@@ -42,13 +42,13 @@
         }
     }
 
-    /** Starts a relay at the port that it always has; {@link #awaitRelay} waits until it serves. */
+    /** Starts a relay on its fixed port; {@link #awaitRelay} waits until it serves. */
     void startRelay(int number) throws IOException {
         StringBuilder text =
                 new StringBuilder(
                         "distribution {\n  name = \"" + name + "-relay-" + number + "\"\n");
         for (int i = 0; i < links.size(); i++) {
-            // Each relay prefers another member, so that members share them.
+            // Each relay prefers a different member, to spread the relays over the members.
             int member = (i + number + Math.abs(name.hashCode())) % links.size();
             text.append(
                     "  upstream \"n"
@@ -82,20 +82,20 @@
         return relays[number].pid();
     }
 
-    /** Cuts the region off from all members, both ways and silently, or heals it. */
-    void setPartitioned(boolean now) {
-        links.forEach(link -> link.setPartitioned(now));
+    /** Sets whether the region is partitioned, silently, from all members in both directions. */
+    void setPartitioned(boolean partitioned) {
+        links.forEach(link -> link.setPartitioned(partitioned));
     }
 
-    /** The relays, another one first for every other controller. */
+    /** The addresses of the relays; the first one alternates between controllers. */
     List<InetSocketAddress> upstreams(int controller) {
-        List<InetSocketAddress> all = new ArrayList<>();
+        List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < RELAYS; i++) {
-            all.add(
+            addresses.add(
                     new InetSocketAddress(
                             InetAddress.getLoopbackAddress(), ports[(controller + i) % RELAYS]));
         }
-        return all;
+        return addresses;
     }
 
     @Override
--- a/src/main/java/rockshift/capacity/RoleUsage.java
+++ b/src/main/java/rockshift/capacity/RoleUsage.java
@@ -7,13 +7,13 @@
 import rockshift.testkit.ProcessUsage;
 
 /**
- * What the processes of each role have used, from when they were added until they are asked for.
+ * The resource usage of the processes of each role, from when a process is added until it is read.
  */
 final class RoleUsage {
     static final String RELAY = "relay";
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** One process and what it is there for. */
+    /** A process and its role. */
     private record RoleProcess(String role, long pid) {}
 
     private final Map<RoleProcess, ProcessUsage> before = new HashMap<>();
@@ -23,7 +23,8 @@
     }
 
     /**
-     * The most that a process of each role used since, by figure; what relays passed is shared by
+     * Returns the usage since the processes were added, by figure: the maximum over the processes
+     * of each role. The bytes of all relays are also added up and divided by the number of
      * controllers.
      */
     Map<String, Double> since(int controllers) throws IOException {
--- a/src/main/java/rockshift/capacity/ScaleChecker.java
+++ b/src/main/java/rockshift/capacity/ScaleChecker.java
@@ -6,34 +6,35 @@
 import java.util.TreeMap;
 
 /**
- * Checks what was seen in a run of many controllers. The expected state is that of the changes that
- * members agreed, in the order of their revisions; all that controllers took is compared with it.
- * Observations of one controller come in their order; all others may come in any. It does no I/O
- * and reads no clock.
+ * Checks the observations of a run of many controllers. The expected state consists of the
+ * committed changes in the order of their revisions; the states of all controllers are compared
+ * with it. Observations of one controller must arrive in order, all others may arrive in any order.
+ * It does no I/O and reads no clock.
  *
- * <p>Thread-safe: any thread may hand in observations.
+ * <p>Thread-safe.
  */
 public final class ScaleChecker {
     private final CommittedChanges committed = new CommittedChanges();
     private final Map<String, List<Observation.OfController>> byController = new TreeMap<>();
     private long endMillis;
 
-    /** Takes in an observation. */
+    /** Adds an observation. */
     public synchronized void observe(Observation observation) {
         endMillis = Math.max(endMillis, observation.atMillis());
         if (observation instanceof Observation.Committed change) {
             committed.add(change);
-        } else if (observation instanceof Observation.OfController seen) {
-            byController.computeIfAbsent(seen.controller(), name -> new ArrayList<>()).add(seen);
+        } else if (observation instanceof Observation.OfController event) {
+            byController.computeIfAbsent(event.controller(), name -> new ArrayList<>()).add(event);
         }
     }
 
-    /** Checks all that was seen; called once, at the end of a run. */
+    /** Checks all observations; to be called once, at the end of a run. */
     public synchronized ScaleVerdict verdict() {
         ScaleFindings findings = new ScaleFindings();
         byController.forEach(
-                (name, seen) ->
-                        new ControllerCheck(name, committed, findings).checkAll(seen, endMillis));
+                (name, observations) ->
+                        new ControllerCheck(name, committed, findings)
+                                .checkAll(observations, endMillis));
         return findings.verdict(byController.size(), committed.size());
     }
 }
--- a/src/main/java/rockshift/capacity/ScaleCluster.java
+++ b/src/main/java/rockshift/capacity/ScaleCluster.java
@@ -20,14 +20,14 @@
 import rockshift.testkit.ControllerProcesses;
 
 /**
- * Five members as processes, relays as processes, some real controllers, and many lightweight ones
- * in this process, on loopback. It owns all that it starts, and ends it also when this program is
- * ended.
+ * The cluster of a {@link ScaleRun} on loopback: five members, relays and some real controllers,
+ * each in its own process, and many lightweight controllers in this process. It owns all that it
+ * starts; child processes and files are also removed when this JVM shuts down.
  */
 final class ScaleCluster implements AutoCloseable {
     private static final String ELECTION = "1s";
 
-    /** Lightweight controllers that share two threads. */
+    /** The number of lightweight controllers that share a reactor's two threads. */
     private static final int CONTROLLERS_PER_REACTOR = 325;
 
     private static final long START_TIMEOUT_MILLIS = 120_000;
@@ -41,9 +41,9 @@
     private final List<Region> regions = new ArrayList<>();
     private final List<DistributionReactor> reactors = new ArrayList<>();
     private final List<LightweightController> controllers = new ArrayList<>();
-    private final List<ControllerInRegion> processes = new ArrayList<>();
+    private final List<ControllerInRegion> realControllers = new ArrayList<>();
 
-    /** Items that many controllers hold, kept once. */
+    /** Interned items, so that controllers share equal ones. */
     private final Map<Item, Item> items = new ConcurrentHashMap<>();
 
     private final Thread shutdownHook = new Thread(this::deleteFolder);
@@ -61,7 +61,7 @@
                         ScaleScenario.MEMBERS,
                         ELECTION,
                         scenario.seed(),
-                        (member, life, line) -> {});
+                        (member, incarnation, line) -> {});
     }
 
     ControllerProcesses members() {
@@ -76,29 +76,29 @@
         return controllers;
     }
 
-    /** Controllers of both kinds. */
+    /** The number of controllers of both kinds. */
     int subscribers() {
-        return controllers.size() + processes.size();
+        return controllers.size() + realControllers.size();
     }
 
-    /** Where members take commands. */
+    /** The addresses at which members accept commands. */
     List<String> memberAddresses() {
-        List<String> fronts = new ArrayList<>();
+        List<String> addresses = new ArrayList<>();
         for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
-            fronts.add(members.clientAddress(i));
+            addresses.add(members.clientAddress(i));
         }
-        return fronts;
+        return addresses;
     }
 
-    /** Starts members, relays and real controllers; lightweight ones are there and not started. */
+    /** Starts members, relays and real controllers, and creates the lightweight controllers. */
     void start() throws IOException, InterruptedException {
         for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
             members.start(i);
         }
-        progress.accept(ScaleScenario.MEMBERS + " members serve");
+        progress.accept(ScaleScenario.MEMBERS + " members are serving");
         List<Integer> ports =
                 memberAddresses().stream()
-                        .map(front -> Integer.parseInt(front.split(":")[1]))
+                        .map(address -> Integer.parseInt(address.split(":")[1]))
                         .toList();
         for (int i = 0; i < scenario.regions(); i++) {
             regions.add(new Region("region-" + i, folder, ports, scenario.seed() + i));
@@ -106,9 +106,9 @@
         for (Region region : regions) {
             startRelays(region);
         }
-        progress.accept(Region.RELAYS * regions.size() + " relays serve");
+        progress.accept(Region.RELAYS * regions.size() + " relays are serving");
         for (int i = 0; i < scenario.processes(); i++) {
-            processes.add(
+            realControllers.add(
                     new ControllerInRegion(
                             "process-" + i,
                             folder,
@@ -151,18 +151,22 @@
                 regions.get(regionOf(number)).upstreams(number / scenario.regions()),
                 reactors.get(reactors.size() - 1),
                 checker,
-                item -> items.computeIfAbsent(item, one -> one),
+                item -> items.computeIfAbsent(item, key -> key),
                 random.nextLong());
     }
 
-    /** Waits until each lightweight controller holds something. */
+    /**
+     * Waits until every lightweight controller has a state.
+     *
+     * @throws IOException if one has none after 120 s
+     */
     void awaitStates() throws IOException, InterruptedException {
-        long end = LightweightController.nowMillis() + START_TIMEOUT_MILLIS;
+        long deadlineMillis = LightweightController.nowMillis() + START_TIMEOUT_MILLIS;
         while (!controllers.stream().allMatch(LightweightController::hasState)) {
-            if (LightweightController.nowMillis() > end) {
+            if (LightweightController.nowMillis() > deadlineMillis) {
                 throw new IOException(
-                        controllers.stream().filter(one -> !one.hasState()).count()
-                                + " governors hold nothing after "
+                        controllers.stream().filter(controller -> !controller.hasState()).count()
+                                + " controllers have no state after "
                                 + START_TIMEOUT_MILLIS
                                 + " ms");
             }
@@ -170,19 +174,19 @@
         }
     }
 
-    /** The controllers of a region, lightweight and real. */
+    /** The names of a region's lightweight and real controllers. */
     List<String> namesIn(int region) {
         List<String> names = new ArrayList<>();
         for (int i = region; i < controllers.size(); i += scenario.regions()) {
             names.add(controllers.get(i).name());
         }
-        for (int i = region; i < processes.size(); i += scenario.regions()) {
-            names.add(processes.get(i).name());
+        for (int i = region; i < realControllers.size(); i += scenario.regions()) {
+            names.add(realControllers.get(i).name());
         }
         return names;
     }
 
-    /** The number of the member that leads, or 0 while none says so. */
+    /** Returns the index of the leader, or 0 if no member reports that it is leader. */
     int leader() throws IOException {
         try (ClusterClient client = new ClusterClient(memberAddresses(), random.split(), 1_000)) {
             for (var status : client.statuses().entrySet()) {
@@ -194,7 +198,7 @@
         return 0;
     }
 
-    /** What the processes of each role used so far. */
+    /** Reads the current usage of the processes of each role. */
     RoleUsage usage(int leader) throws IOException {
         RoleUsage usage = new RoleUsage();
         for (Region region : regions) {
@@ -205,8 +209,8 @@
         for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
             usage.add(i == leader ? "leader" : "follower", members.pid(i));
         }
-        for (ControllerInRegion process : processes) {
-            usage.add("real governor", process.pid());
+        for (ControllerInRegion controller : realControllers) {
+            usage.add("real governor", controller.pid());
         }
         return usage;
     }
@@ -214,8 +218,8 @@
     private void deleteFolder() {
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
-        } catch (IOException gone) {
-            // Nothing is left of it.
+        } catch (IOException deleted) {
+            // The folder is already deleted.
         }
     }
 
@@ -225,8 +229,8 @@
         for (DistributionReactor reactor : reactors) {
             reactor.close();
         }
-        for (ControllerInRegion process : processes) {
-            process.close();
+        for (ControllerInRegion controller : realControllers) {
+            controller.close();
         }
         for (Region region : regions) {
             region.close();
--- a/src/main/java/rockshift/capacity/ScaleFindings.java
+++ b/src/main/java/rockshift/capacity/ScaleFindings.java
@@ -6,11 +6,11 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What the checks of all controllers found, and how long changes took. Not thread-safe. */
+/** The findings of the checks of all controllers, and change latencies. Not thread-safe. */
 final class ScaleFindings {
     private static final int MAX_EXAMPLES = 20;
 
-    /** By revision, when the change was in force where that took longest, since its proposal. */
+    /** By revision, the longest time from the proposal until it was in force at a controller. */
     private final Map<Long, Long> slowestMillis = new TreeMap<>();
 
     private final List<String> examples = new ArrayList<>();
@@ -33,7 +33,7 @@
         addExample(example);
     }
 
-    /** A change came into force at a controller, so long after it was proposed. */
+    /** Records the time from a change's proposal until it was in force at a controller. */
     void inForceAfter(long revision, long millis) {
         slowestMillis.merge(revision, millis, Math::max);
     }
--- a/src/main/java/rockshift/capacity/ScaleRun.java
+++ b/src/main/java/rockshift/capacity/ScaleRun.java
@@ -15,40 +15,41 @@
 import rockshift.testkit.ProcessUsage;
 
 /**
- * One run of a {@link ScaleScenario}: changes at a rate, controllers killed at a rate, and each
- * fault once, on a {@link ScaleCluster}. What all controllers saw goes to a {@link ScaleChecker}.
+ * One run of a {@link ScaleScenario} on a {@link ScaleCluster}: proposes changes and kills
+ * controllers at fixed rates, and injects each fault once. The observations of all controllers go
+ * to a {@link ScaleChecker}.
  */
 public final class ScaleRun implements AutoCloseable {
     private static final long STEP_MILLIS = 100;
     private static final long SAMPLE_MILLIS = 1_000;
 
-    /** How long a member or relay stays away after it was killed. */
+    /** The time until a killed member or relay is restarted. */
     private static final long DOWNTIME_MILLIS = 2_000;
 
     /**
-     * Ms for which this program may be held up before a run is void: a tenth of what a change may
-     * take.
+     * The longest stall of this program for which a run is not void: a tenth of the limit for a
+     * change.
      */
     private static final long MAX_STALL_MILLIS = ScaleVerdict.MAX_IN_FORCE_MILLIS / 10;
 
-    /** Shares of the changes after which each fault comes. */
+    /** The fractions of the changes after which each fault is injected. */
     private static final double PARTITION_AT_FRACTION = 0.2;
 
     private static final double LEADER_KILL_AT_FRACTION = 0.5;
     private static final double RELAY_KILL_AT_FRACTION = 0.65;
     private static final double RESTART_ALL_AT_FRACTION = 0.8;
 
-    /** What came of a run; figures by name, in their order. */
+    /** The result of a run, with its figures by name in the order of measurement. */
     public record Outcome(
             ScaleVerdict verdict, Map<String, Double> figures, List<String> voidReasons) {
-        /** The last line of a run. */
+        /** The last line that a run prints. */
         public String summary() {
             return verdict.summary(
                     figures.get("busiest member, share of a core"),
                     figures.get("governor, bytes a second"));
         }
 
-        /** Whether nothing went wrong and the run counts. */
+        /** Whether the verdict passed and the run is not void. */
         public boolean passed() {
             return verdict.passed() && voidReasons.isEmpty();
         }
@@ -63,19 +64,25 @@
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
     /**
-     * Ms until controllers hold their state: those killed and started one by one, and all at once.
+     * The time in ms until a started controller has its state, for controllers restarted one by one
+     * and for all started at once.
      */
-    private final Histogram startedAlone = new ConcurrentHistogram(3);
+    private final Histogram singleStartMillis = new ConcurrentHistogram(3);
 
-    private final Histogram startedTogether = new ConcurrentHistogram(3);
-    private double busiestMember;
+    private final Histogram jointStartMillis = new ConcurrentHistogram(3);
+    private double busiestMemberCoreShare;
     private long lastSampleAtMillis;
     private long nextKillAtMillis;
 
-    /** A run that has not begun; progress hears a line from time to time. */
+    /**
+     * Creates a run that has not started.
+     *
+     * @param progress receives a progress line from time to time
+     */
     public ScaleRun(ScaleScenario scenario, Consumer<String> progress) throws IOException {
         if (!scenario.fits()) {
-            throw new IllegalArgumentException("more processes or regions than a run may have");
+            throw new IllegalArgumentException(
+                    "scenario needs too many processes or partitions a region that does not exist");
         }
         this.scenario = scenario;
         this.progress = progress;
@@ -83,15 +90,15 @@
         cluster = new ScaleCluster(scenario, checker, progress);
     }
 
-    /** Runs the scenario and checks what was seen. */
+    /** Runs the scenario and checks the observations. */
     public Outcome run() throws IOException, InterruptedException {
         try (StallMonitor stalls = new StallMonitor()) {
             cluster.start();
             startControllers("all governors at once until in force, ms");
             ChangeLoad load = new ChangeLoad(cluster.memberAddresses(), scenario, checker);
-            playChanges(load);
+            runChanges(load);
             awaitLastChanges();
-            figures.put("busiest member, share of a core", busiestMember);
+            figures.put("busiest member, share of a core", busiestMemberCoreShare);
             figures.put("rig, held up at most, ms", (double) stalls.longestStallMillis());
             figures.put(
                     "load average at the end",
@@ -100,13 +107,13 @@
             figures.put(
                     "in force everywhere, longest ms",
                     (double) verdict.inForceEverywhereMillis().getMaxValue());
-            figures.put("governors started one by one", (double) startedAlone.getTotalCount());
+            figures.put("governors started one by one", (double) singleStartMillis.getTotalCount());
             figures.put(
                     "one governor started until in force, median ms",
-                    (double) startedAlone.getValueAtPercentile(50));
+                    (double) singleStartMillis.getValueAtPercentile(50));
             figures.put(
                     "one governor started until in force, longest ms",
-                    (double) startedAlone.getMaxValue());
+                    (double) singleStartMillis.getMaxValue());
             return new Outcome(verdict, figures, voidReasons(stalls, load));
         }
     }
@@ -114,16 +121,14 @@
     private static List<String> voidReasons(StallMonitor stalls, ChangeLoad load) {
         List<String> reasons = new ArrayList<>();
         if (stalls.longestStallMillis() > MAX_STALL_MILLIS) {
-            reasons.add("the rig was held up for " + stalls.longestStallMillis() + " ms");
+            reasons.add("this program was stalled for " + stalls.longestStallMillis() + " ms");
         }
         if (load.unanswered() > 0) {
-            reasons.add(load.unanswered() + " changes were not answered for good");
+            reasons.add(load.unanswered() + " changes have an unknown outcome");
         }
         return reasons;
     }
 
-    // ---- changes and faults ---------------------------------------------------------------------
-
     private List<ScheduledFault> faults() {
         List<ScheduledFault> faults = new ArrayList<>();
         if (scenario.partitionMillis() > 0) {
@@ -141,65 +146,65 @@
                         DOWNTIME_MILLIS,
                         () -> {
                             leader[0] = cluster.leader();
-                            progress.accept("leader n" + leader[0] + " is killed");
+                            progress.accept("killing leader n" + leader[0]);
                             cluster.members().kill(leader[0]);
                         },
                         () -> cluster.members().start(leader[0])));
-        Region last = cluster.regions().get(scenario.regions() - 1);
+        Region lastRegion = cluster.regions().get(scenario.regions() - 1);
         faults.add(
                 new ScheduledFault(
                         RELAY_KILL_AT_FRACTION,
                         DOWNTIME_MILLIS,
                         () -> {
-                            progress.accept("a relay is killed");
-                            last.killRelay(0);
+                            progress.accept("killing a relay");
+                            lastRegion.killRelay(0);
                         },
-                        () -> last.startRelay(0)));
+                        () -> lastRegion.startRelay(0)));
         faults.add(new ScheduledFault(RESTART_ALL_AT_FRACTION, 0, this::restartAll, () -> {}));
         return faults;
     }
 
-    private void playChanges(ChangeLoad load) throws IOException, InterruptedException {
-        Thread asking = new Thread(load, "changes");
-        asking.setDaemon(true);
+    private void runChanges(ChangeLoad load) throws IOException, InterruptedException {
+        Thread loadThread = new Thread(load, "changes");
+        loadThread.setDaemon(true);
         List<ScheduledFault> faults = faults();
         int leader = cluster.leader();
         RoleUsage before = cluster.usage(leader);
         long startedMillis = LightweightController.nowMillis();
-        asking.start();
+        loadThread.start();
         nextKillAtMillis =
                 startedMillis + (long) Math.min(Integer.MAX_VALUE, scenario.millisBetweenKills());
         boolean steady = true;
-        while (asking.isAlive()) {
-            double done = (double) load.proposed() / scenario.changes();
-            if (steady && done >= PARTITION_AT_FRACTION) {
+        while (loadThread.isAlive()) {
+            double doneFraction = (double) load.proposed() / scenario.changes();
+            if (steady && doneFraction >= PARTITION_AT_FRACTION) {
                 steady = false;
                 figures.putAll(before.since(cluster.subscribers()));
             }
-            step(faults, done);
+            step(faults, doneFraction);
         }
-        for (long end =
+        for (long endMillis =
                         LightweightController.nowMillis()
                                 + scenario.partitionMillis()
                                 + DOWNTIME_MILLIS;
-                LightweightController.nowMillis() < end; ) {
+                LightweightController.nowMillis() < endMillis; ) {
             step(faults, 1);
         }
     }
 
-    private void step(List<ScheduledFault> faults, double done)
+    private void step(List<ScheduledFault> faults, double doneFraction)
             throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
         long now = LightweightController.nowMillis();
         for (ScheduledFault fault : faults) {
-            fault.step(done, now);
+            fault.step(doneFraction, now);
         }
         if (now > nextKillAtMillis) {
             nextKillAtMillis += (long) scenario.millisBetweenKills();
-            LightweightController one =
+            LightweightController controller =
                     cluster.controllers().get(random.nextInt(scenario.controllers()));
-            one.kill();
-            one.start(startedAlone);
+            controller.kill();
+            controller.start(singleStartMillis);
         }
         if (now > lastSampleAtMillis + SAMPLE_MILLIS) {
             lastSampleAtMillis = now;
@@ -208,58 +213,59 @@
         }
     }
 
-    private void setPartitioned(boolean cut) {
+    private void setPartitioned(boolean partitioned) {
         progress.accept(
-                "region " + scenario.partitionedRegion() + (cut ? " is cut" : " is healed"));
-        if (!cut) {
+                "region "
+                        + scenario.partitionedRegion()
+                        + (partitioned ? " is partitioned" : " is healed"));
+        if (!partitioned) {
             cluster.regions().get(scenario.partitionedRegion()).setPartitioned(false);
         }
         long now = LightweightController.nowMillis();
         for (String name : cluster.namesIn(scenario.partitionedRegion())) {
             checker.observe(
-                    cut
+                    partitioned
                             ? new Observation.Partitioned(now, name)
                             : new Observation.Healed(now, name));
         }
-        if (cut) {
+        if (partitioned) {
             cluster.regions().get(scenario.partitionedRegion()).setPartitioned(true);
         }
     }
 
     private void startControllers(String figure) throws IOException, InterruptedException {
         long startedMillis = LightweightController.nowMillis();
-        cluster.controllers().forEach(controller -> controller.start(startedTogether));
+        cluster.controllers().forEach(controller -> controller.start(jointStartMillis));
         cluster.awaitStates();
         figures.put(figure, (double) (LightweightController.nowMillis() - startedMillis));
     }
 
     private void restartAll() throws IOException, InterruptedException {
-        progress.accept("all governors start again");
+        progress.accept("restarting all controllers");
         cluster.controllers().forEach(LightweightController::kill);
         startControllers("all governors again at once until in force, ms");
     }
 
-    /** Waits as long as a change may take, so that what is then missing is lost. */
+    /** Waits twice the limit for a change, so that changes missing after that count as lost. */
     private void awaitLastChanges() throws InterruptedException {
-        long end = LightweightController.nowMillis() + 2 * ScaleVerdict.MAX_IN_FORCE_MILLIS;
-        while (LightweightController.nowMillis() < end) {
+        long endMillis = LightweightController.nowMillis() + 2 * ScaleVerdict.MAX_IN_FORCE_MILLIS;
+        while (LightweightController.nowMillis() < endMillis) {
             TimeUnit.MILLISECONDS.sleep(SAMPLE_MILLIS);
             cluster.controllers().forEach(LightweightController::reportAge);
         }
     }
 
-    // ---- measurements ---------------------------------------------------------------------------
-
     private void sampleMembers() throws IOException {
-        double most = 0;
+        double maxCoreShare = 0;
         for (int i = 0; i < ScaleScenario.MEMBERS; i++) {
             if (cluster.members().isRunning(i)) {
                 ProcessUsage now = ProcessUsage.of(cluster.members().pid(i));
                 ProcessUsage before = lastUsage.put(cluster.members().pid(i), now);
-                most = Math.max(most, before == null ? 0 : now.coreShareSince(before));
+                maxCoreShare =
+                        Math.max(maxCoreShare, before == null ? 0 : now.coreShareSince(before));
             }
         }
-        busiestMember = Math.max(busiestMember, most);
+        busiestMemberCoreShare = Math.max(busiestMemberCoreShare, maxCoreShare);
     }
 
     @Override
--- a/src/main/java/rockshift/capacity/ScaleScenario.java
+++ b/src/main/java/rockshift/capacity/ScaleScenario.java
@@ -1,16 +1,17 @@
 package rockshift.capacity;
 
 /**
- * What a run of many controllers does.
+ * The parameters of a run of many controllers.
  *
- * @param controllers lightweight ones
- * @param processes controllers of their own processes beside them
- * @param changes changes that are asked for
- * @param seed of all that is drawn
- * @param changeRate times the target's changes a day
- * @param killRate times the target's restarts and lost machines a day
- * @param partitionMillis how long a region is cut; 0 for not at all
- * @param partitionedRegion which one
+ * @param controllers the number of lightweight controllers
+ * @param processes the number of further controllers, each in its own process
+ * @param changes the number of changes to propose
+ * @param seed the seed of all random draws
+ * @param changeRate the rate of changes, as a multiple of the target's changes per day
+ * @param killRate the rate of kills, as a multiple of the target's restarts and machine failures
+ *     per day
+ * @param partitionMillis the duration of a region's partition; 0 for none
+ * @param partitionedRegion the index of the partitioned region
  */
 public record ScaleScenario(
         int controllers,
@@ -25,24 +26,25 @@
     static final int SERVICES = 180;
     static final int ZONES = 66;
 
-    /** Controllers of a region, whose relays each serve half of them. */
+    /** The number of controllers of a region; each of its relays serves half of them. */
     private static final int CONTROLLERS_PER_REGION = 200;
 
     private static final double CHANGES_PER_DAY = 1_300;
 
-    /** Restarts and failed machines a day, of the target's controllers. */
+    /** The restarts and machine failures per day of all controllers at the target size. */
     private static final double KILLS_PER_DAY = 410 + 32;
 
     private static final double TARGET_CONTROLLERS = 1_300;
     private static final double DAY_MILLIS = 86_400_000;
 
-    /** Processes that a run may have. */
+    /** The maximum number of child processes of a run. */
     private static final int MAX_PROCESSES = 200;
 
-    /** Rejects sizes and rates that mean nothing. */
+    /** Rejects sizes and rates out of range. */
     public ScaleScenario {
         if (controllers < 1 || changes < 1 || changeRate <= 0 || killRate < 0) {
-            throw new IllegalArgumentException("governors, changes and rates must be positive");
+            throw new IllegalArgumentException(
+                    "controllers, changes and change rate must be positive, kill rate at least 0");
         }
     }
 
@@ -50,7 +52,7 @@
         return Math.max(1, (controllers + CONTROLLERS_PER_REGION - 1) / CONTROLLERS_PER_REGION);
     }
 
-    /** Whether it keeps within the processes that a run may have. */
+    /** Whether it needs no more processes than allowed and the partitioned region exists. */
     public boolean fits() {
         return MEMBERS + Region.RELAYS * regions() + processes <= MAX_PROCESSES
                 && partitionedRegion < regions();
@@ -60,7 +62,7 @@
         return DAY_MILLIS / CHANGES_PER_DAY / changeRate;
     }
 
-    /** Ms between two controllers that are killed and started again; infinite for none. */
+    /** The time between two restarts of a controller; infinite if there are none. */
     double millisBetweenKills() {
         return DAY_MILLIS / (KILLS_PER_DAY * controllers / TARGET_CONTROLLERS) / killRate;
     }
--- a/src/main/java/rockshift/capacity/ScaleVerdict.java
+++ b/src/main/java/rockshift/capacity/ScaleVerdict.java
@@ -7,16 +7,16 @@
 /**
  * The result of a {@link ScaleChecker}.
  *
- * @param controllers controllers seen
- * @param changes changes agreed
- * @param inForceEverywhereMillis ms from the asking of a change until it was in force at every
- *     controller that it concerns, outside cuts
- * @param lost changes missing at a controller that should have them
- * @param disordered revisions that went back, came twice, or came without having been agreed or
- *     asked for
- * @param stale controllers that were not up to date in time after a cut, or called fresh what was
- *     not
- * @param examples the first of each kind, in words
+ * @param controllers the number of controllers observed
+ * @param changes the number of committed changes
+ * @param inForceEverywhereMillis the time in ms from the proposal of a change until it was in force
+ *     at every controller that it concerns, outside partitions
+ * @param lost the number of changes missing at a controller that should have them
+ * @param disordered the number of revisions that went back or were repeated, and of updates that
+ *     were not committed or are out of scope
+ * @param stale how often a controller was not up to date in time after a partition, or reported its
+ *     state as fresher than it was
+ * @param examples descriptions of the first findings
  */
 public record ScaleVerdict(
         int controllers,
@@ -26,7 +26,7 @@
         int disordered,
         int stale,
         List<String> examples) {
-    /** Ms within which each change is to be in force everywhere. */
+    /** The time within which each change must be in force everywhere. */
     public static final long MAX_IN_FORCE_MILLIS = 5_000;
 
     /** Whether nothing was lost, disordered or stale, and no change took too long. */
@@ -37,7 +37,7 @@
                 && inForceEverywhereMillis.getMaxValue() <= MAX_IN_FORCE_MILLIS;
     }
 
-    /** The last line of a run, with what it measured beside. */
+    /** The last line that a run prints, with the given measurements. */
     public String summary(double busiestMemberShare, double controllerBytesPerSecond) {
         return String.format(
                 Locale.ROOT,
--- a/src/main/java/rockshift/capacity/ScheduledFault.java
+++ b/src/main/java/rockshift/capacity/ScheduledFault.java
@@ -3,36 +3,38 @@
 import java.io.IOException;
 
 /**
- * A fault that comes once a share of a run's changes was asked for, and what ends it some time
- * later.
+ * A fault that is injected once a given fraction of a run's changes has been proposed, and repaired
+ * after a given duration.
  */
 final class ScheduledFault {
     private final double atFraction;
-    private final long lastsMillis;
-    private final Step inject;
-    private final Step repair;
-    private long begunAtMillis;
-    private boolean over;
+    private final long durationMillis;
+    private final Action inject;
+    private final Action repair;
+    private long injectedAtMillis;
+    private boolean repaired;
 
-    /** One thing that is done to the run. */
-    interface Step {
+    /** Injects or repairs the fault. */
+    interface Action {
         void run() throws IOException, InterruptedException;
     }
 
-    ScheduledFault(double atFraction, long lastsMillis, Step inject, Step repair) {
+    ScheduledFault(double atFraction, long durationMillis, Action inject, Action repair) {
         this.atFraction = atFraction;
-        this.lastsMillis = lastsMillis;
+        this.durationMillis = durationMillis;
         this.inject = inject;
         this.repair = repair;
     }
 
-    /** Begins or ends it where that is due. */
+    /** Injects or repairs the fault if that is due. */
     void step(double doneFraction, long nowMillis) throws IOException, InterruptedException {
-        if (begunAtMillis == 0 && doneFraction >= atFraction) {
-            begunAtMillis = nowMillis;
+        if (injectedAtMillis == 0 && doneFraction >= atFraction) {
+            injectedAtMillis = nowMillis;
             inject.run();
-        } else if (begunAtMillis > 0 && !over && nowMillis > begunAtMillis + lastsMillis) {
-            over = true;
+        } else if (injectedAtMillis > 0
+                && !repaired
+                && nowMillis > injectedAtMillis + durationMillis) {
+            repaired = true;
             repair.run();
         }
     }
--- a/src/main/java/rockshift/capacity/StallMonitor.java
+++ b/src/main/java/rockshift/capacity/StallMonitor.java
@@ -4,34 +4,35 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Notices where this program itself was held up: a thread that wakes at an interval, and how late
- * it was at most.
+ * Detects stalls of this program with a thread that wakes at a fixed interval and records its
+ * longest delay.
  */
 final class StallMonitor implements AutoCloseable {
     private static final long INTERVAL_MILLIS = 50;
 
     private final AtomicLong longestMillis = new AtomicLong();
-    private final Thread thread = new Thread(this::watch, "rig-watch");
+    private final Thread thread = new Thread(this::run, "rig-watch");
 
     StallMonitor() {
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void watch() {
+    private void run() {
         try {
-            for (long due = LightweightController.nowMillis() + INTERVAL_MILLIS;
+            for (long dueMillis = LightweightController.nowMillis() + INTERVAL_MILLIS;
                     ;
-                    due = LightweightController.nowMillis() + INTERVAL_MILLIS) {
+                    dueMillis = LightweightController.nowMillis() + INTERVAL_MILLIS) {
                 TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
-                longestMillis.accumulateAndGet(LightweightController.nowMillis() - due, Math::max);
+                longestMillis.accumulateAndGet(
+                        LightweightController.nowMillis() - dueMillis, Math::max);
             }
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The longest that the thread was held up so far, in ms. */
+    /** The longest stall so far. */
     long longestStallMillis() {
         return longestMillis.get();
     }
--- a/src/main/java/rockshift/capacity/package-info.java
+++ b/src/main/java/rockshift/capacity/package-info.java
@@ -1,15 +1,16 @@
 /**
- * Measurements of how costs grow with size, and of many controllers at once.
+ * Capacity measurements: how the costs of one controller grow with size, and runs of many
+ * controllers at once.
  *
  * <p>State: {@link rockshift.capacity.ScaleRun} owns a run and, through its cluster, the processes
  * and controllers in it; {@link rockshift.capacity.ControllerSweep} owns the runs of one controller
- * over sizes. Tables are kept in a folder that the user names.
+ * over sizes. Result tables are kept in a folder that the user specifies.
  *
- * <p>Threads: runs start daemon threads and processes of their own and end them all; {@link
- * rockshift.capacity.ScaleChecker} takes observations from any of them.
+ * <p>Threads: runs start their own daemon threads and processes and end them all; {@link
+ * rockshift.capacity.ScaleChecker} accepts observations from any thread.
  *
- * <p>Begin with {@link rockshift.capacity.ScaleRun} for many controllers, {@link
- * rockshift.capacity.ControllerSweep} for one; {@link rockshift.capacity.CapacityReport} works the
- * target out of both.
+ * <p>Start reading at {@link rockshift.capacity.ScaleRun} for many controllers, or at {@link
+ * rockshift.capacity.ControllerSweep} for one; {@link rockshift.capacity.CapacityReport} projects
+ * the results of both to the target size.
  */
 package rockshift.capacity;
