--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -1,53 +1,54 @@
-# What an installation switches on beside the platform's file. Nothing here is read unless it is named:
+# Optional settings of an installation, in addition to the platform's file. They are read only with --operator:
 #   RELAY_CONFIG=... rockshift serve --operator deploy/operator.hcl
-# `rockshift check FILE` reads a file like this one and names what is wrong by line and field.
+# `rockshift check FILE` checks such a file and reports errors by line and field.
 
-# Governors that agree on drains, holds, budgets and terms. docs/raft.md tells how, docs/on-call-cluster.md what to do.
+# A cluster of controllers that agree on drains, holds, budgets and terms by consensus. docs/raft.md describes the
+# protocol, docs/on-call-cluster.md its operation.
 cluster {
-  name   = "n1"                    # this member; the others' files differ in name, listen, address and folder
-  listen = "127.0.0.1:7101"        # members and commands connect here; not the platform's listener
-  # address = "10.0.0.4:7101"      # where the others reach it, if not at listen
-  folder = "/var/lib/rockshift/n1" # lasting and local; one process at a time. A new folder makes a new member
+  name   = "n1"                    # this member; name, listen, address and folder differ between members
+  listen = "127.0.0.1:7101"        # for members and commands; not the platform's listener
+  # address = "10.0.0.4:7101"      # where other members reach it, if not at listen
+  folder = "/var/lib/rockshift/n1" # persistent and local, for one process at a time. A new folder makes a new member
 
-  founder "n1" { address = "127.0.0.1:7101" } # one, three or five that begin the cluster, alike in each file;
-  founder "n2" { address = "127.0.0.1:7102" } # a member that is added later names none
+  founder "n1" { address = "127.0.0.1:7101" } # one, three or five initial members, the same in each file;
+  founder "n2" { address = "127.0.0.1:7102" } # a member that is added later lists none
   founder "n3" { address = "127.0.0.1:7103" }
 
-  # route "n2" { address = "127.0.0.1:9102" } # reach a member elsewhere than all others do
+  # route "n2" { address = "127.0.0.1:9102" } # another address of a member, for this member only
 
-  election  = "1s"       # without word from a leader until another is sought, at least; 50ms to 60s
-  heartbeat = "200ms"    # a third of election at most
-  drift     = 0.05       # by how much two members' clocks may run apart; reads' leases are shorter by it
-  leases    = true       # reads from a lease; false has each read ask most members
-  minority  = "withdraw" # when cut off from most: withdraw (what the rules owe), hold (nothing) or serve (all)
-  batch     = 512        # entries in one message
+  election  = "1s"       # minimum time without contact from a leader before an election; 50ms to 60s
+  heartbeat = "200ms"    # at most a third of election
+  drift     = 0.05       # maximum drift between two members' clocks, as a fraction; read leases are shorter by it
+  leases    = true       # reads use a leader lease; if false, each read contacts a majority
+  minority  = "withdraw" # isolated from a majority: withdraw (what the rules require), hold (nothing) or serve (all)
+  batch     = 512        # maximum entries in one message
 
   snapshot_after = 10000 # entries between snapshots
-  snapshot_bytes = "4MB" # or so many bytes of them in memory
+  snapshot_bytes = "4MB" # or this many bytes of entries in memory
 
-  subscribers = 1024     # relays and governors that may subscribe here at a time
+  subscribers = 1024     # maximum number of relays and controllers subscribed here
 }
 
-# A relay, `rockshift relay --operator FILE`, reads what is agreed from members and serves governors that are no members.
-# docs/on-call-distribution.md tells what to set and what to do.
+# A relay, `rockshift relay --operator FILE`, reads the agreed state from members and serves it to controllers that are
+# not members. docs/on-call-distribution.md describes its settings and operation.
 # distribution {
-#   name = "relay-a1"                              # its own, as each governor has its own
-#   upstream "n1" { address = "127.0.0.1:7101" }   # members; the next is tried when one fails
+#   name = "relay-a1"                              # unique among relays and controllers
+#   upstream "n1" { address = "127.0.0.1:7101" }   # members; if one fails, the next is tried
 #   upstream "n2" { address = "127.0.0.1:7102" }
-#   # scope { zones = ["hall-a", "hall-b"] }       # everything, if left out
+#   # scope { zones = ["hall-a", "hall-b"] }       # everything, if omitted
 #   relay {
-#     listen      = "127.0.0.1:7201"               # governors connect here
+#     listen      = "127.0.0.1:7201"               # controllers connect here
 #     subscribers = 1024
 #   }
 # }
 
-# A governor that is no member, `rockshift serve --operator FILE`: no block cluster, and
+# A controller that is not a member, `rockshift serve --operator FILE`: no cluster block, but
 # distribution {
 #   name = "governor-17"
 #   upstream "a1" { address = "127.0.0.1:7201" }   # relays
 #   upstream "a2" { address = "127.0.0.1:7202" }
 #   scope {
-#     services = ["shop"]                          # every service, if left out
-#     zones    = ["hall-a", "hall-b"]              # each zone whose replicas it may use; every one, if left out
+#     services = ["shop"]                          # every service, if omitted
+#     zones    = ["hall-a", "hall-b"]              # each zone whose replicas it may use; every zone, if omitted
 #   }
 # }
--- a/deploy/ready.sh
+++ b/deploy/ready.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# Processor time that a governor takes from its start to its first pong: ready.sh CONFIG OLD.jar NEW.jar [ROUNDS]
-# Both are started by turns with the flags of balancer.toml, each with its target/lib beside it. Prints the medians in
-# hundredths of a second and their ratio. The file's 'listen' should have port 0, and its discovery may be nowhere.
+# Compares the processor time of two versions of the controller from start to first pong.
+# Usage: ready.sh CONFIG OLD.jar NEW.jar [ROUNDS]
+# Starts both jars alternately with the flags of balancer.toml; each needs its target/lib beside it. Prints the medians
+# in hundredths of a second and their ratio. 'listen' in CONFIG should have port 0; its discovery need not be reachable.
 set -eu
 config=$1
 rounds=${4:-9}
@@ -9,7 +10,7 @@
 log=$(mktemp)
 trap 'rm -f "$log"' EXIT
 
-# once JAR: one start; answers hundredths of a second
+# once JAR: starts the controller once and prints its processor time in hundredths of a second
 once() {
     : > "$log"
     RELAY_CONFIG=$config java $flags -jar "$1" serve 2> "$log" &
