--- a/src/main/java/rockshift/capacity/FleetShape.java
+++ b/src/main/java/rockshift/capacity/FleetShape.java
@@ -18,7 +18,7 @@
     private static final double CHANNEL_QUEUE_LIMIT_ENTRIES = 9_200;
     private static final int CHANNEL_PROXIES = 16;
 
-    /** The table entries of the channel that each further proxy's first table may use. */
+    /** The channel entries that the first table of each further proxy may use. */
     private static final double ENTRIES_PER_PROXY = 60;
 
     /** The descriptors that the controller uses besides its proxies' and collectors' streams. */
--- a/src/main/java/rockshift/capacity/FleetSimulator.java
+++ b/src/main/java/rockshift/capacity/FleetSimulator.java
@@ -138,6 +138,7 @@
         }
     }
 
+    /** The traffic so far. */
     public Traffic traffic() {
         return new Traffic(bytesIn.get(), bytesOut.get(), messagesIn.get(), messagesOut.get());
     }
--- a/src/main/java/rockshift/capacity/Region.java
+++ b/src/main/java/rockshift/capacity/Region.java
@@ -15,7 +15,7 @@
 
 /**
  * The relays of a region in their own processes, with links to the members that can be partitioned.
- * Every controller of the region connects to both relays.
+ * Both relays are upstreams of every controller of the region.
  */
 final class Region implements AutoCloseable {
     static final int RELAYS = 2;
--- a/src/main/java/rockshift/capacity/SlopeFit.java
+++ b/src/main/java/rockshift/capacity/SlopeFit.java
@@ -41,7 +41,8 @@
     /**
      * Fits measured values against sizes.
      *
-     * @throws IllegalArgumentException if there are fewer than three points, or only one size
+     * @throws IllegalArgumentException if there are fewer than three points or only one size, or
+     *     the arrays differ in length
      */
     public static SlopeFit of(double[] sizes, double[] measured) {
         if (sizes.length != measured.length || sizes.length < 3) {
--- a/src/main/java/rockshift/testkit/ClusterBenchmark.java
+++ b/src/main/java/rockshift/testkit/ClusterBenchmark.java
@@ -32,10 +32,10 @@
 import rockshift.storage.FileDisk;
 
 /**
- * A benchmark of consensus on this machine. Each figure is compared with its lower bound from the
- * same run: the latency of a change with one sync and one round trip, the throughput of changes
- * with the same log written without consensus, and failover time with the election timeout. Used by
- * one thread.
+ * A benchmark of consensus on this machine. Each figure is compared with what bounds it in the same
+ * run: the latency of a change with one sync and one round trip, the throughput of changes with the
+ * same log written without consensus, and failover time with the election timeout. Used by one
+ * thread.
  */
 public final class ClusterBenchmark {
     private static final long ELECTION_TIMEOUT_MILLIS = 300;
--- a/src/main/java/rockshift/testkit/LoggedProcess.java
+++ b/src/main/java/rockshift/testkit/LoggedProcess.java
@@ -75,6 +75,7 @@
         return process.pid();
     }
 
+    /** Whether the process is still running. */
     public boolean isAlive() {
         return process.isAlive();
     }
--- a/src/main/java/rockshift/testkit/MeasurementCharts.java
+++ b/src/main/java/rockshift/testkit/MeasurementCharts.java
@@ -34,7 +34,7 @@
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    /** Draws values as multiples of their budgets on a logarithmic axis; up to 1 is in budget. */
+    /** Draws values as multiples of their budgets on a logarithmic axis; 1 is the limit. */
     public static void drawBudgetFactors(
             Path file, String title, Map<String, ? extends Number> values) throws IOException {
         System.setProperty("java.awt.headless", "true");
--- a/src/main/java/rockshift/testkit/SimulatedClient.java
+++ b/src/main/java/rockshift/testkit/SimulatedClient.java
@@ -111,7 +111,7 @@
         cluster.after(50 + random.nextLong(400), this::sendRequest);
     }
 
-    void onAnswer(long requestId, Engine.Answer answer) {
+    void onAnswer(long requestId, Engine.Answer answer, SimulatedHost from) {
         if (requestId == 0 || requestId % 10 != number || cluster.network().loses(random)) {
             return;
         }
--- a/src/main/java/rockshift/testkit/SimulatedHost.java
+++ b/src/main/java/rockshift/testkit/SimulatedHost.java
@@ -432,7 +432,7 @@
     @Override
     public void answer(long request, Engine.Answer answer) {
         for (SimulatedClient client : cluster.clients()) {
-            client.onAnswer(request, answer);
+            client.onAnswer(request, answer, this);
         }
     }
 
