--- a/src/main/java/rockshift/server/AgreedChangesReceiver.java
+++ b/src/main/java/rockshift/server/AgreedChangesReceiver.java
@@ -68,7 +68,7 @@
         loop.submit(new PlannerEvent.AgreedChanges(version, drainsById, overrides, onApplied));
     }
 
-    /** Sets how far the planner may change tables. */
+    /** Sets the extent to which the planner may change tables. */
     public void setControlScope(ControlScope scope) {
         loop.submit(new PlannerEvent.ControlScopeChanged(scope));
     }
--- a/src/main/java/rockshift/server/DiscoveryWatch.java
+++ b/src/main/java/rockshift/server/DiscoveryWatch.java
@@ -57,7 +57,7 @@
      */
     private volatile HttpHost target;
 
-    /** Tells the watch's thread to end. */
+    /** Signals the watch's thread to end. */
     private volatile boolean closed;
 
     // Used only by the watch's thread.
@@ -118,8 +118,8 @@
                 update();
             }
         } catch (InterruptedException interrupted) {
-            // The fields set by follow() and close() tell the reason. Without either, the same
-            // address is watched anew. The interrupt is not propagated beyond this thread's own
+            // The fields set by follow() and close() give the reason. If neither is set, the same
+            // address is watched again. The interrupt is not propagated beyond this thread's own
             // loop.
         } finally {
             http.disconnect();
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -64,7 +64,7 @@
     /** Volatile because other threads submit lists of replicas. */
     private volatile Consumer<EndpointList> endpointListener = list -> {};
 
-    /** Tells the loop's thread not to begin another turn. */
+    /** Signals the loop's thread not to begin another turn. */
     private volatile boolean closed;
 
     EventLoop(long seed, PlannerSettings settings) {
--- a/src/main/java/rockshift/server/PlannerEvent.java
+++ b/src/main/java/rockshift/server/PlannerEvent.java
@@ -107,7 +107,7 @@
         }
     }
 
-    /** How far the planner may change tables has changed. */
+    /** The extent to which the planner may change tables has changed. */
     record ControlScopeChanged(ControlScope scope) implements PlannerEvent {
         @Override
         public void apply(long nowTicks, Planner planner, PublishedTables tables) {
