--- a/src/main/java/rockshift/cli/AgreedInput.java
+++ b/src/main/java/rockshift/cli/AgreedStateAdapter.java
@@ -7,34 +7,35 @@
 import rockshift.server.AgreedChangesReceiver;
 import rockshift.settings.SettingsParser;
 
-/** Hands the agreed state to the planner of a controller, in the planner's units. */
-final class AgreedInput {
-    private AgreedInput() {}
+/** Passes the agreed state to the planner of a controller, in the planner's units. */
+final class AgreedStateAdapter {
+    private AgreedStateAdapter() {}
 
     /**
-     * Has the planner follow the agreed state; one that is older than the planner's is ignored.
+     * Passes the agreed state to the planner, which ignores it if it is older than the planner's.
      *
-     * @param out drains and holds in force, by replica
+     * @param drains the drains and holds in force, by replica name
      * @param inForce runs on the planner's thread once the state has taken effect
      */
-    static void tell(
+    static void apply(
             AgreedChangesReceiver receiver,
             long version,
-            Map<String, Change> out,
-            Map<String, Double> terms,
+            Map<String, Change> drains,
+            Map<String, Double> overrides,
             Runnable inForce) {
-        Map<String, Long> until = new HashMap<>();
-        // A drain concerns the process that ran when it was proposed; a hold concerns whatever runs
-        // under the name.
-        out.forEach(
+        Map<String, Long> latestStartTicks = new HashMap<>();
+        // A drain applies to the process that ran when it was proposed, a hold to all processes of
+        // that name.
+        drains.forEach(
                 (name, change) ->
-                        until.put(
+                        latestStartTicks.put(
                                 name,
                                 change.kind() == Change.Kind.DRAIN && change.started() > 0
                                         ? change.started() * Ticks.TICKS_PER_MILLI
                                                 + Ticks.TICKS_PER_MILLI
                                                 - 1
                                         : Long.MAX_VALUE));
-        receiver.applyAgreed(version, until, SettingsParser.overrides(terms), inForce);
+        receiver.applyAgreed(
+                version, latestStartTicks, SettingsParser.overrides(overrides), inForce);
     }
 }
--- a/src/main/java/rockshift/cli/ClusterBenchCommand.java
+++ b/src/main/java/rockshift/cli/ClusterBenchCommand.java
@@ -13,36 +13,38 @@
 import rockshift.testkit.ClusterBenchmark;
 import rockshift.testkit.MeasurementCharts;
 
-/** Measures what agreement costs, with members of its own on loopback. */
+/** Measures the cost of agreeing on changes, with its own members on loopback. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        description = "Measures what agreement costs here, beside what bounds it in the same run.")
+        description =
+                "Measures the cost of agreeing on changes on this machine, and in the same run the"
+                        + " costs that bound it.")
 final class ClusterBenchCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Option(
             names = "--changes",
             defaultValue = "2000",
-            description = "changes one at a time (${DEFAULT-VALUE})")
+            description = "number of changes made one at a time (default: ${DEFAULT-VALUE})")
     private int changes;
 
     @Option(
             names = "--kills",
             defaultValue = "50",
-            description = "leaders ended (${DEFAULT-VALUE})")
+            description = "number of leaders stopped (default: ${DEFAULT-VALUE})")
     private int kills;
 
     @Option(
             names = "--memory",
             paramLabel = "CHANGES",
-            description = "measures only what three processes hold of memory")
+            description = "measure only the memory of three members during this many changes")
     private long memoryChanges;
 
     @Option(
             names = "--out",
             paramLabel = "FOLDER",
-            description = "where to keep the table and the chart")
+            description = "folder for the table and the chart")
     private Path outputFolder;
 
     @Override
@@ -52,18 +54,17 @@
             new ClusterBenchmark(Files.createTempDirectory("rockshift-bench"))
                     .measureMemory(memoryChanges)
                     .forEach((done, megabytes) -> figures.put(done + " changes, MB", megabytes));
-            return report(
-                    figures, "memory", "Memory of a governor that agrees, heap of 64 MB", "MB");
+            return report(figures, "memory", "Memory of a cluster member, heap of 64 MB", "MB");
         }
         Map<String, Double> figures =
                 new ClusterBenchmark(Files.createTempDirectory("rockshift-bench"))
                         .run(changes, kills);
-        return report(figures, "bench", "Agreement beside what bounds it", "ratio");
+        return report(figures, "bench", "Cost of agreement relative to what bounds it", "ratio");
     }
 
     /**
-     * Prints figures and writes their files; the chart shows those that can stand beside each
-     * other.
+     * Prints the figures and writes their files. Of the benchmark, the chart shows only the ratios,
+     * which are comparable.
      */
     private int report(Map<String, Double> figures, String name, String title, String unit)
             throws IOException {
--- a/src/main/java/rockshift/cli/ClusterChangeCommands.java
+++ b/src/main/java/rockshift/cli/ClusterChangeCommands.java
@@ -9,7 +9,7 @@
 import rockshift.cluster.Change;
 import rockshift.cluster.ClusterClient;
 
-/** The commands that propose changes to the agreed state, and list those that were applied. */
+/** The commands that propose changes to the agreed state, and list the applied changes. */
 final class ClusterChangeCommands {
     private ClusterChangeCommands() {}
 
@@ -17,10 +17,10 @@
             name = "propose",
             mixinStandardHelpOptions = true,
             description =
-                    "Has a budget or a term set: price.crossing, price.orders, goal.worst.class,"
-                            + " or crossing, moves.")
+                    "Sets a budget (crossing, moves) or a term, which is a setting that may change"
+                            + " at run time (price.crossing, price.orders, goal.worst.class).")
     static final class Propose implements Callable<Integer> {
-        /** What is set. */
+        /** What to set. */
         enum Subject {
             TERM,
             BUDGET
@@ -37,7 +37,7 @@
         @Parameters(index = "2", paramLabel = "VALUE")
         private double value;
 
-        @Option(names = "--reason", defaultValue = "", description = "for the record")
+        @Option(names = "--reason", defaultValue = "", description = "reason, kept with the change")
         private String reason;
 
         @Override
@@ -47,18 +47,23 @@
         }
     }
 
-    /** Asks for a change of one replica; the commands differ by which. */
+    /** Proposes a change of one replica; subclasses determine its kind. */
     abstract static class ReplicaCommand implements Callable<Integer> {
         private final Change.Kind kind;
         @Mixin private MemberOptions members;
 
-        @Parameters(index = "0", paramLabel = "REPLICA", description = "its name in discovery")
+        @Parameters(
+                index = "0",
+                paramLabel = "REPLICA",
+                description = "name of the replica in discovery")
         private String replica;
 
-        @Option(names = "--reason", defaultValue = "", description = "for the record")
+        @Option(names = "--reason", defaultValue = "", description = "reason, kept with the change")
         private String reason;
 
-        @Option(names = "--force", description = "even where the governor asked objects")
+        @Option(
+                names = "--force",
+                description = "propose the change even if the controller asked objects")
         private boolean force;
 
         ReplicaCommand(Change.Kind kind) {
@@ -70,25 +75,25 @@
             return members.change(change(kind, replica, reason), force);
         }
 
-        Change change(Change.Kind of, String subject, String why) {
-            return new Change(of, subject, 0, 0, why);
+        Change change(Change.Kind changeKind, String subject, String changeReason) {
+            return new Change(changeKind, subject, 0, 0, changeReason);
         }
     }
 
-    /** Has a replica drained, everywhere or for one service or zone. */
+    /** Drains or holds a replica, in all services and zones or in one. */
     abstract static class ScopedReplicaCommand extends ReplicaCommand {
         @Option(
                 names = "--service",
                 defaultValue = "",
-                description = "the service that it concerns; every one if left out")
+                description = "service that the change applies to; every service if omitted")
         private String service;
 
         @Option(
                 names = "--zone",
                 defaultValue = "",
                 description =
-                        "the zone that it concerns; that in which the replica is listed if left"
-                                + " out")
+                        "zone that the change applies to; the zone in which the replica is listed"
+                                + " if omitted")
         private String zone;
 
         ScopedReplicaCommand(Change.Kind kind) {
@@ -96,15 +101,15 @@
         }
 
         @Override
-        Change change(Change.Kind of, String subject, String why) {
-            return new Change(of, subject, 0, 0, why, service, zone);
+        Change change(Change.Kind changeKind, String subject, String changeReason) {
+            return new Change(changeKind, subject, 0, 0, changeReason, service, zone);
         }
     }
 
     @Command(
             name = "drain",
             mixinStandardHelpOptions = true,
-            description = "Has a replica take nothing new, until it starts anew or is let back.")
+            description = "Drains a replica until it restarts or is undrained.")
     static final class Drain extends ScopedReplicaCommand {
         Drain() {
             super(Change.Kind.DRAIN);
@@ -114,7 +119,7 @@
     @Command(
             name = "hold",
             mixinStandardHelpOptions = true,
-            description = "Keeps a replica out, also after it starts anew, until it is let back.")
+            description = "Drains a replica until it is undrained, even if it restarts.")
     static final class Hold extends ScopedReplicaCommand {
         Hold() {
             super(Change.Kind.HOLD);
@@ -124,7 +129,7 @@
     @Command(
             name = "back",
             mixinStandardHelpOptions = true,
-            description = "Lets a drained or held replica back.")
+            description = "Undrains a drained or held replica.")
     static final class Back extends ReplicaCommand {
         Back() {
             super(Change.Kind.BACK);
@@ -134,7 +139,7 @@
     @Command(
             name = "log",
             mixinStandardHelpOptions = true,
-            description = "Lists changes as they were applied, in order.")
+            description = "Lists the applied changes, in order.")
     static final class ListChanges implements Callable<Integer> {
         @Mixin private MemberOptions members;
 
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -13,8 +13,9 @@
 import rockshift.server.AgreedChangesSource;
 
 /**
- * Connects a member of the cluster to the controller of its process: the agreed state goes in, the
- * list of replicas comes out. Calls come on the member's thread.
+ * Connects a member of the cluster to the controller in its process: passes the agreed state to the
+ * controller, and the controller's list of replicas to the member. The methods of {@link
+ * LocalController} are called on the member's thread.
  */
 final class ClusterChangesSource implements AgreedChangesSource, LocalController {
     private final ClusterSettings settings;
@@ -40,8 +41,9 @@
     }
 
     @Override
-    public void applyAgreed(long version, Map<String, Change> out, Map<String, Double> terms) {
-        AgreedInput.tell(receiver, version, out, terms, () -> {});
+    public void applyAgreed(
+            long version, Map<String, Change> drains, Map<String, Double> overrides) {
+        AgreedStateAdapter.apply(receiver, version, drains, overrides, () -> {});
     }
 
     @Override
@@ -55,7 +57,7 @@
     }
 
     @Override
-    public String objection(Change change, Map<String, Change> out) {
+    public String objection(Change change, Map<String, Change> drains) {
         if (change.kind() != Change.Kind.DRAIN && change.kind() != Change.Kind.HOLD) {
             return null;
         }
@@ -63,17 +65,20 @@
         if (!listed.containsKey(change.subject())) {
             return "unknown-replica: "
                     + change.subject()
-                    + " is not listed here (--force asks for it all the same)";
+                    + " is not in this controller's discovery list; --force proposes the change"
+                    + " anyway";
         }
-        boolean left =
+        boolean anotherIsReady =
                 listed.entrySet().stream()
                         .anyMatch(
                                 entry ->
                                         !entry.getKey().equals(change.subject())
-                                                && !out.containsKey(entry.getKey())
+                                                && !drains.containsKey(entry.getKey())
                                                 && entry.getValue().health()
                                                         == Endpoint.Health.READY);
-        return left ? null : "last-replica: nobody else is listed as ready and not kept out";
+        return anotherIsReady
+                ? null
+                : "last-replica: no other replica is listed as ready and neither drained nor held";
     }
 
     @Override
--- a/src/main/java/rockshift/cli/ClusterCommands.java
+++ b/src/main/java/rockshift/cli/ClusterCommands.java
@@ -2,11 +2,11 @@
 
 import picocli.CommandLine.Command;
 
-/** The commands that operators give to the members that agree. */
+/** The commands that operators send to the members of a cluster. */
 @Command(
         name = "cluster",
         mixinStandardHelpOptions = true,
-        description = "Asks the governors that agree among themselves.",
+        description = "Queries and changes a cluster of controllers.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             ClusterStatusCommand.class,
--- a/src/main/java/rockshift/cli/ClusterMemberCommands.java
+++ b/src/main/java/rockshift/cli/ClusterMemberCommands.java
@@ -15,7 +15,7 @@
     @Command(
             name = "member",
             mixinStandardHelpOptions = true,
-            description = "Changes who takes part, one at a time.",
+            description = "Adds or removes members, one at a time.",
             synopsisSubcommandLabel = "COMMAND",
             subcommands = {Add.class, Remove.class})
     static final class Members extends CommandGroup {}
@@ -23,9 +23,7 @@
     @Command(
             name = "add",
             mixinStandardHelpOptions = true,
-            description =
-                    "Adds a member that runs already: it is brought up to date first and votes"
-                            + " then.")
+            description = "Adds a member that is already running. It votes once it has caught up.")
     static final class Add implements Callable<Integer> {
         @Mixin private MemberOptions members;
 
@@ -35,7 +33,7 @@
         @Parameters(index = "1", paramLabel = "ADDRESS")
         private String address;
 
-        @Option(names = "--learner", description = "it only follows, and never votes")
+        @Option(names = "--learner", description = "add it as a learner, which never votes")
         private boolean learner;
 
         @Override
@@ -45,9 +43,9 @@
                 if (!self.path("name").asText().equals(name)) {
                     members.out()
                             .println(
-                                    "refused: at "
+                                    "refused: the member at "
                                             + address
-                                            + " is "
+                                            + " is named "
                                             + self.path("name").asText()
                                             + ", not "
                                             + name);
@@ -82,7 +80,7 @@
     @Command(
             name = "transfer",
             mixinStandardHelpOptions = true,
-            description = "Hands leadership to a member.")
+            description = "Transfers leadership to a member.")
     static final class Transfer implements Callable<Integer> {
         @Mixin private MemberOptions members;
 
@@ -92,22 +90,22 @@
         @Override
         public Integer call() throws Exception {
             return members.ask(
-                    ClusterClient.call("transfer").put("name", name), "handing over to " + name);
+                    ClusterClient.call("transfer").put("name", name),
+                    "transferring leadership to " + name);
         }
     }
 
     @Command(
             name = "snapshot",
             mixinStandardHelpOptions = true,
-            description = "Has the first member that answers take a snapshot now.")
+            description = "Makes the first member that answers take a snapshot now.")
     static final class Snapshot implements Callable<Integer> {
         @Mixin private MemberOptions members;
 
         @Override
         public Integer call() throws Exception {
             return members.ask(
-                    ClusterClient.call("snapshot"),
-                    "a snapshot is taken, where there is anything new");
+                    ClusterClient.call("snapshot"), "taking a snapshot, if there is anything new");
         }
     }
 }
--- a/src/main/java/rockshift/cli/ClusterStatusCommand.java
+++ b/src/main/java/rockshift/cli/ClusterStatusCommand.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Mixin;
 import rockshift.cluster.ClusterClient;
 
-/** Prints where each member stands, and what is in force below all of them. */
+/** Prints the status of each member, and the version in force at all subscribers. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "Tells where each member stands.")
+        description = "Prints the status of each member.")
 final class ClusterStatusCommand implements Callable<Integer> {
     private static final String HEADER_FORMAT =
             "%-22s %-12s %-10s %6s %-12s %-9s %9s %9s %8s %11s %8s %6s %11s  %s%n";
@@ -56,7 +56,7 @@
                 "unreachable",
                 "disk");
         statuses.forEach((address, status) -> printRow(out, address, status));
-        printBelow(out, statuses.values());
+        printSubscribers(out, statuses.values());
     }
 
     private static void printRow(PrintWriter out, String address, JsonNode status) {
@@ -64,8 +64,8 @@
             out.printf("%-22s not reached: %s%n", address, status.path("unreached").asText());
             return;
         }
-        JsonNode below = status.path("distribution");
-        int subscribers = below.path("subscribers").asInt();
+        JsonNode distribution = status.path("distribution");
+        int subscribers = distribution.path("subscribers").asInt();
         out.printf(
                 ROW_FORMAT,
                 address,
@@ -78,30 +78,33 @@
                 status.path("applied").asLong(),
                 status.path("version").asLong(),
                 subscribers,
-                subscribers == 0 ? "-" : below.path("lowest").asText(),
-                below.path("behind").asInt(),
-                below.path("unreachable").asInt(),
+                subscribers == 0 ? "-" : distribution.path("lowest").asText(),
+                distribution.path("behind").asInt(),
+                distribution.path("unreachable").asInt(),
                 status.path("disk").asText());
     }
 
-    /** Sums up what is in force below all members; a controller counts at one of them. */
-    private static void printBelow(PrintWriter out, Collection<JsonNode> members) {
+    /**
+     * Prints the sums over the subscribers of all members; a controller is counted at one member
+     * only.
+     */
+    private static void printSubscribers(PrintWriter out, Collection<JsonNode> members) {
         int subscribers = 0;
         int behind = 0;
         int unreachable = 0;
         long lowest = Long.MAX_VALUE;
         for (JsonNode member : members) {
-            JsonNode below = member.path("distribution");
-            subscribers += below.path("subscribers").asInt();
-            behind += below.path("behind").asInt();
-            unreachable += below.path("unreachable").asInt();
-            if (below.path("subscribers").asInt() > 0) {
-                lowest = Math.min(lowest, below.path("lowest").asLong());
+            JsonNode distribution = member.path("distribution");
+            subscribers += distribution.path("subscribers").asInt();
+            behind += distribution.path("behind").asInt();
+            unreachable += distribution.path("unreachable").asInt();
+            if (distribution.path("subscribers").asInt() > 0) {
+                lowest = Math.min(lowest, distribution.path("lowest").asLong());
             }
         }
         if (subscribers > 0) {
             out.printf(
-                    "%d governors subscribe: version %d is in force at all of them, ",
+                    "%d controllers subscribe: version %d is in force at all of them, ",
                     subscribers, lowest);
             out.printf("%d behind, %d unreachable%n", behind, unreachable);
         }
--- a/src/main/java/rockshift/cli/ClusterTrialCommand.java
+++ b/src/main/java/rockshift/cli/ClusterTrialCommand.java
@@ -14,35 +14,41 @@
 import rockshift.testkit.FaultTrial;
 import rockshift.testkit.MeasurementCharts;
 
-/** Runs members on loopback under faults and compares what they applied. */
+/** Runs members on loopback with injected faults, and compares what they applied. */
 @Command(
         name = "trial",
         mixinStandardHelpOptions = true,
         description =
-                "Starts governors, kills, stops and cuts them at random while clients propose,"
-                        + " and compares them.")
+                "Runs controllers, kills, pauses and partitions them at random while clients"
+                        + " propose changes, and compares what they applied.")
 final class ClusterTrialCommand implements Callable<Integer> {
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
     private static final int MAX_PROBLEMS = 50;
 
     @Spec private CommandSpec spec;
 
-    @Option(names = "--members", defaultValue = "5", description = "3 or 5 (${DEFAULT-VALUE})")
+    @Option(
+            names = "--members",
+            defaultValue = "5",
+            description = "number of members, 3 or 5 (default: ${DEFAULT-VALUE})")
     private int members;
 
-    @Option(names = "--minutes", defaultValue = "1", description = "how long (${DEFAULT-VALUE})")
+    @Option(
+            names = "--minutes",
+            defaultValue = "1",
+            description = "duration in minutes (default: ${DEFAULT-VALUE})")
     private double minutes;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "of the faults and proposals (${DEFAULT-VALUE})")
+            description = "random seed of the faults and proposals (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
             names = "--out",
             paramLabel = "FOLDER",
-            description = "where to keep the table and the chart")
+            description = "folder for the table and the chart")
     private Path outputFolder;
 
     @Override
--- a/src/main/java/rockshift/cli/CommandGroup.java
+++ b/src/main/java/rockshift/cli/CommandGroup.java
@@ -4,12 +4,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that only leads to others: called by itself, it says so. */
+/** A command that only groups subcommands; calling it without one is an error. */
 abstract class CommandGroup implements Runnable {
     @Spec private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing subcommand");
     }
 }
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -14,18 +14,18 @@
 import rockshift.simulation.SimulatorAdapter;
 
 /**
- * All commands. Exit statuses: 0 all held, 1 something that was checked did not hold, 2 the call or
- * a file can't be used.
+ * The root of all commands. Exit statuses: 0 for success, 1 if a check or an operation failed, 2 if
+ * the arguments or a file are invalid.
  */
 @Command(
         name = "rockshift",
         mixinStandardHelpOptions = true,
         version = "rockshift 0.1.0",
-        description = "A central planner behind plain proxies.",
+        description = "A central planner for plain proxies.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             Commands.Serve.class,
-            Commands.Play.class,
+            Commands.Drill.class,
             Commands.Check.class,
             ClusterCommands.class,
             RelayCommand.class,
@@ -36,7 +36,7 @@
     static final int FAILURE = 1;
     static final int INVALID_USAGE = 2;
 
-    /** Runs one command line; answers its exit status. */
+    /** Runs one command line, and returns its exit status. */
     public static int run(String... arguments) {
         return new CommandLine(new Commands())
                 .setCaseInsensitiveEnumValuesAllowed(true)
@@ -55,16 +55,16 @@
                 .execute(arguments);
     }
 
-    /** A controller on sockets. */
+    /** Runs a controller. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
-            description = "Serves as a governor, as the file that RELAY_CONFIG names tells.")
+            description = "Runs a controller, configured by the file that RELAY_CONFIG names.")
     static final class Serve implements Callable<Integer> {
         @Option(
                 names = "--operator",
                 paramLabel = "FILE",
-                description = "the operator's file: what is switched on beside")
+                description = "operator's file with the features to enable in addition")
         private String operator;
 
         @Override
@@ -83,26 +83,25 @@
         }
     }
 
-    /** The simulator's wire. */
+    /** Runs the planner with the simulator's protocol. */
     @Command(
             name = "drill",
             mixinStandardHelpOptions = true,
             description =
-                    "Plays the same decisions on the simulator's wire, on standard input and"
-                            + " output.")
-    static final class Play implements Callable<Integer> {
+                    "Runs the planner with the simulator's protocol, on standard input and output.")
+    static final class Drill implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
             return SimulatorAdapter.run(System.in, System.out);
         }
     }
 
-    /** Reads an operator's file. */
+    /** Checks an operator's file. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads an operator's file, and names what is wrong in it by file, line and"
+                    "Checks an operator's file, and reports an error with its file, line and"
                             + " field.")
     static final class Check implements Callable<Integer> {
         @Spec private CommandSpec spec;
--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -22,8 +22,9 @@
 import rockshift.server.AgreedChangesSource;
 
 /**
- * Connects a subscription to the controller of its process: the agreed changes that concern it go
- * to its planner. Calls come one at a time, on the threads of the client.
+ * Connects a subscription to the controller in its process: passes the agreed changes that concern
+ * the controller to its planner. The methods of {@link DistributionListener} are called one at a
+ * time, on the client's threads.
  */
 final class DistributionChangesSource implements AgreedChangesSource, DistributionListener {
     private static final Logger LOG = LoggerFactory.getLogger(DistributionChangesSource.class);
@@ -87,9 +88,9 @@
     private void put(Item item) {
         try {
             changesByKey.put(item.key(), AgreedItems.change(item));
-        } catch (IOException unknown) {
-            // Written by a later version: the item can't be read here, all others can.
-            LOG.warn("item ignored key={} reason=\"{}\"", item.key(), unknown.getMessage());
+        } catch (IOException unreadable) {
+            // Written by a later version: ignores this item, and uses all others.
+            LOG.warn("item ignored key={} reason=\"{}\"", item.key(), unreadable.getMessage());
             changesByKey.remove(item.key());
         }
     }
@@ -105,7 +106,7 @@
                 overrides.put(change.subject(), change.value());
             }
         }
-        AgreedInput.tell(receiver, at.number(), drained, overrides, inForce);
+        AgreedStateAdapter.apply(receiver, at.number(), drained, overrides, inForce);
         LOG.info(
                 "agreed state in force revision={} drainedReplicas={} settings={}",
                 at,
--- a/src/main/java/rockshift/cli/ExploreCommand.java
+++ b/src/main/java/rockshift/cli/ExploreCommand.java
@@ -10,32 +10,38 @@
 import rockshift.testkit.FaultInjection;
 import rockshift.testkit.SimulatedCluster;
 
-/** Plays the agreement in simulated worlds. */
+/** Runs simulated clusters. */
 @Command(
         name = "explore",
         mixinStandardHelpOptions = true,
         description =
-                "Plays the agreement's own code in simulated worlds full of faults,"
-                        + " and checks what it promises.")
+                "Runs the cluster's own code in simulated clusters with many faults, and checks its"
+                        + " guarantees.")
 final class ExploreCommand implements Callable<Integer> {
-    /** Seeds between two words of progress. */
+    /** Seeds between two progress messages. */
     private static final long STEP = 1_000;
 
     @Spec private CommandSpec spec;
 
-    @Option(names = "--seeds", defaultValue = "1000", description = "how many (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seeds",
+            defaultValue = "1000",
+            description = "number of seeds (default: ${DEFAULT-VALUE})")
     private long seeds;
 
     @Option(
             names = "--first",
             defaultValue = "1",
-            description = "the first of them (${DEFAULT-VALUE})")
+            description = "the first seed (default: ${DEFAULT-VALUE})")
     private long first;
 
-    @Option(names = "--members", defaultValue = "3", description = "3 or 5 (${DEFAULT-VALUE})")
+    @Option(
+            names = "--members",
+            defaultValue = "3",
+            description = "number of members, 3 or 5 (default: ${DEFAULT-VALUE})")
     private int members;
 
-    @Option(names = "--seed", description = "plays this one alone, and tells what happens in it")
+    @Option(names = "--seed", description = "run only this seed, and print its events")
     private Long seed;
 
     @Override
--- a/src/main/java/rockshift/cli/FigureTables.java
+++ b/src/main/java/rockshift/cli/FigureTables.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Prints figures by name, and writes them to the tables of measurements. */
+/** Prints measured figures by name, and writes them to CSV files. */
 final class FigureTables {
     private FigureTables() {}
 
@@ -17,7 +17,7 @@
         figures.forEach((name, value) -> out.printf(Locale.ROOT, rowFormat, name, value));
     }
 
-    /** Writes a table of its own. */
+    /** Writes the figures to a file, replacing its content. */
     static void write(Path file, Map<String, Double> figures) throws IOException {
         StringBuilder text = new StringBuilder("figure,value\n");
         figures.forEach(
@@ -26,7 +26,7 @@
         Files.writeString(file, text);
     }
 
-    /** Adds rows to a table, with its header where the table is new. */
+    /** Appends rows to a file, after the header if the file is new. */
     static void append(Path file, String header, String rows) throws IOException {
         Files.writeString(
                 file,
--- a/src/main/java/rockshift/cli/MemberOptions.java
+++ b/src/main/java/rockshift/cli/MemberOptions.java
@@ -18,7 +18,7 @@
 import rockshift.config.OperatorFile;
 import rockshift.config.Section;
 
-/** Which members a command asks, for how long, and how it prints the answer. */
+/** Options for the members that a command asks, for how long, and how it prints the answer. */
 final class MemberOptions {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int CALL_TIMEOUT_MILLIS = 2_000;
@@ -27,20 +27,20 @@
             names = "--at",
             split = ",",
             paramLabel = "ADDRESS",
-            description = "members to ask, by HOST:PORT")
+            description = "members to ask, as HOST:PORT")
     private List<String> addresses = List.of();
 
     @Option(
             names = "--operator",
             paramLabel = "FILE",
-            description = "an operator's file that names the founders")
+            description = "operator's file that names members to ask")
     private String operator;
 
     @Option(
             names = "--timeout",
             paramLabel = "SECONDS",
             defaultValue = "10",
-            description = "how long to go on asking (${DEFAULT-VALUE})")
+            description = "how long to retry (default: ${DEFAULT-VALUE})")
     private int timeoutSeconds;
 
     @Option(names = "--json", description = "print the answer as JSON")
@@ -49,7 +49,7 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
-    /** The members to ask, those of the operator's file last. */
+    /** Returns the members to ask; those of the operator's file come last. */
     List<String> addresses() throws InvalidFileException {
         List<String> all = new ArrayList<>(addresses);
         if (operator != null) {
@@ -62,22 +62,23 @@
         }
         if (all.isEmpty()) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "name members by --at or --operator");
+                    spec.commandLine(),
+                    "missing members to ask, name them with --at or --operator");
         }
         return all;
     }
 
-    /** A client of these members; the caller closes it. */
+    /** Creates a client of these members; the caller must close it. */
     ClusterClient client() throws InvalidFileException {
         return new ClusterClient(addresses(), RandomGenerator.getDefault(), CALL_TIMEOUT_MILLIS);
     }
 
-    /** Until when to go on asking, by the monotonic clock. */
+    /** Returns the time until which to retry, on the monotonic clock. */
     long deadlineMillis() {
         return System.nanoTime() / NANOS_PER_MILLI + timeoutSeconds * 1_000L;
     }
 
-    /** Whether answers are printed as JSON. */
+    /** Returns whether answers are printed as JSON. */
     boolean json() {
         return json;
     }
@@ -98,16 +99,16 @@
         return refused.isEmpty() ? Commands.SUCCESS : Commands.FAILURE;
     }
 
-    /** Proposes a change, prints what came of it, and returns the exit status. */
+    /** Proposes a change, prints its outcome, and returns the exit status. */
     int change(Change change, boolean force)
             throws InvalidFileException, IOException, InterruptedException {
         try (ClusterClient client = client()) {
             JsonNode answer = client.change(change, force, deadlineMillis());
             return print(
                     answer,
-                    "agreed as version "
+                    "applied as version "
                             + answer.path("answer").path("version")
-                            + ", entry "
+                            + " at index "
                             + answer.path("index"));
         }
     }
--- a/src/main/java/rockshift/cli/OperatorSettings.java
+++ b/src/main/java/rockshift/cli/OperatorSettings.java
@@ -9,11 +9,12 @@
 /**
  * The settings of an operator's file.
  *
- * @param cluster the member that a controller becomes by it; null for none
- * @param distribution what a controller or relay subscribes to; null for nothing
+ * @param cluster the settings of the cluster member in a controller; null if there is none
+ * @param distribution the settings of the subscription of a controller or relay; null if there is
+ *     none
  */
 record OperatorSettings(ClusterSettings cluster, DistributionSettings distribution) {
-    /** Reads a file, and rejects settings that do not fit together. */
+    /** Reads a file, and rejects settings that conflict. */
     static OperatorSettings read(String name) throws InvalidFileException {
         return read(OperatorFile.read(name));
     }
@@ -25,12 +26,13 @@
         file.rejectUnknownFields();
         if (cluster != null && distribution != null && distribution.relay() == null) {
             throw file.invalid(
-                    "distribution", "has no meaning beside cluster: a member knows what is agreed");
+                    "distribution",
+                    "cannot be combined with cluster: a member holds the agreed state itself");
         }
         return new OperatorSettings(cluster, distribution);
     }
 
-    /** Where a controller with this file gets the agreed changes from. */
+    /** Returns the source of agreed changes for a controller with this file. */
     static rockshift.server.AgreedChangesSource source(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         OperatorSettings settings = read(file);
@@ -38,12 +40,12 @@
             return new ClusterChangesSource(settings.cluster);
         } else if (settings.distribution.relay() != null) {
             throw file.invalid(
-                    "distribution.relay", "is served by 'rockshift relay', not by a governor");
+                    "distribution.relay", "is served by 'rockshift relay', not by a controller");
         }
         return new DistributionChangesSource(settings.distribution);
     }
 
-    /** The settings of a relay. */
+    /** Returns the settings of a relay. */
     static DistributionSettings relay(String name) throws InvalidFileException {
         Section file = OperatorFile.read(name);
         if (!file.has("distribution")) {
@@ -56,7 +58,7 @@
         return distribution;
     }
 
-    /** One line that tells what the file switches on. */
+    /** Returns one line that says what the file enables. */
     String summary() {
         StringBuilder text = new StringBuilder();
         if (cluster != null) {
@@ -76,7 +78,7 @@
         }
         if (distribution != null) {
             text.append(cluster == null ? "" : "; ")
-                    .append(distribution.relay() == null ? "governor " : "relay ")
+                    .append(distribution.relay() == null ? "controller " : "relay ")
                     .append(distribution.name())
                     .append(" subscribes at ")
                     .append(distribution.upstreams().keySet());
--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -12,12 +12,13 @@
 import rockshift.distribution.wire.RelayProcess;
 import rockshift.server.ProcessSignals;
 
-/** Runs a relay until it is told to end. */
+/** Runs a relay until the process is told to stop. */
 @Command(
         name = "relay",
         mixinStandardHelpOptions = true,
         description =
-                "Hands what is agreed on from members to governors, as the operator's file tells.")
+                "Runs a relay, configured by the operator's file, which forwards agreed changes"
+                        + " from members to controllers.")
 final class RelayCommand implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(RelayCommand.class);
 
@@ -25,7 +26,7 @@
             names = "--operator",
             paramLabel = "FILE",
             required = true,
-            description = "the operator's file with a block distribution that has a block relay")
+            description = "operator's file with a block distribution that has a block relay")
     private String operator;
 
     @Override
--- a/src/main/java/rockshift/cli/ScaleCapacityCommand.java
+++ b/src/main/java/rockshift/cli/ScaleCapacityCommand.java
@@ -14,13 +14,13 @@
 import rockshift.capacity.CapacityReport;
 import rockshift.testkit.MeasurementCharts;
 
-/** Works the target out from what was measured. */
+/** Projects the measured costs to the target size. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
         description =
-                "Works out the target from the tables that the other commands kept, beside"
-                        + " the budgets.")
+                "Projects the costs in the tables that the other commands wrote to the target size,"
+                        + " and compares them with the budgets.")
 final class ScaleCapacityCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -28,21 +28,21 @@
             names = "--from",
             required = true,
             paramLabel = "FOLDER",
-            description = "where governor.csv and run.csv are, and the chart is kept")
+            description = "folder of governor.csv and run.csv, and for the chart")
     private Path folder;
 
     @Override
     public Integer call() throws IOException {
-        List<CapacityReport.Projection> all = new CapacityReport(folder).projections();
+        List<CapacityReport.Projection> projections = new CapacityReport(folder).projections();
         Map<String, Double> factors = new LinkedHashMap<>();
-        all.stream()
+        projections.stream()
                 .filter(CapacityReport.Projection::budgeted)
-                .forEach(worked -> factors.put(worked.what(), worked.factor()));
-        table(all.stream().filter(CapacityReport.Projection::budgeted).toList());
-        table(all.stream().filter(worked -> !worked.budgeted()).toList());
+                .forEach(projection -> factors.put(projection.what(), projection.factor()));
+        table(projections.stream().filter(CapacityReport.Projection::budgeted).toList());
+        table(projections.stream().filter(projection -> !projection.budgeted()).toList());
         MeasurementCharts.drawBudgetFactors(
                 folder.resolve("budgets.png"),
-                "Times the budget at the target: below 1 holds",
+                "Cost at the target as a multiple of the budget: at most 1 is within budget",
                 factors);
         return Commands.SUCCESS;
     }
@@ -50,7 +50,7 @@
     private void table(List<CapacityReport.Projection> rows) {
         PrintWriter out = spec.commandLine().getOut();
         out.println("| figure | at the target (95%) | budget | line |\n| --- | --- | --- | --- |");
-        rows.forEach(worked -> out.println(worked.row()));
+        rows.forEach(projection -> out.println(projection.row()));
         out.println();
     }
 }
--- a/src/main/java/rockshift/cli/ScaleCommands.java
+++ b/src/main/java/rockshift/cli/ScaleCommands.java
@@ -2,11 +2,11 @@
 
 import picocli.CommandLine.Command;
 
-/** The commands that measure how costs grow with size, on loopback. */
+/** The commands that measure how costs grow with the size of the fleet, on loopback. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Measures how costs grow with size, on loopback.",
+        description = "Measures how costs grow with the size of the fleet, on loopback.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             ScaleControllerCommand.class,
--- a/src/main/java/rockshift/cli/ScaleControllerCommand.java
+++ b/src/main/java/rockshift/cli/ScaleControllerCommand.java
@@ -24,13 +24,13 @@
 import rockshift.capacity.SlopeFit;
 import rockshift.testkit.MeasurementCharts;
 
-/** Measures one real controller before fleets of several sizes. */
+/** Measures one real controller with fleets of several sizes. */
 @Command(
         name = "governor",
         mixinStandardHelpOptions = true,
         description =
-                "Runs one real governor before fleets of several sizes, and fits lines through"
-                        + " what it used.")
+                "Runs one real controller with fleets of several sizes, and fits lines through its"
+                        + " resource usage.")
 final class ScaleControllerCommand implements Callable<Integer> {
     private static final String FIT_HEADER =
             "sweep,figure,runs,from,to,intercept,slope,slope_low,slope_high,residual,"
@@ -42,61 +42,65 @@
             names = "--replicas",
             split = ",",
             defaultValue = "60,300,1000,3000,6500",
-            description = "(${DEFAULT-VALUE})")
+            description = "numbers of replicas (default: ${DEFAULT-VALUE})")
     private int[] replicas;
 
     @Option(
             names = "--classes",
             split = ",",
             defaultValue = "2",
-            description = "(${DEFAULT-VALUE})")
+            description = "numbers of request classes (default: ${DEFAULT-VALUE})")
     private int[] classes;
 
     @Option(
             names = "--proxies",
             split = ",",
             defaultValue = "16",
-            description = "(${DEFAULT-VALUE})")
+            description = "numbers of proxies (default: ${DEFAULT-VALUE})")
     private int[] proxies;
 
-    @Option(names = "--zones", defaultValue = "3", description = "(${DEFAULT-VALUE})")
+    @Option(
+            names = "--zones",
+            defaultValue = "3",
+            description = "number of zones (default: ${DEFAULT-VALUE})")
     private int zones;
 
     @Option(
             names = "--runs",
             defaultValue = "3",
-            description = "at each size, beside one that watches the heap (${DEFAULT-VALUE})")
+            description =
+                    "runs of each size, in addition to one that measures the heap (default:"
+                            + " ${DEFAULT-VALUE})")
     private int runs;
 
     @Option(
             names = "--tables",
             defaultValue = "15",
             paramLabel = "SECONDS",
-            description =
-                    "how long to wait at most until all proxies have tables (${DEFAULT-VALUE})")
+            description = "maximum wait until all proxies have tables (default: ${DEFAULT-VALUE})")
     private int tablesSeconds;
 
     @Option(
             names = "--settle",
             defaultValue = "20",
             paramLabel = "SECONDS",
-            description = "pause after that (${DEFAULT-VALUE})")
+            description = "pause before the measurement (default: ${DEFAULT-VALUE})")
     private int settleSeconds;
 
     @Option(
             names = "--watch",
             defaultValue = "6",
             paramLabel = "SECONDS",
-            description = "how long to count (${DEFAULT-VALUE})")
+            description = "duration of the measurement (default: ${DEFAULT-VALUE})")
     private int watchSeconds;
 
-    @Option(names = "--json", description = "print runs and lines as JSON")
+    @Option(names = "--json", description = "print runs and fitted lines as JSON")
     private boolean json;
 
     @Option(
             names = "--out",
             paramLabel = "FOLDER",
-            description = "where to add to the tables and keep the chart")
+            description = "folder for the tables, which are appended to, and the chart")
     private Path outputFolder;
 
     @Override
@@ -209,7 +213,7 @@
                                         100 * spread.median()));
         MeasurementCharts.drawBars(
                 outputFolder.resolve("governor-" + size.toString().replace(' ', '-') + ".png"),
-                "One governor: median processor time by " + size,
+                "One controller: median CPU time by " + size,
                 "% of a core",
                 bars);
     }
--- a/src/main/java/rockshift/cli/ScaleRunCommand.java
+++ b/src/main/java/rockshift/cli/ScaleRunCommand.java
@@ -18,13 +18,13 @@
 import rockshift.distribution.wire.DistributionReactor;
 import rockshift.testkit.MeasurementCharts;
 
-/** Runs many controllers at once and checks what they saw. */
+/** Runs many controllers at once, and checks which changes they received. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
         description =
-                "Runs members, relays and many hollow governors under changes and faults,"
-                        + " and checks what they saw.")
+                "Runs members, relays and many simulated controllers with changes and faults,"
+                        + " and checks which changes they received.")
 final class ScaleRunCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -32,48 +32,53 @@
             names = "--governors",
             paramLabel = "<governors>",
             defaultValue = "1300",
-            description = "hollow ones (${DEFAULT-VALUE})")
+            description = "number of simulated controllers (default: ${DEFAULT-VALUE})")
     private int controllers;
 
     @Option(
             names = "--processes",
             defaultValue = "2",
-            description = "real governors beside them (${DEFAULT-VALUE})")
+            description =
+                    "number of real controller processes in addition (default: ${DEFAULT-VALUE})")
     private int processes;
 
-    @Option(names = "--changes", defaultValue = "150", description = "(${DEFAULT-VALUE})")
+    @Option(
+            names = "--changes",
+            defaultValue = "150",
+            description = "number of changes (default: ${DEFAULT-VALUE})")
     private int changes;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "of changes and faults (${DEFAULT-VALUE})")
+            description = "random seed of the changes and faults (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
             names = "--change-rate",
             defaultValue = "100",
-            description = "times the target's 1,300 changes a day (${DEFAULT-VALUE})")
+            description =
+                    "multiple of the target's 1,300 changes a day (default: ${DEFAULT-VALUE})")
     private double changeRate;
 
     @Option(
             names = "--kill-rate",
             defaultValue = "100",
             description =
-                    "times the target's 442 restarts and lost machines a day"
-                            + " (${DEFAULT-VALUE})")
+                    "multiple of the target's 442 restarts and lost machines a day"
+                            + " (default: ${DEFAULT-VALUE})")
     private double killRate;
 
     @Option(
             names = "--cut-region",
             defaultValue = "0",
-            description = "which region is cut (${DEFAULT-VALUE})")
+            description = "region to partition (default: ${DEFAULT-VALUE})")
     private int cutRegion;
 
     @Option(
             names = "--cut-seconds",
             defaultValue = "10",
-            description = "for how long; 0: not (${DEFAULT-VALUE})")
+            description = "duration of the partition in seconds; 0 for none (default: ${DEFAULT-VALUE})")
     private int cutSeconds;
 
     @Option(names = "--json", description = "print figures as JSON before the last line")
@@ -82,12 +87,12 @@
     @Option(
             names = "--out",
             paramLabel = "FOLDER",
-            description = "where to add to the table and keep the chart")
+            description = "folder for the table, which is appended to, and the chart")
     private Path outputFolder;
 
     @Override
     public Integer call() throws Exception {
-        // Thousands of connections begin and end here, each with a line of its own.
+        // Thousands of connections open and close here, and each would be logged.
         System.setProperty(
                 "org.slf4j.simpleLogger.log." + DistributionReactor.class.getName(), "error");
         ScaleScenario scenario =
@@ -156,7 +161,7 @@
         if (outcome.verdict().inForceEverywhereMillis().getTotalCount() > 0) {
             MeasurementCharts.drawLatencyTail(
                     outputFolder.resolve("run-" + controllers + ".png"),
-                    "Time until a change was in force everywhere, " + controllers + " governors",
+                    "Time until a change was in force everywhere, " + controllers + " controllers",
                     inMicros(outcome.verdict().inForceEverywhereMillis()));
         }
     }
--- a/src/main/java/rockshift/config/InvalidFileException.java
+++ b/src/main/java/rockshift/config/InvalidFileException.java
@@ -1,22 +1,22 @@
 package rockshift.config;
 
-/** A file that can't be used; the message names it, the line and the field. */
+/** Thrown for a file that cannot be used; the message names the file, the line and the field. */
 public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * A fault at a place of a file.
+     * Creates an exception for a problem in a file.
      *
-     * @param line where it is; 0 if it concerns the whole file
-     * @param field its path; empty if it concerns no field
-     * @param what what is wrong there
+     * @param line the line of the problem; 0 if it concerns the whole file
+     * @param field the path of the field; empty if the problem concerns no field
+     * @param problem what is wrong
      */
-    public InvalidFileException(String file, int line, String field, String what) {
+    public InvalidFileException(String file, int line, String field, String problem) {
         super(
                 file
                         + (line > 0 ? ", line " + line : "")
                         + (field.isEmpty() ? "" : ", field " + field)
                         + ": "
-                        + what);
+                        + problem);
     }
 }
--- a/src/main/java/rockshift/config/LineIndex.java
+++ b/src/main/java/rockshift/config/LineIndex.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The lines of fields and blocks in a text, by their path: the HCL parser keeps none. */
+/** The line numbers of fields and blocks in a text, by path. The HCL parser does not keep them. */
 final class LineIndex {
     private final Map<String, Integer> lineByPath = new HashMap<>();
 
@@ -11,8 +11,8 @@
         new LineScanner(file, text, lineByPath).scan();
     }
 
-    /** The line of a path, or that of the nearest block around it; 0 if there is none. */
-    int of(String path) {
+    /** Returns the line of a path, or of the nearest enclosing block, or 0 if there is none. */
+    int lineOf(String path) {
         String enclosing = path;
         while (!enclosing.isEmpty()) {
             if (lineByPath.containsKey(enclosing)) {
--- a/src/main/java/rockshift/config/LineScanner.java
+++ b/src/main/java/rockshift/config/LineScanner.java
@@ -4,21 +4,23 @@
 import java.util.Map;
 
 /**
- * Scans a text once for the lines of its fields and blocks, and rejects what the HCL parser accepts
- * without a word: unclosed blocks and strings, and missing values. Knows words, strings, comments
- * and brackets, and no more of the language.
+ * Records the line of each field and block in a text, and rejects errors that the HCL parser
+ * silently accepts: unclosed blocks and strings, and missing values. It recognizes words, strings,
+ * comments and brackets only.
  */
 final class LineScanner {
     private final String file;
     private final String text;
     private final Map<String, Integer> lineByPath;
 
-    /** The blocks around the present position, and the lines where they were opened. */
+    /** The blocks that enclose the current position, and the lines where they were opened. */
     private final ArrayDeque<String> blocks = new ArrayDeque<>();
 
     private final ArrayDeque<Integer> blockLines = new ArrayDeque<>();
 
-    /** The words before a value or block, joined by dots: its name. */
+    /**
+     * The name of the current field or block: the words before its value or brace, joined by dots.
+     */
     private final StringBuilder name = new StringBuilder();
 
     private int line = 1;
@@ -44,11 +46,11 @@
                     file,
                     blockLines.getLast(),
                     String.join(".", blocks),
-                    "a block that is not closed");
+                    "block is not closed, expected '}'");
         }
     }
 
-    /** Scans what begins at a position; returns where the next begins. */
+    /** Scans the token at a position; returns the position of the next one. */
     private int scanAt(int position) throws InvalidFileException {
         char next = text.charAt(position);
         if (isComment(position)) {
@@ -79,7 +81,7 @@
     private int scanString(int position) throws InvalidFileException {
         int end = endOfString(position + 1);
         if (end >= text.length() || text.charAt(end) == '\n') {
-            throw new InvalidFileException(file, line, "", "a string that does not end");
+            throw new InvalidFileException(file, line, "", "string is not closed, expected '\"'");
         }
         if (!inValue) {
             name.append(name.isEmpty() ? "" : ".").append(text, position + 1, end);
@@ -105,8 +107,10 @@
     }
 
     private void openBlock() throws InvalidFileException {
-        if (lineByPath.putIfAbsent(path(), line) != null) {
-            throw new InvalidFileException(file, line, path(), "given twice");
+        Integer firstLine = lineByPath.putIfAbsent(path(), line);
+        if (firstLine != null) {
+            throw new InvalidFileException(
+                    file, line, path(), "already defined on line " + firstLine);
         }
         blocks.addLast(name.toString());
         blockLines.addLast(line);
@@ -115,7 +119,7 @@
 
     private void closeBlock() throws InvalidFileException {
         if (blocks.isEmpty()) {
-            throw new InvalidFileException(file, line, "", "a closing brace too many");
+            throw new InvalidFileException(file, line, "", "unexpected '}', no block is open");
         }
         blocks.removeLast();
         blockLines.removeLast();
@@ -134,7 +138,7 @@
 
     private void checkValue() throws InvalidFileException {
         if (inValue && valueMissing) {
-            throw new InvalidFileException(file, valueLine, path(), "no value");
+            throw new InvalidFileException(file, valueLine, path(), "expected a value after '='");
         }
     }
 
@@ -143,7 +147,7 @@
         return end < 0 ? text.length() : end;
     }
 
-    /** The closing quote of a string, or the end of the line or text that cuts it off. */
+    /** Returns the position of the closing quote, or of the end of the line or text before it. */
     private int endOfString(int from) {
         int end = from;
         while (end < text.length() && text.charAt(end) != '"' && text.charAt(end) != '\n') {
--- a/src/main/java/rockshift/config/OperatorFile.java
+++ b/src/main/java/rockshift/config/OperatorFile.java
@@ -7,19 +7,22 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Reads an operator's file into its outermost section. */
+/** Reads an operator's file. */
 public final class OperatorFile {
-    /** The longest file that is read: far longer than one of a large fleet. */
+    /** The maximum size of a file; far larger than the file of a large fleet. */
     private static final int MAX_BYTES = 1 << 20;
 
     private OperatorFile() {}
 
-    /** Reads a file; what it says is checked as its fields are read. */
+    /**
+     * Reads a file, and returns its top-level section. Values are checked as its fields are read.
+     */
     public static Section read(String file) throws InvalidFileException {
         try {
             Path path = Path.of(file);
             if (Files.size(path) > MAX_BYTES) {
-                throw new InvalidFileException(file, 0, "", "over " + MAX_BYTES + " bytes");
+                throw new InvalidFileException(
+                        file, 0, "", "is larger than " + MAX_BYTES + " bytes");
             }
             return parse(file, Files.readString(path));
         } catch (IOException failure) {
@@ -37,7 +40,10 @@
                     file,
                     0,
                     "",
-                    String.valueOf(wrong.getMessage()).lines().findFirst().orElse("no HCL"));
+                    String.valueOf(wrong.getMessage())
+                            .lines()
+                            .findFirst()
+                            .orElse("is not valid HCL"));
         }
     }
 }
--- a/src/main/java/rockshift/config/Section.java
+++ b/src/main/java/rockshift/config/Section.java
@@ -12,9 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * One block of the operator's file. Each field is read by its type and range; a missing field takes
- * the default, and is an error where that is null. Fields that nobody read are rejected at the end.
- * Not thread-safe.
+ * A block of the operator's file. The getters check the type and range of a field; a missing field
+ * takes the default value, and is an error if that is null. {@link #rejectUnknownFields} rejects
+ * the fields that were never read. Not thread-safe.
  */
 public final class Section {
     private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m|h)");
@@ -39,10 +39,12 @@
         return path.isEmpty() ? field : path + "." + field;
     }
 
-    /** An error at a field of this block; an empty name stands for the block itself. */
-    public InvalidFileException invalid(String field, String what) {
+    /**
+     * Creates an exception for a field of this block; an empty name stands for the block itself.
+     */
+    public InvalidFileException invalid(String field, String problem) {
         String full = field.isEmpty() ? path : path(field);
-        return new InvalidFileException(file, lines.of(full), full, what);
+        return new InvalidFileException(file, lines.lineOf(full), full, problem);
     }
 
     private Object read(String field) {
@@ -50,12 +52,12 @@
         return values.get(field);
     }
 
-    /** Whether a field or block is there. */
+    /** Returns whether a field or block is present. */
     public boolean has(String field) {
         return values.get(field) != null;
     }
 
-    /** A text that is not empty. */
+    /** Reads a text that must not be empty. */
     public String text(String field, String defaultValue) throws InvalidFileException {
         Object value = read(field);
         if (value == null && defaultValue != null) {
@@ -68,7 +70,7 @@
         return (String) value;
     }
 
-    /** A list of texts, each once; empty where the field is not there. */
+    /** Reads a list of distinct texts; returns an empty set if the field is missing. */
     public Set<String> texts(String field, int maxLength) throws InvalidFileException {
         Object value = read(field);
         if (value != null && !(value instanceof List<?>)) {
@@ -80,13 +82,13 @@
                 throw invalid(
                         field, "must list texts of 1 to " + maxLength + " characters, not " + each);
             } else if (!found.add(text)) {
-                throw invalid(field, "names '" + text + "' twice");
+                throw invalid(field, "lists '" + text + "' twice");
             }
         }
         return found;
     }
 
-    /** One of a few words. */
+    /** Reads a text that must be one of the allowed values. */
     public String choice(String field, String defaultValue, String... allowed)
             throws InvalidFileException {
         String value = text(field, defaultValue);
@@ -98,7 +100,7 @@
         return value;
     }
 
-    /** A number within a range. */
+    /** Reads a number within a range. */
     public double number(String field, Double defaultValue, double min, double max)
             throws InvalidFileException {
         Object value = read(field);
@@ -116,7 +118,7 @@
         return number;
     }
 
-    /** A whole number within a range. */
+    /** Reads a whole number within a range. */
     public int integer(String field, Integer defaultValue, int min, int max)
             throws InvalidFileException {
         double number =
@@ -131,7 +133,7 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** True or false. */
+    /** Reads a boolean. */
     public boolean flag(String field, boolean defaultValue) throws InvalidFileException {
         Object value = read(field);
         if (value != null && !(value instanceof Boolean)) {
@@ -140,7 +142,7 @@
         return value == null ? defaultValue : (Boolean) value;
     }
 
-    /** A duration such as 200ms or 5s, in ticks of 100 us. */
+    /** Reads a duration such as 200ms or 5s, and returns it in ticks of 100 us. */
     public long durationTicks(String field, String defaultValue, long minMillis, long maxMillis)
             throws InvalidFileException {
         String value = text(field, defaultValue);
@@ -148,7 +150,7 @@
         if (!parts.matches()) {
             throw invalid(
                     field,
-                    "must be a span with its unit, such as 200ms or 5s, not '" + value + "'");
+                    "must be a duration with a unit, such as 200ms or 5s, not '" + value + "'");
         }
         double millis =
                 Double.parseDouble(parts.group(1))
@@ -165,15 +167,14 @@
         return Math.round(millis * TICKS_PER_MILLI);
     }
 
-    /** A size such as 4MB, in bytes. */
+    /** Reads a size such as 4MB, and returns it in bytes. */
     public long bytes(String field, String defaultValue, long min, long max)
             throws InvalidFileException {
         String value = text(field, defaultValue);
         Matcher parts = BYTES.matcher(value);
         if (!parts.matches()) {
             throw invalid(
-                    field,
-                    "must be a size with its unit, such as 512KB or 4MB, not '" + value + "'");
+                    field, "must be a size with a unit, such as 512KB or 4MB, not '" + value + "'");
         }
         long size =
                 Long.parseLong(parts.group(1))
@@ -188,18 +189,22 @@
         return size;
     }
 
-    /** An address as HOST:PORT. */
+    /** Reads an address of the form HOST:PORT. */
     public InetSocketAddress address(String field, String defaultValue)
             throws InvalidFileException {
         String value = text(field, defaultValue);
         try {
             return parseAddress(value);
         } catch (IllegalArgumentException wrong) {
-            throw invalid(field, "must be " + wrong.getMessage());
+            throw invalid(field, wrong.getMessage());
         }
     }
 
-    /** Parses an address as HOST:PORT. */
+    /**
+     * Parses an address of the form HOST:PORT.
+     *
+     * @throws IllegalArgumentException if the port is missing or invalid
+     */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -208,18 +213,18 @@
                         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException wrong) {
-            // Reported below, in words that fit a missing and an invalid port.
+            // Reported below, with the same message as a missing port.
         }
-        throw new IllegalArgumentException("an address with its port, not '" + text + "'");
+        throw new IllegalArgumentException("must be an address as HOST:PORT, not '" + text + "'");
     }
 
-    /** A block within; null if it is not there. */
+    /** Returns a nested block, or null if it is missing. */
     public Section block(String field) throws InvalidFileException {
         Object value = read(field);
         return value == null ? null : section(field, value);
     }
 
-    /** Labelled blocks within, in their order. */
+    /** Returns the nested blocks of one type by label, in the order of the file. */
     public Map<String, Section> blocks(String field) throws InvalidFileException {
         Map<String, Section> found = new LinkedHashMap<>();
         Object value = read(field);
@@ -246,11 +251,11 @@
         return section;
     }
 
-    /** Rejects fields that nobody read: one that is misspelt must not go unnoticed. */
+    /** Rejects the fields that were never read, so that a misspelt one does not go unnoticed. */
     public void rejectUnknownFields() throws InvalidFileException {
         for (String field : values.keySet()) {
             if (!read.contains(field)) {
-                throw invalid(field, "is not known here");
+                throw invalid(field, "is unknown");
             }
         }
         for (Section section : nested) {
--- a/src/main/java/rockshift/config/package-info.java
+++ b/src/main/java/rockshift/config/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The operator's file: what an installation switches on beside the platform's own file, in HCL.
- * Errors name the file, the line and the field. The package reads and checks; it does not act on
- * what it reads, and nothing half-read comes into force.
+ * The operator's file: an HCL file with the features that an installation enables in addition to
+ * the platform's own file. Errors name the file, the line and the field. The package reads and
+ * checks the file; it does not act on the values, and a file with an error has no effect at all.
  *
  * <p>State: none beyond a file that is being read. Threads: none.
  *
