--- a/src/main/java/rockshift/cli/ScaleRunCommand.java
+++ b/src/main/java/rockshift/cli/ScaleRunCommand.java
@@ -78,7 +78,8 @@
     @Option(
             names = "--cut-seconds",
             defaultValue = "10",
-            description = "duration of the partition in seconds; 0 for none (default: ${DEFAULT-VALUE})")
+            description =
+                    "duration of the partition in seconds; 0 for none (default: ${DEFAULT-VALUE})")
     private int cutSeconds;
 
     @Option(names = "--json", description = "print figures as JSON before the last line")
--- a/src/test/java/rockshift/cluster/ClusterFixture.java
+++ b/src/test/java/rockshift/cluster/ClusterFixture.java
@@ -24,6 +24,7 @@
     static final int TIMEOUT_MS = 60_000;
 
     @TempDir Path folder;
+
     /** The links between members, by number of the sender and of the receiver. */
     final FaultyLink[][] links = new FaultyLink[4][4];
 
--- a/src/test/java/rockshift/cluster/ClusterMemberTest.java
+++ b/src/test/java/rockshift/cluster/ClusterMemberTest.java
@@ -156,7 +156,8 @@
     }
 
     /**
-     * Guards against a member that neither voted nor accepted changes after only a snapshot write failed, until its next write of the log succeeded.
+     * Guards against a member that neither voted nor accepted changes after only a snapshot write
+     * failed, until its next write of the log succeeded.
      */
     @Test
     void failedSnapshotIsRetriedAndChangesContinue() throws Exception {
