--- a/src/main/java/rockshift/planner/OperatorDrains.java
+++ b/src/main/java/rockshift/planner/OperatorDrains.java
@@ -23,7 +23,7 @@
     private final TreeMap<Long, Long> agreed = new TreeMap<>();
 
     OperatorDrains(List<ClassSettings> classes) {
-        oneReplicaPerZone = classes.stream().anyMatch(ClassSettings::staysInZone);
+        oneReplicaPerZone = classes.stream().anyMatch(ClassSettings::restrictedToOwnZone);
     }
 
     /** Replaces the agreed drains. */
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -84,7 +84,7 @@
                 new SlowStart(
                         settings.initialSlowStartFraction(),
                         settings.slowStartTicks(),
-                        settings.coldOverloadMultiple());
+                        settings.slowStartOverloadMultiple());
         proxies = new ProxyRegistry(settings, classCount);
         traffic = new TrafficWindows(classCount);
         baseline = new BaselineRates(settings.reportPeriodTicks());
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -141,7 +141,7 @@
     private int strictestClass() {
         List<ClassSettings> classes = settings.classes();
         for (int k = 0; k < classes.size(); k++) {
-            if (classes.get(k).staysInZone()) {
+            if (classes.get(k).restrictedToOwnZone()) {
                 return k;
             }
         }
--- a/src/main/java/rockshift/planner/RouteEligibility.java
+++ b/src/main/java/rockshift/planner/RouteEligibility.java
@@ -23,7 +23,7 @@
     boolean isAllowed(Route route) {
         RoutingTable table = route.table();
         return route.replica().acceptsNewWork()
-                && (route.isOwnZone() || !classes.get(table.classNumber()).staysInZone())
+                && (route.isOwnZone() || !classes.get(table.classNumber()).restrictedToOwnZone())
                 && table.group().contains(route.replica());
     }
 
--- a/src/main/java/rockshift/settings/ClassSettings.java
+++ b/src/main/java/rockshift/settings/ClassSettings.java
@@ -11,14 +11,14 @@
  * @param latencyObjectiveTicks latency above which an answer is late
  * @param timeoutTicks time that a client waits for an answer, over all its attempts
  * @param priorityWeight value of one answered request, relative to the other classes
- * @param staysInZone whether requests may only go to replicas in the proxy's own zone
+ * @param restrictedToOwnZone whether requests may only go to replicas in the proxy's own zone
  */
 public record ClassSettings(
         String name,
         double latencyObjectiveTicks,
         long timeoutTicks,
         double priorityWeight,
-        boolean staysInZone) {
+        boolean restrictedToOwnZone) {
     /** Rejects a missing name, and numbers that are negative or NaN. */
     public ClassSettings {
         Objects.requireNonNull(name, "name");
@@ -38,7 +38,7 @@
         private double latencyObjectiveTicks = Double.MAX_VALUE;
         private long timeoutTicks = 0;
         private double priorityWeight = 1;
-        private boolean staysInZone = false;
+        private boolean restrictedToOwnZone = false;
 
         /** Sets {@link ClassSettings#name}; it has no default. */
         public Builder name(String value) {
@@ -64,16 +64,16 @@
             return this;
         }
 
-        /** Sets {@link ClassSettings#staysInZone}. */
-        public Builder staysInZone(boolean value) {
-            staysInZone = value;
+        /** Sets {@link ClassSettings#restrictedToOwnZone}. */
+        public Builder restrictedToOwnZone(boolean value) {
+            restrictedToOwnZone = value;
             return this;
         }
 
         /** Returns the settings with the values set so far. */
         public ClassSettings build() {
             return new ClassSettings(
-                    name, latencyObjectiveTicks, timeoutTicks, priorityWeight, staysInZone);
+                    name, latencyObjectiveTicks, timeoutTicks, priorityWeight, restrictedToOwnZone);
         }
     }
 }
--- a/src/main/java/rockshift/settings/PlannerSettings.java
+++ b/src/main/java/rockshift/settings/PlannerSettings.java
@@ -33,7 +33,7 @@
  * @param initialSlowStartFraction minimum fraction of its capacity that a replica has when it
  *     starts
  * @param slowStartTicks time after its start at which a replica has its full capacity
- * @param coldOverloadMultiple load above which a starting replica fails, as a multiple of its
+ * @param slowStartOverloadMultiple load above which a starting replica fails, as a multiple of its
  *     current capacity
  * @param worstClassWeight weight that the deployment's goal gives to the class with the worst
  *     result
@@ -63,7 +63,7 @@
         double drainGraceTicks,
         double initialSlowStartFraction,
         double slowStartTicks,
-        double coldOverloadMultiple,
+        double slowStartOverloadMultiple,
         double worstClassWeight,
         double zoneCrossingPrice,
         double commandPrice,
@@ -96,7 +96,7 @@
         requireNotNegative("drainGraceTicks", drainGraceTicks);
         requireNotNegative("initialSlowStartFraction", initialSlowStartFraction);
         requireNotNegative("slowStartTicks", slowStartTicks);
-        requireNotNegative("coldOverloadMultiple", coldOverloadMultiple);
+        requireNotNegative("slowStartOverloadMultiple", slowStartOverloadMultiple);
         requireNotNegative("worstClassWeight", worstClassWeight);
         requireNotNegative("zoneCrossingPrice", zoneCrossingPrice);
         requireNotNegative("commandPrice", commandPrice);
@@ -143,7 +143,7 @@
                 .drainGraceTicks(drainGraceTicks)
                 .initialSlowStartFraction(initialSlowStartFraction)
                 .slowStartTicks(slowStartTicks)
-                .coldOverloadMultiple(coldOverloadMultiple)
+                .slowStartOverloadMultiple(slowStartOverloadMultiple)
                 .worstClassWeight(worstClassWeight)
                 .zoneCrossingPrice(zoneCrossingPrice)
                 .commandPrice(commandPrice)
@@ -173,7 +173,7 @@
         private double drainGraceTicks = Double.POSITIVE_INFINITY;
         private double initialSlowStartFraction = 0.1;
         private double slowStartTicks = 300_000;
-        private double coldOverloadMultiple = 1;
+        private double slowStartOverloadMultiple = 1;
         private double worstClassWeight = 0;
         private double zoneCrossingPrice = 0;
         private double commandPrice = 0;
@@ -295,9 +295,9 @@
             return this;
         }
 
-        /** Sets {@link PlannerSettings#coldOverloadMultiple}. */
-        public Builder coldOverloadMultiple(double value) {
-            coldOverloadMultiple = value;
+        /** Sets {@link PlannerSettings#slowStartOverloadMultiple}. */
+        public Builder slowStartOverloadMultiple(double value) {
+            slowStartOverloadMultiple = value;
             return this;
         }
 
@@ -359,7 +359,7 @@
                     drainGraceTicks,
                     initialSlowStartFraction,
                     slowStartTicks,
-                    coldOverloadMultiple,
+                    slowStartOverloadMultiple,
                     worstClassWeight,
                     zoneCrossingPrice,
                     commandPrice,
--- a/src/main/java/rockshift/settings/SettingsParser.java
+++ b/src/main/java/rockshift/settings/SettingsParser.java
@@ -64,7 +64,7 @@
                     ticks("invariants.warm_after_us", PlannerSettings.Builder::slowStartTicks),
                     number(
                             "invariants.fall_multiple",
-                            PlannerSettings.Builder::coldOverloadMultiple),
+                            PlannerSettings.Builder::slowStartOverloadMultiple),
                     number("goal.worst_class", PlannerSettings.Builder::worstClassWeight),
                     number("prices.cross_zone", PlannerSettings.Builder::zoneCrossingPrice),
                     number("domain.push_price", PlannerSettings.Builder::commandPrice),
@@ -88,7 +88,7 @@
     private final PlannerSettings.Builder settings = PlannerSettings.newBuilder();
     private final TreeMap<Integer, ClassSettings.Builder> classes = new TreeMap<>();
     private final Set<String> givenPaths = new HashSet<>();
-    private List<String> staysInZoneByClass = List.of();
+    private List<String> restrictedToOwnZoneByClass = List.of();
     private int classCount;
 
     /** Returns the path of the name of a class. */
@@ -126,7 +126,7 @@
         } else if (path.equals(CLASS_COUNT)) {
             classCount = value.count();
         } else if (path.equals(CLASSES_IN_ZONE)) {
-            staysInZoneByClass = value.list();
+            restrictedToOwnZoneByClass = value.list();
         } else if (SETTERS.containsKey(path)) {
             SETTERS.get(path).accept(settings, value);
         }
@@ -171,10 +171,10 @@
 
     private ClassSettings build(int number) {
         require(ClassNames.field(number), classNamePath(number));
-        boolean stays =
-                number < staysInZoneByClass.size()
-                        && Boolean.parseBoolean(staysInZoneByClass.get(number));
-        return classes.get(number).staysInZone(stays).build();
+        boolean restricted =
+                number < restrictedToOwnZoneByClass.size()
+                        && Boolean.parseBoolean(restrictedToOwnZoneByClass.get(number));
+        return classes.get(number).restrictedToOwnZone(restricted).build();
     }
 
     private static AdmissionMode admissionMode(String word) {
