--- a/src/main/java/rockshift/cli/ClusterChangeCommands.java
+++ b/src/main/java/rockshift/cli/ClusterChangeCommands.java
@@ -147,7 +147,7 @@
         public Integer call() throws Exception {
             try (ClusterClient client = members.client()) {
                 JsonNode answer =
-                        client.askLeader(ClusterClient.call("log"), members.deadlineMillis());
+                        client.sendToLeader(ClusterClient.newCall("log"), members.deadlineMillis());
                 if (members.json()) {
                     members.out().println(answer);
                 } else {
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -47,9 +47,9 @@
     }
 
     @Override
-    public void setReach(LocalController.Reach reach) {
+    public void setPermittedChanges(LocalController.PermittedChanges permitted) {
         receiver.setControlScope(
-                switch (reach) {
+                switch (permitted) {
                     case FULL -> ControlScope.FULL;
                     case WITHDRAW -> ControlScope.REMOVALS_ONLY;
                     case HOLD -> ControlScope.NONE;
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public String objection(Change change, Map<String, Change> drains) {
+    public String rejectionReason(Change change, Map<String, Change> drains) {
         if (change.kind() != Change.Kind.DRAIN && change.kind() != Change.Kind.HOLD) {
             return null;
         }
--- a/src/main/java/rockshift/cli/ClusterMemberCommands.java
+++ b/src/main/java/rockshift/cli/ClusterMemberCommands.java
@@ -39,7 +39,7 @@
         @Override
         public Integer call() throws Exception {
             try (ClusterClient client = members.client()) {
-                JsonNode self = client.ask(address, ClusterClient.call("status"));
+                JsonNode self = client.send(address, ClusterClient.newCall("status"));
                 if (!self.path("name").asText().equals(name)) {
                     members.out()
                             .println(
@@ -52,8 +52,8 @@
                     return Commands.FAILURE;
                 }
                 return members.print(
-                        client.askLeader(
-                                ClusterClient.call("add")
+                        client.sendToLeader(
+                                ClusterClient.newCall("add")
                                         .put("id", self.path("number").asLong())
                                         .put("name", name)
                                         .put("address", address)
@@ -73,7 +73,8 @@
 
         @Override
         public Integer call() throws Exception {
-            return members.ask(ClusterClient.call("remove").put("name", name), name + " removed");
+            return members.ask(
+                    ClusterClient.newCall("remove").put("name", name), name + " removed");
         }
     }
 
@@ -90,7 +91,7 @@
         @Override
         public Integer call() throws Exception {
             return members.ask(
-                    ClusterClient.call("transfer").put("name", name),
+                    ClusterClient.newCall("transfer").put("name", name),
                     "transferring leadership to " + name);
         }
     }
@@ -105,7 +106,8 @@
         @Override
         public Integer call() throws Exception {
             return members.ask(
-                    ClusterClient.call("snapshot"), "taking a snapshot, if there is anything new");
+                    ClusterClient.newCall("snapshot"),
+                    "taking a snapshot, if there is anything new");
         }
     }
 }
--- a/src/main/java/rockshift/cli/MemberOptions.java
+++ b/src/main/java/rockshift/cli/MemberOptions.java
@@ -117,7 +117,7 @@
     int ask(ObjectNode call, String done)
             throws InvalidFileException, IOException, InterruptedException {
         try (ClusterClient client = client()) {
-            return print(client.askLeader(call, deadlineMillis()), done);
+            return print(client.sendToLeader(call, deadlineMillis()), done);
         }
     }
 }
--- a/src/main/java/rockshift/cluster/ClusterClient.java
+++ b/src/main/java/rockshift/cluster/ClusterClient.java
@@ -76,12 +76,12 @@
     }
 
     /** Creates a call of an operation, to which the caller adds its fields. */
-    public static ObjectNode call(String operation) {
+    public static ObjectNode newCall(String operation) {
         return JSON.createObjectNode().put("op", operation);
     }
 
     /** Sends a call to one member, and returns its reply. */
-    public JsonNode ask(String address, ObjectNode call) throws IOException {
+    public JsonNode send(String address, ObjectNode call) throws IOException {
         if (!address.equals(connectedAddress) || socket == null) {
             connect(address);
         }
@@ -135,13 +135,13 @@
      * @param deadlineMillis the deadline on the clock of {@link System#nanoTime}, in milliseconds
      * @throws UnansweredException if the deadline passes first
      */
-    public JsonNode askLeader(ObjectNode call, long deadlineMillis)
+    public JsonNode sendToLeader(ObjectNode call, long deadlineMillis)
             throws IOException, InterruptedException {
         String lastFailure = "no member was asked";
         while (System.nanoTime() / NANOS_PER_MILLI < deadlineMillis) {
             String address = addresses.getFirst();
             try {
-                JsonNode answer = ask(address, call);
+                JsonNode answer = send(address, call);
                 String refused = answer.path("refused").asText("");
                 if (!TRANSIENT_REFUSALS.contains(refused)) {
                     return answer;
@@ -179,16 +179,16 @@
             throws IOException, InterruptedException {
         if (session == 0) {
             session = random.nextLong() >>> 1 | 1;
-            askLeader(call("open").put("session", session), deadlineMillis);
+            sendToLeader(newCall("open").put("session", session), deadlineMillis);
         }
         lastSerial++;
         ObjectNode call =
-                call("change")
+                newCall("change")
                         .put("session", session)
                         .put("serial", lastSerial)
                         .put("force", force)
                         .put("change", new String(change.json(), StandardCharsets.UTF_8));
-        return askLeader(call, deadlineMillis);
+        return sendToLeader(call, deadlineMillis);
     }
 
     /** Returns the status of each member by address, or the cause if it cannot be reached. */
@@ -196,7 +196,7 @@
         Map<String, JsonNode> statuses = new LinkedHashMap<>();
         for (String address : List.copyOf(addresses)) {
             try {
-                statuses.put(address, ask(address, call("status")));
+                statuses.put(address, send(address, newCall("status")));
             } catch (IOException failure) {
                 String cause = String.valueOf(failure.getMessage());
                 statuses.put(address, JSON.createObjectNode().put("unreached", cause));
--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -155,7 +155,7 @@
     }
 
     /** Returns whether this member is the leader, as last seen by the member's thread. */
-    public boolean leads() {
+    public boolean isLeader() {
         return leading;
     }
 
--- a/src/main/java/rockshift/cluster/ClusterSettings.java
+++ b/src/main/java/rockshift/cluster/ClusterSettings.java
@@ -35,7 +35,7 @@
     /**
      * What a controller may still change without a quorum, as chosen by the operator: everything,
      * removals only, or nothing. The operator's file contains the names of the constants in lower
-     * case. The member derives the {@link LocalController.Reach} from it.
+     * case. The member derives the {@link LocalController.PermittedChanges} from it.
      */
     public enum Minority {
         SERVE,
--- a/src/main/java/rockshift/cluster/CommandService.java
+++ b/src/main/java/rockshift/cluster/CommandService.java
@@ -145,7 +145,7 @@
         }
         String rejectionReason = agreed.rejectionReason(change);
         if (rejectionReason == null && !call.flag("force")) {
-            rejectionReason = controller.objection(change, agreed.drains());
+            rejectionReason = controller.rejectionReason(change, agreed.drains());
         }
         return rejectionReason;
     }
--- a/src/main/java/rockshift/cluster/LocalController.java
+++ b/src/main/java/rockshift/cluster/LocalController.java
@@ -13,7 +13,7 @@
      * rockshift.model.ControlScope}. The output of {@code cluster status} contains the names of the
      * constants in lower case.
      */
-    enum Reach {
+    enum PermittedChanges {
         /** Everything: the member has quorum contact, or the operator's file allows it without. */
         FULL,
         /** Only the removals that the rules require for replicas that drain. */
@@ -26,13 +26,13 @@
     void applyAgreed(long version, Map<String, Change> drains, Map<String, Double> overrides);
 
     /** Sets what the controller may change. */
-    void setReach(Reach reach);
+    void setPermittedChanges(PermittedChanges permitted);
 
     /**
      * Returns why the controller refuses a change, given the replicas that discovery lists now, or
      * null if it accepts the change.
      */
-    String objection(Change change, Map<String, Change> drains);
+    String rejectionReason(Change change, Map<String, Change> drains);
 
     /** Returns the start time of a listed replica in ms of Unix time, or 0 if it is not known. */
     long startedMillis(String replica);
--- a/src/main/java/rockshift/cluster/QuorumContactReporter.java
+++ b/src/main/java/rockshift/cluster/QuorumContactReporter.java
@@ -17,7 +17,7 @@
     private final MemberDirectory directory;
 
     /** The value last passed to the controller, or null. */
-    private LocalController.Reach reported;
+    private LocalController.PermittedChanges reported;
 
     QuorumContactReporter(
             ClusterSettings settings, LocalController controller, MemberDirectory directory) {
@@ -27,20 +27,21 @@
     }
 
     /** Returns the value last passed to the controller, or null. */
-    LocalController.Reach reported() {
+    LocalController.PermittedChanges reported() {
         return reported;
     }
 
     /** Passes the present value to the controller if it has changed. */
     void update(RaftNode raft) {
         boolean contact = raft.hasQuorumContact();
-        LocalController.Reach reach = contact ? LocalController.Reach.FULL : withoutQuorum();
-        if (reach == reported) {
+        LocalController.PermittedChanges permitted =
+                contact ? LocalController.PermittedChanges.FULL : withoutQuorum();
+        if (permitted == reported) {
             return;
         }
         boolean first = reported == null;
-        reported = reach;
-        controller.setReach(reach);
+        reported = permitted;
+        controller.setPermittedChanges(permitted);
         if (contact) {
             LOG.info("quorum contact established leader={}", directory.nameOf(raft.leader()));
         } else if (!first) {
@@ -52,14 +53,14 @@
 
     /** Limits the controller as without a quorum, since this member has stopped. */
     void stopped() {
-        controller.setReach(withoutQuorum());
+        controller.setPermittedChanges(withoutQuorum());
     }
 
-    private LocalController.Reach withoutQuorum() {
+    private LocalController.PermittedChanges withoutQuorum() {
         return switch (settings.minority()) {
-            case SERVE -> LocalController.Reach.FULL;
-            case WITHDRAW -> LocalController.Reach.WITHDRAW;
-            case HOLD -> LocalController.Reach.HOLD;
+            case SERVE -> LocalController.PermittedChanges.FULL;
+            case WITHDRAW -> LocalController.PermittedChanges.WITHDRAW;
+            case HOLD -> LocalController.PermittedChanges.HOLD;
         };
     }
 }
--- a/src/main/java/rockshift/model/ControlScope.java
+++ b/src/main/java/rockshift/model/ControlScope.java
@@ -2,9 +2,9 @@
 
 /**
  * Scope of the changes that a controller may make at present; the planner obeys it. A member of a
- * cluster derives it from its contact with a quorum ({@code LocalController.Reach}) and the
- * operator's setting ({@code ClusterSettings.Minority}). The constants are written to the log by
- * name.
+ * cluster derives it from its contact with a quorum ({@code LocalController.PermittedChanges}) and
+ * the operator's setting ({@code ClusterSettings.Minority}). The constants are written to the log
+ * by name.
  */
 public enum ControlScope {
     /** All changes. */
--- a/src/main/java/rockshift/testkit/FaultTrial.java
+++ b/src/main/java/rockshift/testkit/FaultTrial.java
@@ -286,7 +286,7 @@
         String address = controllers.clientAddress(member);
         try (ClusterClient client =
                 new ClusterClient(List.of(address), random, STATUS_TIMEOUT_MILLIS)) {
-            return client.ask(address, ClusterClient.call("status")).path("applied").asLong();
+            return client.send(address, ClusterClient.newCall("status")).path("applied").asLong();
         } catch (IOException unanswered) {
             return UNKNOWN_VERSION;
         }
