--- a/src/main/java/rockshift/cluster/MemberConnection.java
+++ b/src/main/java/rockshift/cluster/MemberConnection.java
@@ -67,13 +67,13 @@
         boolean allowed = connections.limits().enter(role, next);
         role = next;
         if (!allowed) {
-            end("crowded", "");
+            close("crowded", "");
         }
         return allowed;
     }
 
     @Override
-    protected void take(Frames.Frame frame) throws IOException {
+    protected void frameReceived(Frames.Frame frame) throws IOException {
         if (role == Role.UNIDENTIFIED && !identify(frame)) {
             return;
         }
@@ -122,8 +122,8 @@
     }
 
     @Override
-    protected void quiet() {
-        end(peerHello == null ? "not-joined" : "idle", "");
+    protected void idleTimeout() {
+        close(peerHello == null ? "not-joined" : "idle", "");
     }
 
     @Override
@@ -132,7 +132,7 @@
     }
 
     @Override
-    protected void ended() {
+    protected void closed() {
         connections.limits().leave(role);
         if (outgoingPeer != null) {
             outgoingPeer.disconnected(this);
@@ -156,8 +156,8 @@
         }
         LOG.info(
                 "closed member connection peer={} reason={}{}",
-                peerHello == null ? from() : peerHello.name(),
+                peerHello == null ? peerAddress() : peerHello.name(),
                 reason == null ? "stopping" : reason,
-                about().isEmpty() ? "" : " detail=\"" + about() + "\"");
+                reasonDetail().isEmpty() ? "" : " detail=\"" + reasonDetail() + "\"");
     }
 }
--- a/src/main/java/rockshift/cluster/MemberConnections.java
+++ b/src/main/java/rockshift/cluster/MemberConnections.java
@@ -158,7 +158,7 @@
             if (!addresses.contains(gone)) {
                 MemberConnection connection = peersByAddress.remove(gone).connection();
                 if (connection != null) {
-                    connection.end("left", "no longer a member");
+                    connection.close("left", "no longer a member");
                 }
             }
         }
--- a/src/main/java/rockshift/distribution/wire/DistributionCodec.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionCodec.java
@@ -125,7 +125,7 @@
         write(out, message.to());
         out.add(message.digest(), message.updates().size());
         for (Update update : message.updates()) {
-            out.add(update.revision()).flag(update.deleted());
+            out.add(update.revision()).bool(update.deleted());
             write(out, update.item());
         }
     }
@@ -142,7 +142,7 @@
     }
 
     private static void write(CborWriter out, Scope scope) throws IOException {
-        out.flag(scope.everything());
+        out.bool(scope.everything());
         write(out, scope.services());
         write(out, scope.zones());
     }
@@ -165,11 +165,11 @@
      */
     public static DistributionMessage read(byte[] bytes) throws IOException {
         CborReader in = new CborReader(bytes, 0, bytes.length);
-        in.at("message").startArray();
-        Kind kind = in.at("kind").oneOf(Kind.values());
-        long epoch = in.at("scopeEpoch").number(0, Long.MAX_VALUE);
+        in.field("message").startArray();
+        Kind kind = in.field("kind").enumConstant(Kind.values());
+        long epoch = in.field("scopeEpoch").number(0, Long.MAX_VALUE);
         DistributionMessage message = readFields(in, kind, epoch);
-        in.at("message").end();
+        in.field("message").end();
         return message;
     }
 
@@ -193,11 +193,11 @@
 
     private static DistributionMessage readSubscribe(CborReader in, long epoch) throws IOException {
         return new DistributionMessage.Subscribe(
-                in.at("subscriber").text(SIZES.maxNameLength()),
+                in.field("subscriber").text(SIZES.maxNameLength()),
                 epoch,
                 readScope(in),
                 readRevision(in, "held"),
-                in.at("sentMillis").number());
+                in.field("sentMillis").number());
     }
 
     private static DistributionMessage readDifference(CborReader in, long epoch)
@@ -206,7 +206,7 @@
                 epoch,
                 readRevision(in, "from"),
                 readRevision(in, "to"),
-                in.at("digest").number(),
+                in.field("digest").number(),
                 readUpdates(in));
     }
 
@@ -214,21 +214,21 @@
         return new DistributionMessage.Heartbeat(
                 epoch,
                 readRevision(in, "current"),
-                in.at("digest").number(),
+                in.field("digest").number(),
                 readCount(in, "staleMillis"),
-                in.at("echoMillis").number());
+                in.field("echoMillis").number());
     }
 
     private static String readDetail(CborReader in) throws IOException {
-        return in.at("place").text(MAX_DETAIL_LENGTH);
+        return in.field("place").text(MAX_DETAIL_LENGTH);
     }
 
     private static long readCount(CborReader in, String field) throws IOException {
-        return in.at(field).number(0, Long.MAX_VALUE);
+        return in.field(field).number(0, Long.MAX_VALUE);
     }
 
     private static int readIntCount(CborReader in, String field) throws IOException {
-        return in.at(field).whole(Integer.MAX_VALUE);
+        return in.field(field).unsignedInt(Integer.MAX_VALUE);
     }
 
     private static DistributionMessage readAcknowledge(CborReader in, long epoch)
@@ -241,9 +241,9 @@
                         readIntCount(in, "summary.subscribers"),
                         readIntCount(in, "summary.behind"),
                         readIntCount(in, "summary.unreachable"),
-                        in.at("summary.fingerprint").number());
+                        in.field("summary.fingerprint").number());
         return new DistributionMessage.Acknowledge(
-                epoch, inForce, snapshotParts, summary, in.at("sentMillis").number());
+                epoch, inForce, snapshotParts, summary, in.field("sentMillis").number());
     }
 
     private static DistributionMessage readSnapshotPart(CborReader in, long epoch)
@@ -251,9 +251,9 @@
         Revision revision = readRevision(in, "revision");
         int part = readIntCount(in, "part");
         int parts = readIntCount(in, "parts");
-        long digest = in.at("digest").number();
+        long digest = in.field("digest").number();
         List<Item> items = new ArrayList<>();
-        for (int remaining = in.at("items").whole(SIZES.maxPartItems());
+        for (int remaining = in.field("items").unsignedInt(SIZES.maxPartItems());
                 remaining > 0;
                 remaining--) {
             items.add(readItem(in, "items"));
@@ -263,11 +263,11 @@
 
     private static List<Update> readUpdates(CborReader in) throws IOException {
         List<Update> updates = new ArrayList<>();
-        for (int remaining = in.at("updates").whole(SIZES.maxDifferenceUpdates());
+        for (int remaining = in.field("updates").unsignedInt(SIZES.maxDifferenceUpdates());
                 remaining > 0;
                 remaining--) {
             long revision = readCount(in, "updates.revision");
-            boolean deleted = in.at("updates.deleted").flag();
+            boolean deleted = in.field("updates.deleted").bool();
             updates.add(new Update(revision, readItem(in, "updates"), deleted));
         }
         return updates;
@@ -275,29 +275,30 @@
 
     private static Item readItem(CborReader in, String list) throws IOException {
         return new Item(
-                in.at(list + ".key").text(MAX_KEY_LENGTH),
-                in.at(list + ".service").text(SIZES.maxNameLength()),
-                in.at(list + ".zone").text(SIZES.maxNameLength()),
-                in.at(list + ".value").bytes(SIZES.maxItemBytes()));
+                in.field(list + ".key").text(MAX_KEY_LENGTH),
+                in.field(list + ".service").text(SIZES.maxNameLength()),
+                in.field(list + ".zone").text(SIZES.maxNameLength()),
+                in.field(list + ".value").bytes(SIZES.maxItemBytes()));
     }
 
     private static Revision readRevision(CborReader in, String field) throws IOException {
-        return new Revision(in.at(field + ".cluster").number(), readCount(in, field + ".number"));
+        return new Revision(
+                in.field(field + ".cluster").number(), readCount(in, field + ".number"));
     }
 
     private static Scope readScope(CborReader in) throws IOException {
-        boolean everything = in.at("scope.everything").flag();
+        boolean everything = in.field("scope.everything").bool();
         return new Scope(everything, readNames(in, "scope.services"), readNames(in, "scope.zones"));
     }
 
     private static SortedSet<String> readNames(CborReader in, String field) throws IOException {
         SortedSet<String> names = new TreeSet<>();
-        for (int remaining = in.at(field).whole(SIZES.maxScopeNames());
+        for (int remaining = in.field(field).unsignedInt(SIZES.maxScopeNames());
                 remaining > 0;
                 remaining--) {
             String name = in.text(SIZES.maxNameLength());
             if (!names.isEmpty() && names.last().compareTo(name) >= 0) {
-                throw in.wrong("names that are not in strictly ascending order");
+                throw in.invalid("names that are not in strictly ascending order");
             }
             names.add(name);
         }
@@ -305,10 +306,10 @@
     }
 
     private static RejectionReason readReason(CborReader in) throws IOException {
-        String code = in.at("reason").text(MAX_DETAIL_LENGTH);
+        String code = in.field("reason").text(MAX_DETAIL_LENGTH);
         RejectionReason reason = RejectionReason.byCode(code);
         if (reason == null) {
-            throw in.wrong("unknown reason code '" + code + "'");
+            throw in.invalid("unknown reason code '" + code + "'");
         }
         return reason;
     }
--- a/src/main/java/rockshift/distribution/wire/DistributionConnection.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionConnection.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    protected void take(Frames.Frame frame) throws IOException {
+    protected void frameReceived(Frames.Frame frame) throws IOException {
         if (frame.kind() != Frames.WATCH) {
             throw new Frames.InvalidFrameException(
                     "unexpected",
@@ -54,17 +54,17 @@
     }
 
     @Override
-    protected void quiet() {
-        end(RejectionReason.SILENT.code(), "");
+    protected void idleTimeout() {
+        close(RejectionReason.SILENT.code(), "");
     }
 
     @Override
     protected void failed(Exception failure) {
-        LOG.error("connection failed peer={}", from(), failure);
+        LOG.error("connection failed peer={}", peerAddress(), failure);
     }
 
     @Override
-    protected void ended() {
+    protected void closed() {
         handler.ended(this);
     }
 }
--- a/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
+++ b/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
@@ -88,7 +88,7 @@
     @Override
     public void opened(FramedConnection connection) {
         if (byConnection.size() >= maxOpen()) {
-            connection.end("crowded", "");
+            connection.close("crowded", "");
             return;
         }
         Peer peer = new Peer(numbers.incrementAndGet(), connection, new AtomicInteger());
@@ -119,7 +119,7 @@
 
     private void queue(Peer peer, Runnable step) {
         if (peer.queued.get() >= MAX_QUEUED_PER_SUBSCRIBER || queued.get() >= MAX_QUEUED) {
-            peer.connection.end(
+            peer.connection.close(
                     "flood",
                     peer.queued
                             + " messages of this subscriber are queued, maximum is "
@@ -144,7 +144,7 @@
     @Override
     public void ended(FramedConnection connection) {
         String code = connection.reason() == null ? "stopping" : connection.reason();
-        log.ended(connection.from(), code, connection.about());
+        log.connectionClosed(connection.peerAddress(), code, connection.reasonDetail());
         Peer peer = byConnection.remove(connection);
         if (peer != null && byNumber.remove(peer.number) != null) {
             steps.execute(() -> publisher.disconnected(peer.number, nowMillis()));
@@ -158,15 +158,16 @@
             return;
         }
         try {
-            if (peer.connection.stalled()) {
-                peer.connection.end(
+            if (peer.connection.isStalled()) {
+                peer.connection.close(
                         "not-reading", "unsent messages made no progress within the stall timeout");
             } else if (!peer.connection.send(Frames.WATCH, DistributionCodec.write(message))) {
-                peer.connection.end("not-reading", "unsent messages exceed the send buffer limit");
+                peer.connection.close(
+                        "not-reading", "unsent messages exceed the send buffer limit");
             }
         } catch (IOException unexpected) {
-            LOG.error("message not encodable peer={}", peer.connection.from(), unexpected);
-            peer.connection.end("failure", String.valueOf(unexpected.getMessage()));
+            LOG.error("message not encodable peer={}", peer.connection.peerAddress(), unexpected);
+            peer.connection.close("failure", String.valueOf(unexpected.getMessage()));
         }
     }
 
@@ -174,7 +175,7 @@
     public void close(long number, RejectionReason reason, String detail) {
         Peer peer = byNumber.remove(number);
         if (peer != null) {
-            peer.connection.endWhenSent(reason.code(), detail);
+            peer.connection.closeAfterFlush(reason.code(), detail);
         }
     }
 
--- a/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
+++ b/src/main/java/rockshift/distribution/wire/UpstreamConnector.java
@@ -89,18 +89,18 @@
         FramedConnection connection = current.connection;
         try {
             if (!connection.send(Frames.WATCH, DistributionCodec.write(message))) {
-                connection.end("not-reading", "unsent messages exceed the send buffer limit");
+                connection.close("not-reading", "unsent messages exceed the send buffer limit");
             }
         } catch (IOException unexpected) {
-            LOG.error("message not encodable peer={}", connection.from(), unexpected);
-            connection.end("failure", String.valueOf(unexpected.getMessage()));
+            LOG.error("message not encodable peer={}", connection.peerAddress(), unexpected);
+            connection.close("failure", String.valueOf(unexpected.getMessage()));
         }
     }
 
     /** Closes the connection permanently. */
     void close() {
         if (current != null && current.connection != null) {
-            current.connection.endWhenSent("stopping", "");
+            current.connection.closeAfterFlush("stopping", "");
         }
         current = null;
     }
@@ -127,7 +127,7 @@
             abandonReason = reason;
             abandonDetail = detail;
             if (connection != null) {
-                connection.endWhenSent(reason.code(), detail);
+                connection.closeAfterFlush(reason.code(), detail);
             }
         }
 
@@ -148,7 +148,7 @@
                             owner.connected();
                         } else {
                             String code = abandonReason == null ? "stopping" : abandonReason.code();
-                            opened.endWhenSent(code, abandonDetail);
+                            opened.closeAfterFlush(code, abandonDetail);
                         }
                     });
         }
@@ -167,12 +167,13 @@
         @Override
         public void ended(FramedConnection same) {
             String code = same.reason() == null ? "stopping" : same.reason();
-            reactor.upstreamLog().ended(address, code, same.about());
+            reactor.upstreamLog().connectionClosed(address, code, same.reasonDetail());
             executeIfCurrent(this::disconnected);
         }
 
         private void unreachable(String message) {
-            reactor.upstreamLog().ended(address, RejectionReason.UNREACHABLE.code(), message);
+            reactor.upstreamLog()
+                    .connectionClosed(address, RejectionReason.UNREACHABLE.code(), message);
             disconnected();
         }
 
--- a/src/main/java/rockshift/wire/CborReader.java
+++ b/src/main/java/rockshift/wire/CborReader.java
@@ -25,13 +25,13 @@
     }
 
     /** Sets the name of the field that is read next, for error messages. */
-    public CborReader at(String name) {
+    public CborReader field(String name) {
         field = name;
         return this;
     }
 
     /** Returns an exception for the field being read. */
-    public IOException wrong(String problem) {
+    public IOException invalid(String problem) {
         return new IOException(field.isEmpty() ? problem : "field " + field + ": " + problem);
     }
 
@@ -39,14 +39,14 @@
         try {
             return in.nextToken();
         } catch (JsonProcessingException malformed) {
-            throw wrong("invalid CBOR at byte " + in.currentLocation().getByteOffset());
+            throw invalid("invalid CBOR at byte " + in.currentLocation().getByteOffset());
         }
     }
 
     private void expect(JsonToken expected) throws IOException {
         JsonToken token = next();
         if (token != expected) {
-            throw wrong("expected " + expected + ", found " + token);
+            throw invalid("expected " + expected + ", found " + token);
         }
     }
 
@@ -63,7 +63,7 @@
     public boolean more() throws IOException {
         JsonToken token = next();
         if (token == null) {
-            throw wrong("expected the end of an array, found the end of the input");
+            throw invalid("expected the end of an array, found the end of the input");
         }
         return token != JsonToken.END_ARRAY;
     }
@@ -76,7 +76,7 @@
     /** Returns the number that {@link #more} has advanced to. */
     public long currentNumber() throws IOException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw wrong("expected a number, found " + in.currentToken());
+            throw invalid("expected a number, found " + in.currentToken());
         }
         return longValue();
     }
@@ -91,7 +91,7 @@
         try {
             return in.getLongValue();
         } catch (JsonProcessingException tooLarge) {
-            throw wrong("number does not fit into 64 bits");
+            throw invalid("number does not fit into 64 bits");
         }
     }
 
@@ -99,26 +99,26 @@
     public long number(long min, long max) throws IOException {
         long number = number();
         if (number < min || number > max) {
-            throw wrong(number + " out of range, expected " + min + " to " + max);
+            throw invalid(number + " out of range, expected " + min + " to " + max);
         }
         return number;
     }
 
     /** Reads a number from 0 to {@code max}, both included. */
-    public int whole(int max) throws IOException {
+    public int unsignedInt(int max) throws IOException {
         return (int) number(0, max);
     }
 
     /** Reads an enum constant, written as its ordinal. */
-    public <E extends Enum<E>> E oneOf(E[] values) throws IOException {
-        return values[whole(values.length - 1)];
+    public <E extends Enum<E>> E enumConstant(E[] values) throws IOException {
+        return values[unsignedInt(values.length - 1)];
     }
 
     /** Reads a boolean. */
-    public boolean flag() throws IOException {
+    public boolean bool() throws IOException {
         JsonToken token = next();
         if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-            throw wrong("expected a boolean, found " + token);
+            throw invalid("expected a boolean, found " + token);
         }
         return token == JsonToken.VALUE_TRUE;
     }
@@ -129,7 +129,7 @@
         try {
             return in.getText();
         } catch (JsonProcessingException malformed) {
-            throw wrong("malformed text");
+            throw invalid("malformed text");
         }
     }
 
@@ -137,7 +137,8 @@
     public String text(int maxLength) throws IOException {
         String text = text();
         if (text.length() > maxLength) {
-            throw wrong("text of " + text.length() + " characters, expected at most " + maxLength);
+            throw invalid(
+                    "text of " + text.length() + " characters, expected at most " + maxLength);
         }
         return text;
     }
@@ -149,7 +150,7 @@
             byte[] value = in.getBinaryValue();
             return value == null ? NO_BYTES : value;
         } catch (JsonProcessingException malformed) {
-            throw wrong("malformed byte string");
+            throw invalid("malformed byte string");
         }
     }
 
@@ -157,7 +158,7 @@
     public byte[] bytes(int maxLength) throws IOException {
         byte[] value = bytes();
         if (value.length > maxLength) {
-            throw wrong("a value of " + value.length + " bytes, expected at most " + maxLength);
+            throw invalid("a value of " + value.length + " bytes, expected at most " + maxLength);
         }
         return value;
     }
@@ -166,7 +167,7 @@
     public void end() throws IOException {
         endArray();
         if (next() != null) {
-            throw wrong("expected the end of the input, found more than one item");
+            throw invalid("expected the end of the input, found more than one item");
         }
     }
 }
--- a/src/main/java/rockshift/wire/CborWriter.java
+++ b/src/main/java/rockshift/wire/CborWriter.java
@@ -39,7 +39,7 @@
     }
 
     /** Writes each boolean as an item. */
-    public CborWriter flag(boolean... flags) throws IOException {
+    public CborWriter bool(boolean... flags) throws IOException {
         for (boolean flag : flags) {
             out.writeBoolean(flag);
         }
--- a/src/main/java/rockshift/wire/ConnectionLog.java
+++ b/src/main/java/rockshift/wire/ConnectionLog.java
@@ -31,7 +31,7 @@
     }
 
     /** Records that a connection was closed. No line is logged if there are too many. */
-    public synchronized void ended(Object peer, String code, String detail) {
+    public synchronized void connectionClosed(Object peer, String code, String detail) {
         totals.merge(code, 1L, Long::sum);
         if (System.nanoTime() - secondStartNanos > TimeUnit.SECONDS.toNanos(1)) {
             logSuppressed();
@@ -53,7 +53,10 @@
 
     private void logSuppressed() {
         if (!suppressedByReason.isEmpty()) {
-            log.warn("closed {} connections, not logged each: {}", kind, suppressedByReason);
+            log.warn(
+                    "closed {} connections, not logged individually: countByReason={}",
+                    kind,
+                    suppressedByReason);
             suppressedByReason.clear();
         }
     }
--- a/src/main/java/rockshift/wire/FramedConnection.java
+++ b/src/main/java/rockshift/wire/FramedConnection.java
@@ -14,8 +14,8 @@
 /**
  * A connection that exchanges {@link Frames} with a peer. It owns the socket, the received bytes,
  * the frames queued for sending, and the reason why it was closed: only the first reason given is
- * kept. Events are delivered on the reactor's thread; {@link #send} and {@link #end} may be called
- * from any thread.
+ * kept. Events are delivered on the reactor's thread; {@link #send} and {@link #close} may be
+ * called from any thread.
  */
 public abstract class FramedConnection implements IOEventHandler {
     /**
@@ -28,7 +28,7 @@
     private static final int CLOSE_GRACE_MILLIS = 500;
 
     private final IOSession session;
-    private final SocketAddress from;
+    private final SocketAddress peerAddress;
     private final ByteBuffer readBuffer;
     private final int maxUnsentBytes;
     private final Frames frames = new Frames();
@@ -50,7 +50,7 @@
      */
     protected FramedConnection(IOSession session, ByteBuffer readBuffer, int maxUnsentBytes) {
         this.session = session;
-        this.from = session.getRemoteAddress();
+        this.peerAddress = session.getRemoteAddress();
         this.readBuffer = readBuffer;
         this.maxUnsentBytes = maxUnsentBytes;
     }
@@ -61,10 +61,10 @@
      * @throws Frames.InvalidFrameException to close the connection with the exception's code
      * @throws IOException to close the connection as malformed
      */
-    protected abstract void take(Frames.Frame frame) throws IOException;
+    protected abstract void frameReceived(Frames.Frame frame) throws IOException;
 
     /** Called when the connection was closed. {@link #reason} returns why. */
-    protected abstract void ended();
+    protected abstract void closed();
 
     /** Returns the underlying session. */
     public final IOSession session() {
@@ -72,8 +72,8 @@
     }
 
     /** Returns the address of the peer. */
-    public final SocketAddress from() {
-        return from;
+    public final SocketAddress peerAddress() {
+        return peerAddress;
     }
 
     /** Returns the code of the reason for closing, null while the connection is open. */
@@ -82,7 +82,7 @@
     }
 
     /** Returns details of the reason, for the log. */
-    public final synchronized String about() {
+    public final synchronized String reasonDetail() {
         return reasonDetail;
     }
 
@@ -93,7 +93,7 @@
             readBuffer.clear();
             count = session.read(readBuffer);
             if (count < 0) {
-                end("left", "");
+                close("left", "");
                 return;
             }
             handleFrames(readBuffer.flip());
@@ -106,12 +106,12 @@
             for (Frames.Frame frame = frames.next();
                     frame != null && reason() == null;
                     frame = frames.next()) {
-                take(frame);
+                frameReceived(frame);
             }
         } catch (Frames.InvalidFrameException invalid) {
-            end(invalid.reasonCode(), invalid.getMessage());
+            close(invalid.reasonCode(), invalid.getMessage());
         } catch (IOException malformed) {
-            end("malformed", malformed.getMessage());
+            close("malformed", malformed.getMessage());
         }
     }
 
@@ -143,7 +143,7 @@
             session.setEvent(SelectionKey.OP_WRITE);
             return true;
         } catch (IOException broken) {
-            end("reset", String.valueOf(broken.getMessage()));
+            close("reset", String.valueOf(broken.getMessage()));
             return false;
         } finally {
             session.getLock().unlock();
@@ -177,7 +177,7 @@
     }
 
     /** Returns whether frames are queued and the peer has read nothing for too long. */
-    public final boolean stalled() {
+    public final boolean isStalled() {
         session.getLock().lock();
         try {
             return !queuedFrames.isEmpty()
@@ -188,7 +188,7 @@
     }
 
     /** Closes the connection at once. Queued frames are lost. */
-    public final void end(String code, String detail) {
+    public final void close(String code, String detail) {
         if (recordReason(code, detail)) {
             session.close(CloseMode.IMMEDIATE);
         }
@@ -198,7 +198,7 @@
      * Closes the connection once all queued frames are written, or after a short time if the peer
      * does not read them.
      */
-    public final void endWhenSent(String code, String detail) {
+    public final void closeAfterFlush(String code, String detail) {
         if (!recordReason(code, detail)) {
             return;
         }
@@ -233,21 +233,21 @@
     @Override
     public final void timeout(IOSession same, Timeout after) {
         if (reason() == null) {
-            quiet();
+            idleTimeout();
         } else {
             session.close(CloseMode.IMMEDIATE);
         }
     }
 
     /** Called when nothing was received or sent for the socket timeout. */
-    protected abstract void quiet();
+    protected abstract void idleTimeout();
 
     @Override
     public final void exception(IOSession same, Exception failure) {
         if (!(failure instanceof IOException)) {
             failed(failure);
         }
-        end(
+        close(
                 failure instanceof IOException ? "reset" : "failure",
                 String.valueOf(failure.getMessage()));
     }
@@ -257,6 +257,6 @@
 
     @Override
     public final void disconnected(IOSession same) {
-        ended();
+        closed();
     }
 }
--- a/src/main/java/rockshift/wire/MessageCodec.java
+++ b/src/main/java/rockshift/wire/MessageCodec.java
@@ -52,13 +52,13 @@
     private static void writeFields(CborWriter writer, Message message) throws IOException {
         if (message instanceof Message.VoteRequest request) {
             writer.add(request.lastLogIndex(), request.lastLogTerm());
-            writer.flag(request.preVote(), request.leadershipTransfer());
+            writer.bool(request.preVote(), request.leadershipTransfer());
         } else if (message instanceof Message.VoteResponse response) {
-            writer.flag(response.preVote(), response.granted());
+            writer.bool(response.preVote(), response.granted());
         } else if (message instanceof Message.AppendRequest request) {
             write(writer, request);
         } else if (message instanceof Message.AppendResponse response) {
-            writer.flag(response.success());
+            writer.bool(response.success());
             writer.add(response.matchIndex(), response.conflictTerm(), response.rejectedIndex());
             writer.add(response.round(), response.sentAtTicks(), response.followerClockTicks());
         } else if (message instanceof Message.SnapshotChunk chunk) {
@@ -90,7 +90,7 @@
     public static Message decode(byte[] bytes) throws IOException {
         CborReader reader = new CborReader(bytes, 0, bytes.length);
         reader.startArray();
-        int kind = reader.whole(TIMEOUT_NOW);
+        int kind = reader.unsignedInt(TIMEOUT_NOW);
         long from = reader.number();
         long to = reader.number();
         long term = reader.number();
@@ -98,7 +98,7 @@
                 switch (kind) {
                     case VOTE_REQUEST -> readVoteRequest(reader, from, to, term);
                     case VOTE_RESPONSE ->
-                            new Message.VoteResponse(from, to, term, reader.flag(), reader.flag());
+                            new Message.VoteResponse(from, to, term, reader.bool(), reader.bool());
                     case APPEND_REQUEST -> readAppendRequest(reader, from, to, term);
                     case APPEND_RESPONSE -> readAppendResponse(reader, from, to, term);
                     case SNAPSHOT_CHUNK -> readSnapshotChunk(reader, from, to, term);
@@ -114,8 +114,8 @@
             throws IOException {
         long lastLogIndex = reader.number();
         long lastLogTerm = reader.number();
-        boolean preVote = reader.flag();
-        boolean leadershipTransfer = reader.flag();
+        boolean preVote = reader.bool();
+        boolean leadershipTransfer = reader.bool();
         return new Message.VoteRequest(
                 from, to, term, lastLogIndex, lastLogTerm, preVote, leadershipTransfer);
     }
@@ -128,7 +128,7 @@
         long round = reader.number();
         long sentAtTicks = reader.number();
         List<Entry> entries = new ArrayList<>();
-        for (int count = reader.whole(Integer.MAX_VALUE); count > 0; count--) {
+        for (int count = reader.unsignedInt(Integer.MAX_VALUE); count > 0; count--) {
             entries.add(StateCodec.readEntry(reader));
         }
         return new Message.AppendRequest(
@@ -145,7 +145,7 @@
 
     private static Message readAppendResponse(CborReader reader, long from, long to, long term)
             throws IOException {
-        boolean success = reader.flag();
+        boolean success = reader.bool();
         long matchIndex = reader.number();
         long conflictTerm = reader.number();
         long rejectedIndex = reader.number();
@@ -170,9 +170,9 @@
         long snapshotIndex = reader.number();
         long snapshotTerm = reader.number();
         Membership membership = StateCodec.readMembership(reader);
-        int totalBytes = reader.whole(Integer.MAX_VALUE);
+        int totalBytes = reader.unsignedInt(Integer.MAX_VALUE);
         int checksum = (int) reader.number();
-        int offset = reader.whole(Integer.MAX_VALUE);
+        int offset = reader.unsignedInt(Integer.MAX_VALUE);
         byte[] bytes = reader.bytes();
         long round = reader.number();
         long sentAtTicks = reader.number();
@@ -194,7 +194,7 @@
     private static Message readSnapshotChunkResponse(
             CborReader reader, long from, long to, long term) throws IOException {
         long snapshotIndex = reader.number();
-        int receivedBytes = reader.whole(Integer.MAX_VALUE);
+        int receivedBytes = reader.unsignedInt(Integer.MAX_VALUE);
         long round = reader.number();
         long sentAtTicks = reader.number();
         long followerClockTicks = reader.number();
--- a/src/main/java/rockshift/wire/StateCodec.java
+++ b/src/main/java/rockshift/wire/StateCodec.java
@@ -43,7 +43,7 @@
             long id = reader.currentNumber();
             String name = reader.text();
             String address = reader.text();
-            members.add(new Member(id, name, address, reader.oneOf(Member.Role.values())));
+            members.add(new Member(id, name, address, reader.enumConstant(Member.Role.values())));
         }
         return new Membership(members);
     }
@@ -58,7 +58,7 @@
     static Entry readEntry(CborReader reader) throws IOException {
         long index = reader.number();
         long term = reader.number();
-        Entry.Kind kind = reader.oneOf(Entry.Kind.values());
+        Entry.Kind kind = reader.enumConstant(Entry.Kind.values());
         long session = reader.number();
         long serial = reader.number();
         byte[] body = reader.bytes();
@@ -168,7 +168,7 @@
         CborReader reader = new CborReader(image, 0, image.length);
         reader.startArray();
         List<ClientSessions.Session> sessions = new ArrayList<>();
-        for (int count = reader.whole(ClientSessions.MAX_SESSIONS); count > 0; count--) {
+        for (int count = reader.unsignedInt(ClientSessions.MAX_SESSIONS); count > 0; count--) {
             long id = reader.number();
             long serial = reader.number();
             sessions.add(new ClientSessions.Session(id, serial, reader.bytes()));
