--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void freshAgain(long afterMillis) {
-        LOG.info("agreed state up to date again revision={} afterMillis={}", revision, afterMillis);
+    public void upToDate(long staleMillis) {
+        LOG.info("agreed state up to date again revision={} afterMillis={}", revision, staleMillis);
     }
 }
--- a/src/main/java/rockshift/cluster/DistributionService.java
+++ b/src/main/java/rockshift/cluster/DistributionService.java
@@ -239,14 +239,14 @@
     private void flush() {
         if (storeChanged) {
             storeChanged = false;
-            publisher.published(now());
+            publisher.storeChanged(now());
         }
     }
 
     private void publish(long currentFreshAtMillis) {
         flush();
         if (currentFreshAtMillis != Long.MIN_VALUE) {
-            publisher.freshAt(currentFreshAtMillis);
+            publisher.storeFreshAt(currentFreshAtMillis);
         }
         publisher.tick(now());
         publishingStatus =
--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -122,7 +122,7 @@
      * Sends the changes of the store to the affected subscriptions. Must be called after each
      * change of the store, before any other call.
      */
-    public void published(long nowMillis) {
+    public void storeChanged(long nowMillis) {
         updater.markAffectedOutdated(index).forEach(subscription -> flush(subscription, nowMillis));
     }
 
@@ -130,7 +130,7 @@
      * Records that the store held the newest state at this time. A member calls this while it
      * follows a leader, after publishing everything agreed up to that time, and not otherwise.
      */
-    public void freshAt(long atMillis) {
+    public void storeFreshAt(long atMillis) {
         updater.freshAt(atMillis);
     }
 
--- a/src/main/java/rockshift/distribution/Relay.java
+++ b/src/main/java/rockshift/distribution/Relay.java
@@ -67,7 +67,7 @@
     public void upstreamReceived(DistributionMessage message, long atMillis) {
         nowMillis = atMillis;
         subscriber.received(message, atMillis);
-        publisher.freshAt(subscriber.freshAtMillis());
+        publisher.storeFreshAt(subscriber.freshAtMillis());
     }
 
     /** Handles a message from upstream that the host could not decode. */
@@ -139,7 +139,7 @@
         }
 
         private void publish(Revision revision) {
-            publisher.published(nowMillis);
+            publisher.storeChanged(nowMillis);
             subscriber.acknowledged(revision, nowMillis);
         }
 
--- a/src/main/java/rockshift/distribution/wire/DistributionClient.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionClient.java
@@ -64,7 +64,7 @@
                         limits.timing().staleThresholdMillis(),
                         nowMillis(),
                         listener::stale,
-                        listener::freshAgain);
+                        listener::upToDate);
     }
 
     private static long nowMillis() {
@@ -89,7 +89,7 @@
     }
 
     /** Changes the scope. */
-    public synchronized void scope(Scope scope) {
+    public synchronized void changeScope(Scope scope) {
         subscriber.scope(scope, nowMillis());
     }
 
--- a/src/main/java/rockshift/distribution/wire/DistributionListener.java
+++ b/src/main/java/rockshift/distribution/wire/DistributionListener.java
@@ -31,5 +31,5 @@
     default void stale(long ageMillis) {}
 
     /** Called once the state is up to date again. */
-    default void freshAgain(long afterMillis) {}
+    default void upToDate(long staleMillis) {}
 }
--- a/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
+++ b/src/main/java/rockshift/distribution/wire/DownstreamConnections.java
@@ -179,8 +179,8 @@
         }
     }
 
-    /** Returns the number of connections ended since the start, by reason code. */
-    public Map<String, Long> endings() {
+    /** Returns the number of connections closed since the start, by reason code. */
+    public Map<String, Long> closedByReason() {
         return log.totals();
     }
 }
--- a/src/main/java/rockshift/distribution/wire/RelayProcess.java
+++ b/src/main/java/rockshift/distribution/wire/RelayProcess.java
@@ -110,9 +110,9 @@
         return relay.publisher().connections();
     }
 
-    /** Returns the number of downstream connections ended since the start, by reason code. */
-    public Map<String, Long> endings() {
-        return downstream.endings();
+    /** Returns the number of downstream connections closed since the start, by reason code. */
+    public Map<String, Long> closedByReason() {
+        return downstream.closedByReason();
     }
 
     private synchronized void tick() {
