--- a/src/main/java/rockshift/Main.java
+++ b/src/main/java/rockshift/Main.java
@@ -18,7 +18,7 @@
         if (command.equals("serve")) {
             ProcessSignals signals = ProcessSignals.install();
             int status = ControllerProcess.run(System.getenv(), signals, null);
-            signals.release();
+            signals.markExiting();
             System.exit(status);
         } else if (command.equals("drill")) {
             System.exit(SimulatorAdapter.run(System.in, System.out));
--- a/src/main/java/rockshift/cli/ClusterChangesSource.java
+++ b/src/main/java/rockshift/cli/ClusterChangesSource.java
@@ -27,14 +27,14 @@
     }
 
     @Override
-    public void begin(AgreedChangesReceiver into) throws IOException, InterruptedException {
+    public void start(AgreedChangesReceiver into) throws IOException, InterruptedException {
         receiver = into;
         member = new ClusterMember(settings, this);
         member.start();
     }
 
     @Override
-    public void end() throws InterruptedException {
+    public void stop() throws InterruptedException {
         if (member != null) {
             member.close();
         }
--- a/src/main/java/rockshift/cli/Commands.java
+++ b/src/main/java/rockshift/cli/Commands.java
@@ -74,7 +74,7 @@
                 return rockshift.server.ControllerProcess.run(
                         System.getenv(), signals, operator == null ? null : source());
             } finally {
-                signals.release();
+                signals.markExiting();
             }
         }
 
--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void begin(AgreedChangesReceiver into) throws IOException, InterruptedException {
+    public void start(AgreedChangesReceiver into) throws IOException, InterruptedException {
         receiver = into;
         reactor = new DistributionReactor();
         client =
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void end() throws InterruptedException {
+    public void stop() throws InterruptedException {
         if (client != null) {
             client.close();
             reactor.close();
--- a/src/main/java/rockshift/cli/RelayCommand.java
+++ b/src/main/java/rockshift/cli/RelayCommand.java
@@ -44,7 +44,7 @@
             }
             return Commands.SUCCESS;
         } finally {
-            signals.release();
+            signals.markExiting();
         }
     }
 
--- a/src/main/java/rockshift/server/AgreedChangesSource.java
+++ b/src/main/java/rockshift/server/AgreedChangesSource.java
@@ -8,8 +8,8 @@
  */
 public interface AgreedChangesSource {
     /** Called before the controller serves. If it throws, the controller does not start. */
-    void begin(AgreedChangesReceiver receiver) throws IOException, InterruptedException;
+    void start(AgreedChangesReceiver receiver) throws IOException, InterruptedException;
 
     /** Called when the process is told to end. */
-    void end() throws InterruptedException;
+    void stop() throws InterruptedException;
 }
--- a/src/main/java/rockshift/server/ControllerServer.java
+++ b/src/main/java/rockshift/server/ControllerServer.java
@@ -52,7 +52,7 @@
 
     void start() throws IOException, InterruptedException {
         if (source != null) {
-            source.begin(receiver);
+            source.start(receiver);
         }
         synchronized (this) {
             if (closed) {
@@ -157,7 +157,7 @@
             listener.close();
         }
         if (source != null) {
-            source.end();
+            source.stop();
         }
     }
 }
--- a/src/main/java/rockshift/server/ProcessSignals.java
+++ b/src/main/java/rockshift/server/ProcessSignals.java
@@ -115,7 +115,7 @@
     }
 
     /** Marks the program as exiting by itself, with its own status. */
-    public synchronized void release() {
+    public synchronized void markExiting() {
         exiting = true;
     }
 }
