--- a/src/main/java/rockshift/cluster/ClusterBootstrap.java
+++ b/src/main/java/rockshift/cluster/ClusterBootstrap.java
@@ -45,8 +45,8 @@
         this.settings = settings;
         this.log = log;
         this.engine = engine;
-        memberId = recovered.id();
-        clusterId = recovered.cluster();
+        memberId = recovered.memberId();
+        clusterId = recovered.clusterId();
     }
 
     /** Returns this member's id, drawn at random when its folder was created. */
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -115,7 +115,7 @@
         sessions = new ClientSessions(rules, machine);
         raft =
                 new RaftNode(
-                        disk.id(),
+                        disk.memberId(),
                         timing,
                         rules,
                         random,
--- a/src/main/java/rockshift/raft/Leadership.java
+++ b/src/main/java/rockshift/raft/Leadership.java
@@ -34,7 +34,7 @@
     private final CommitTracker commits;
     private final DurabilityTracker durability;
     private final Outbox outbox;
-    private final Consumer<String> logLines;
+    private final Consumer<String> operatorLog;
     private final Replication replication;
     private final QuorumReads reads;
     private final LeaderLease lease;
@@ -48,7 +48,7 @@
             CommitTracker commits,
             DurabilityTracker durability,
             Outbox outbox,
-            Consumer<String> logLines) {
+            Consumer<String> operatorLog) {
         this.id = id;
         this.timing = timing;
         this.rules = rules;
@@ -56,7 +56,7 @@
         this.commits = commits;
         this.durability = durability;
         this.outbox = outbox;
-        this.logLines = logLines;
+        this.operatorLog = operatorLog;
         replication = new Replication(id, timing, rules, log, commits, durability, outbox);
         reads = new QuorumReads(rules);
         lease = new LeaderLease(timing, rules);
@@ -127,11 +127,11 @@
      */
     boolean tick(long nowTicks) {
         if (!hasQuorumContact(nowTicks)) {
-            logLines.accept("no contact with a quorum: stepping down term=" + durability.term());
+            operatorLog.accept("no contact with a quorum: stepping down term=" + durability.term());
             return true;
         }
         if (transfer.hasExpired(nowTicks)) {
-            logLines.accept(
+            operatorLog.accept(
                     "leadership transfer timed out: remaining the leader target="
                             + log.membership().nameOf(transfer.target())
                             + " term="
@@ -246,7 +246,7 @@
 
     private void checkDriftAndConfirmReads(FollowerProgress follower) {
         if (lease.recordDrift(follower.clockDriftRatio())) {
-            logLines.accept(
+            operatorLog.accept(
                     "clock drift exceeds the limit: no lease reads in this term member="
                             + log.membership().nameOf(follower.id())
                             + " driftRatio="
@@ -284,7 +284,7 @@
             return Continuation.STAY_LEADER;
         }
         startRound(nowTicks);
-        logLines.accept(
+        operatorLog.accept(
                 "no longer a voter: stepping down term="
                         + durability.term()
                         + " membershipIndex="
@@ -332,7 +332,7 @@
             if (ready
                     && changeMembership(member.withRole(Member.Role.VOTER), false, nowTicks)
                             == null) {
-                logLines.accept(
+                operatorLog.accept(
                         "member has caught up: making it a voter member="
                                 + member.name()
                                 + " term="
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -67,7 +67,7 @@
     private final SnapshotReceiver snapshotReceiver;
 
     /** Log lines that have not been passed to the host yet. */
-    private final ArrayDeque<String> logLines = new ArrayDeque<>();
+    private final ArrayDeque<String> pendingLogLines = new ArrayDeque<>();
 
     private long nowTicks;
 
@@ -96,9 +96,11 @@
         outbox = new Outbox(durability);
         election = new Election(id, timing, rules, random, log, durability, outbox, nowTicks);
         leadership =
-                new Leadership(id, timing, rules, log, commits, durability, outbox, logLines::add);
+                new Leadership(
+                        id, timing, rules, log, commits, durability, outbox, pendingLogLines::add);
         appendReceiver = new AppendReceiver(rules, log, commits, durability, outbox);
-        snapshotReceiver = new SnapshotReceiver(log, commits, durability, outbox, logLines::add);
+        snapshotReceiver =
+                new SnapshotReceiver(log, commits, durability, outbox, pendingLogLines::add);
     }
 
     /** Returns the id of this member. */
@@ -216,7 +218,7 @@
      */
     public void diskStatusChanged(boolean works) {
         if (durability.diskWorks() != works) {
-            logLines.add(
+            pendingLogLines.add(
                     works
                             ? "disk writes work again: voting and acknowledging entries term="
                                     + term()
@@ -376,7 +378,8 @@
 
     private void recordLeader(long from) {
         if (election.recordLeader(from, nowTicks)) {
-            logLines.add("following leader=" + membership().nameOf(from) + " term=" + term());
+            pendingLogLines.add(
+                    "following leader=" + membership().nameOf(from) + " term=" + term());
         }
     }
 
@@ -390,7 +393,7 @@
 
     private void becomeLeader() {
         election.becomeLeader();
-        logLines.add(
+        pendingLogLines.add(
                 "leads in term="
                         + term()
                         + " lastIndex="
@@ -407,8 +410,8 @@
      */
     public boolean poll(RaftOutput output) {
         durability.updateDurableTermAndVote();
-        if (!logLines.isEmpty()) {
-            output.log(logLines.remove());
+        if (!pendingLogLines.isEmpty()) {
+            output.log(pendingLogLines.remove());
             return true;
         }
         return isLeader() && leadership.poll(nowTicks)
--- a/src/main/java/rockshift/raft/SnapshotReceiver.java
+++ b/src/main/java/rockshift/raft/SnapshotReceiver.java
@@ -17,7 +17,7 @@
     private final CommitTracker commits;
     private final DurabilityTracker durability;
     private final Outbox outbox;
-    private final Consumer<String> logLines;
+    private final Consumer<String> operatorLog;
 
     /** The first chunk of the snapshot being received, null if there is none. */
     private Message.SnapshotChunk firstChunk;
@@ -29,12 +29,12 @@
             CommitTracker commits,
             DurabilityTracker durability,
             Outbox outbox,
-            Consumer<String> logLines) {
+            Consumer<String> operatorLog) {
         this.log = log;
         this.commits = commits;
         this.durability = durability;
         this.outbox = outbox;
-        this.logLines = logLines;
+        this.operatorLog = operatorLog;
     }
 
     /** Handles a chunk from the leader of the current term. */
@@ -46,7 +46,7 @@
             return;
         }
         if (chunk.totalBytes() > MAX_SNAPSHOT_BYTES) {
-            logLines.accept(
+            operatorLog.accept(
                     "snapshot too large: ignoring it index="
                             + chunk.snapshotIndex()
                             + " bytes="
@@ -97,7 +97,7 @@
         firstChunk = null;
         receivedBytes = new ByteArrayOutputStream();
         if (Checksum.of(data) != chunk.checksum()) {
-            logLines.accept(
+            operatorLog.accept(
                     "snapshot checksum mismatch: requesting it again index="
                             + chunk.snapshotIndex()
                             + " leader="
@@ -109,7 +109,7 @@
                 new Snapshot(chunk.snapshotIndex(), chunk.snapshotTerm(), chunk.membership(), data);
         log.installSnapshot(snapshot);
         commits.snapshotInstalled(snapshot.index());
-        logLines.accept(
+        operatorLog.accept(
                 "snapshot received: replacing the log index="
                         + snapshot.index()
                         + " term="
--- a/src/main/java/rockshift/storage/DurableLog.java
+++ b/src/main/java/rockshift/storage/DurableLog.java
@@ -29,8 +29,8 @@
 
     /** The state recovered from a folder; {@code entries} are those after the snapshot. */
     public record Recovered(
-            long id,
-            long cluster,
+            long memberId,
+            long clusterId,
             TermAndVote termAndVote,
             Snapshot snapshot,
             List<Entry> entries) {}
@@ -44,13 +44,13 @@
     /**
      * Creates a log, which must be opened before any other call.
      *
-     * @param logLines receives log lines for operators
+     * @param operatorLog receives log lines for operators
      */
-    public DurableLog(Disk disk, Consumer<String> logLines) {
+    public DurableLog(Disk disk, Consumer<String> operatorLog) {
         this.disk = disk;
         identity = new IdentityFile(disk);
-        segments = new SegmentFiles(disk, logLines);
-        snapshots = new SnapshotFiles(disk, logLines);
+        segments = new SegmentFiles(disk, operatorLog);
+        snapshots = new SnapshotFiles(disk, operatorLog);
     }
 
     /**
--- a/src/main/java/rockshift/storage/SegmentFiles.java
+++ b/src/main/java/rockshift/storage/SegmentFiles.java
@@ -21,7 +21,7 @@
     private static final int HEX_RADIX = 16;
 
     private final Disk disk;
-    private final Consumer<String> logLines;
+    private final Consumer<String> operatorLog;
     private long memberId;
 
     /** The highest entry index in each segment, by segment number. */
@@ -33,9 +33,9 @@
     /** Whether a write failed, so that the last segment may contain more than the durable bytes. */
     private boolean hasTornTail;
 
-    SegmentFiles(Disk disk, Consumer<String> logLines) {
+    SegmentFiles(Disk disk, Consumer<String> operatorLog) {
         this.disk = disk;
-        this.logLines = logLines;
+        this.operatorLog = operatorLog;
     }
 
     private static String fileName(long number) {
@@ -127,7 +127,7 @@
                     name, offset, "damaged, although another segment follows: not a torn tail");
         }
         rejectIfDurable(name, bytes, offset);
-        logLines.accept(
+        operatorLog.accept(
                 "truncating the torn tail of an unfinished save file="
                         + name
                         + " offset="
--- a/src/main/java/rockshift/storage/SnapshotFiles.java
+++ b/src/main/java/rockshift/storage/SnapshotFiles.java
@@ -19,14 +19,14 @@
     private static final int MAX_SNAPSHOTS = 2;
 
     private final Disk disk;
-    private final Consumer<String> logLines;
+    private final Consumer<String> operatorLog;
 
     /** The indexes of the retained snapshots, ascending. */
     private final List<Long> indexes = new ArrayList<>();
 
-    SnapshotFiles(Disk disk, Consumer<String> logLines) {
+    SnapshotFiles(Disk disk, Consumer<String> operatorLog) {
         this.disk = disk;
-        this.logLines = logLines;
+        this.operatorLog = operatorLog;
     }
 
     /** Returns the file name of a snapshot. */
@@ -51,7 +51,7 @@
                 newest = newest == null ? snapshot : newest;
                 indexes.add(0, snapshot.index());
             } catch (CorruptRecordException corrupt) {
-                logLines.accept(
+                operatorLog.accept(
                         "snapshot damaged: setting it aside and using the previous one file="
                                 + name
                                 + " cause=\""
