--- a/src/main/java/rockshift/capacity/CapacityReport.java
+++ b/src/main/java/rockshift/capacity/CapacityReport.java
@@ -32,12 +32,12 @@
     /**
      * One figure projected to the target size.
      *
-     * @param what the name of the figure: role and unit
+     * @param name the name of the figure: role and unit
      * @param size the target size, in the unit of the fit
-     * @param line the fit of the measurements
+     * @param fit the fit of the measurements
      * @param budget the maximum value, or NaN if there is none
      */
-    public record Projection(String what, double size, SlopeFit line, double budget) {
+    public record Projection(String name, double size, SlopeFit fit, double budget) {
         /** Whether there is a budget. */
         public boolean budgeted() {
             return !Double.isNaN(budget);
@@ -45,17 +45,17 @@
 
         /** The projected value as a multiple of the budget. */
         public double factor() {
-            return line.at(size).value() / budget;
+            return fit.at(size).value() / budget;
         }
 
         /** A row of a Markdown table. */
         public String row() {
-            SlopeFit.Estimate at = line.at(size);
+            SlopeFit.Estimate at = fit.at(size);
             return String.format(
                     Locale.ROOT,
                     "| %s | %s (%s to %s)%s | %s | %s + %s each (%s to %s), "
                             + "%d runs from %.0f to %.0f, r2 %.2f |",
-                    what,
+                    name,
                     format(at.value()),
                     format(at.low()),
                     format(at.high()),
@@ -63,14 +63,14 @@
                             ? " **far: " + format(at.reach()) + " times what was measured**"
                             : "",
                     budgeted() ? verdict() : "",
-                    format(line.intercept()),
-                    format(line.slope()),
-                    format(line.slopeLow()),
-                    format(line.slopeHigh()),
-                    line.points(),
-                    line.least(),
-                    line.most(),
-                    line.determination());
+                    format(fit.intercept()),
+                    format(fit.slope()),
+                    format(fit.slopeLow()),
+                    format(fit.slopeHigh()),
+                    fit.points(),
+                    fit.least(),
+                    fit.most(),
+                    fit.determination());
         }
 
         private String verdict() {
@@ -212,7 +212,7 @@
                             if (selected.contains(figure)) {
                                 projections.add(
                                         new Projection(
-                                                role + ": " + figure.unit(),
+                                                role + ": " + figure.description(),
                                                 targetSize,
                                                 line,
                                                 budget(figure)));
--- a/src/main/java/rockshift/capacity/ControllerSweep.java
+++ b/src/main/java/rockshift/capacity/ControllerSweep.java
@@ -37,17 +37,17 @@
         HEAP("MB of heap after a collection", ControllerSample::heapMegabytes),
         TABLES("s until all proxies have tables", ControllerSample::tablesSeconds);
 
-        private final String unit;
+        private final String description;
         private final ToDoubleFunction<ControllerSample> of;
 
-        Figure(String unit, ToDoubleFunction<ControllerSample> of) {
-            this.unit = unit;
+        Figure(String description, ToDoubleFunction<ControllerSample> of) {
+            this.description = description;
             this.of = of;
         }
 
         /** The description of the figure, with its unit. */
-        public String unit() {
-            return unit;
+        public String description() {
+            return description;
         }
 
         /** The value of the figure in one run. */
--- a/src/main/java/rockshift/cli/ScaleCapacityCommand.java
+++ b/src/main/java/rockshift/cli/ScaleCapacityCommand.java
@@ -37,7 +37,7 @@
         Map<String, Double> factors = new LinkedHashMap<>();
         projections.stream()
                 .filter(CapacityReport.Projection::budgeted)
-                .forEach(projection -> factors.put(projection.what(), projection.factor()));
+                .forEach(projection -> factors.put(projection.name(), projection.factor()));
         table(projections.stream().filter(CapacityReport.Projection::budgeted).toList());
         table(projections.stream().filter(projection -> !projection.budgeted()).toList());
         MeasurementCharts.drawBudgetFactors(
--- a/src/main/java/rockshift/cli/ScaleControllerCommand.java
+++ b/src/main/java/rockshift/cli/ScaleControllerCommand.java
@@ -149,7 +149,7 @@
             Map<ControllerSweep.Figure, SlopeFit> fits) {
         PrintWriter out = spec.commandLine().getOut();
         for (ControllerSweep.Figure figure : ControllerSweep.Figure.values()) {
-            out.println(figure.unit());
+            out.println(figure.description());
             sweep.spreads(figure)
                     .forEach(
                             (shape, spread) ->
