--- a/src/main/java/rockshift/cli/DistributionChangesSource.java
+++ b/src/main/java/rockshift/cli/DistributionChangesSource.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void begin(AgreedChangesReceiver into) throws IOException, InterruptedException {
+    public void start(AgreedChangesReceiver into) throws IOException, InterruptedException {
         receiver = into;
         reactor = new DistributionReactor();
         client =
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void end() throws InterruptedException {
+    public void stop() throws InterruptedException {
         if (client != null) {
             client.close();
             reactor.close();
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void freshAgain(long afterMillis) {
-        LOG.info("agreed state up to date again revision={} afterMillis={}", revision, afterMillis);
+    public void upToDate(long staleMillis) {
+        LOG.info("agreed state up to date again revision={} afterMillis={}", revision, staleMillis);
     }
 }
