--- a/src/main/java/rockshift/planner/ChannelPacer.java
+++ b/src/main/java/rockshift/planner/ChannelPacer.java
@@ -14,7 +14,7 @@
  *
  * <p>Inputs: entries posted for each proxy, acknowledgements, and time in ticks. The queue length
  * is the maximum of two estimates: what the channel has not carried yet at its usual rate, and what
- * no proxy has acknowledged, less what is in transit.
+ * was written since the newest message that any proxy acknowledged, less what is in transit.
  *
  * <p>Guards against a drain that waits behind deferrable entries until its grace is over, and
  * against messages above a proxy's quota, which are dropped. The symptom is late drains with
@@ -82,7 +82,7 @@
         entriesPerTick = settings.channelEntriesPerSecond() / Ticks.TICKS_PER_SECOND;
         queueLimitEntries = settings.channelQueueLimitEntries();
         drainGraceTicks = settings.drainGraceTicks();
-        messageQuota = turnQuota(settings);
+        messageQuota = quotaWithoutExtraMessages(settings);
         quotaWindowTicks = settings.messageQuotaWindowTicks();
         transitTicks = settings.transitTicks();
         this.proxies = proxies;
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Returns the number of turns in which a proxy may be sent something, as one turn may take
-     * several messages; 0 if there is no quota.
+     * Returns the number of messages in the quota window from which a proxy is sent no more: the
+     * quota less the extra messages that one turn may take; 0 if there is no quota.
      */
-    private static double turnQuota(PlannerSettings settings) {
+    private static double quotaWithoutExtraMessages(PlannerSettings settings) {
         int classCount = settings.sharded() ? 0 : settings.classes().size();
         int extraMessages = Math.max(0, classCount - 1) / ProxyCommands.MAX_PARTS_PER_MESSAGE;
         double quota = settings.messageQuota();
@@ -134,8 +134,8 @@
     }
 
     /**
-     * Returns the queue length up to which deferrable entries may be added; one message to each
-     * proxy may always be sent.
+     * Returns the queue length up to which deferrable entries may be added: at least one message to
+     * each proxy, unless that exceeds {@link #deferrableQueueLimit}.
      */
     double deferrableBacklog() {
         double usual =
@@ -145,12 +145,12 @@
         return Math.min(deferrableQueueLimit(), usual);
     }
 
-    /** Maximum queue length with deferrable entries added. */
+    /** Maximum queue length after deferrable entries were added. */
     double deferrableQueueLimit() {
         return queueLimitEntries * DEFERRABLE_QUEUE_FRACTION;
     }
 
-    /** Maximum queue length with priority entries added. */
+    /** Maximum queue length after priority entries were added. */
     double priorityQueueLimit() {
         return queueLimitEntries * PRIORITY_QUEUE_FRACTION;
     }
@@ -172,7 +172,7 @@
         return messageOverheadEntries + 2;
     }
 
-    /** Whether a proxy has been sent a fraction of its message quota. */
+    /** Whether a proxy has been sent at least a fraction of its message quota. */
     boolean isQuotaSpent(Proxy proxy, double fraction) {
         return messageQuota > 0 && proxy.sendState().messageCount() >= messageQuota * fraction;
     }
--- a/src/main/java/rockshift/planner/Planner.java
+++ b/src/main/java/rockshift/planner/Planner.java
@@ -124,7 +124,8 @@
      * Applies drains and settings that operators agreed on. Ignores a version that is not newer
      * than the last one.
      *
-     * @param drains by replica, the last start time in ticks that its drain applies to
+     * @param drains by replica, the latest start time, in ticks, of a process that its drain
+     *     applies to
      */
     public void applyAgreedChanges(
             long now, long version, Map<Long, Long> drains, SettingOverrides overrides) {
@@ -146,7 +147,7 @@
     }
 
     /**
-     * Adds a proxy whose stream came up; the proxy keeps the tables that it had.
+     * Adds a proxy whose stream came up. Until it is bound, it uses the tables that it had.
      *
      * @param baselineRate usual rate of the proxy, in transactions per second
      */
@@ -217,7 +218,8 @@
     /**
      * Performs the first of these steps that has something to do: assign joined proxies to groups;
      * arm the timer; write one log line; run a planning round; end one ejection; send or withdraw
-     * drain notices; bind one proxy; replace the tables of one proxy; close the turn's messages.
+     * drain notices; bind one waiting proxy; replace the provisional table of one proxy; close the
+     * turn's messages.
      *
      * @return whether a step was performed
      */
--- a/src/main/java/rockshift/planner/ProxySendState.java
+++ b/src/main/java/rockshift/planner/ProxySendState.java
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Returns when the newest message that the proxy acknowledged was written. */
+    /** Returns the write time of the newest acknowledged message; 0 if there is none. */
     long acknowledgedWriteTicks() {
         return acknowledgedWriteTicks;
     }
--- a/src/main/java/rockshift/planner/ReplicaSubsetter.java
+++ b/src/main/java/rockshift/planner/ReplicaSubsetter.java
@@ -19,11 +19,11 @@
  *
  * <p>Guards against tables that the channel cannot carry in time, and against entries whose
  * connections close idle between two transactions. The symptom is late drains, and at proxies a new
- * connection for nearly every transaction. The guard holds because a table is no longer than both
- * allow, each replica is in several tables so that load can shift, and a group grows while its
- * demand is near its open capacity. Assignments are kept, and the choice is the same at every
- * controller and after a restart, so that a proxy that changes its controller finds its replicas
- * again.
+ * connection for nearly every transaction. The guard holds because a table is no longer than the
+ * channel and the idle timeout allow, each replica is in several tables so that load can shift, and
+ * a group grows while its demand is near its open capacity. Assignments are kept, and the choice is
+ * the same at every controller and after a restart, so that a proxy that changes its controller
+ * finds its replicas again.
  */
 final class ReplicaSubsetter {
     /** Transactions that an entry should get within the timeout of an idle connection. */
@@ -83,7 +83,8 @@
     /**
      * Assigns a proxy to its group, if there are groups.
      *
-     * @return whether a planning round must come first, as the group's tables are not up to date
+     * @return whether the proxy needs a planning round before it can be bound, as the group's
+     *     tables are not up to date
      */
     boolean assignToGroup(Proxy proxy) {
         int groupsPerZone = groups.size() / zones.size();
@@ -117,22 +118,22 @@
      * of all proxies.
      */
     private double affordableEntries(Collection<Proxy> proxies) {
-        double baselineRatePerSecond =
+        double meanProxyRatePerSecond =
                 proxies.stream()
                                 .flatMap(proxy -> proxy.demands().stream())
                                 .mapToDouble(ClassDemand::ratePerSecond)
                                 .sum()
                         / proxies.size();
         double entriesKeptOpen =
-                baselineRatePerSecond
+                meanProxyRatePerSecond
                         * settings.idleCloseTicks()
                         / Ticks.TICKS_PER_SECOND
                         / TRANSACTIONS_PER_IDLE_TIMEOUT;
         double allProxies = Math.max(proxies.size(), settings.expectedProxies());
-        double perProxy =
+        double queueEntriesPerProxy =
                 settings.channelQueueLimitEntries() * settings.controllerCount() / allProxies;
         double entriesCarried =
-                (perProxy - settings.messageOverheadEntries()) / classCount
+                (queueEntriesPerProxy - settings.messageOverheadEntries()) / classCount
                         - ProxyGroup.ENTRIES_PER_BINDING;
         return Math.min(entriesKeptOpen, entriesCarried);
     }
@@ -255,7 +256,7 @@
         }
     }
 
-    /** Returns a pseudo-random order that depends only on the group and the replica. */
+    /** Returns a pseudo-random sort key that depends only on the group and the replica. */
     private static long tieBreaker(ProxyGroup group, Replica replica) {
         return new SplittableRandom(replica.id() * Short.MAX_VALUE + group.number()).nextLong();
     }
--- a/src/main/java/rockshift/planner/TargetWeights.java
+++ b/src/main/java/rockshift/planner/TargetWeights.java
@@ -7,16 +7,16 @@
 /**
  * Computes the target of each table entry, as a fraction of its table, from the solver's rates.
  *
- * <p>Inputs: the link copies of a table's routes, capacities as shares of the fleet, and the rates
- * of the busiest proxies in transactions per second. Started replicas get their fraction of the
- * rates, and at least a floor; slow-starting replicas are limited.
+ * <p>Inputs: the solver's rates (the link copies of a table's routes), capacities as shares of the
+ * fleet, and the rates of the busiest proxies in transactions per second. Started replicas get
+ * their fraction of the rates, and at least a floor; slow-starting replicas are limited.
  *
  * <p>Guards against a slow-starting replica that gets the traffic of others: proxies skip entries
  * where attempts failed, and the rest of the table takes over their part. In a short table all
  * started entries may be skipped. The symptom is failures at replicas that have just started, while
  * one proxy is busy. The guard holds because no table gives slow-starting replicas more than a
- * bounded multiple of their part of the fleet, and no table through which one proxy alone could
- * overload such a replica has an entry for it.
+ * bounded multiple of their part of the fleet, and no table that has started entries has an entry
+ * through which one proxy alone could overload such a replica.
  */
 final class TargetWeights {
     /**
@@ -37,7 +37,7 @@
      */
     private static final double MAX_PROXY_RATE_RATIO = 40;
 
-    /** Passes that redistribute the weight that slow-starting entries give up. */
+    /** Passes that adapt slow-starting entries to the sum of the table, which depends on them. */
     private static final int REBALANCE_PASSES = 5;
 
     /**
@@ -173,7 +173,8 @@
 
     /**
      * Returns the share of a slow-starting entry: 0 if one proxy could overload the replica through
-     * it, else limited by the replica's share of the open capacity.
+     * it and the table has started entries, else limited by the replica's share of the open
+     * capacity.
      */
     private static double slowStartingTarget(
             Route route,
