--- a/src/main/java/rockshift/raft/Leadership.java
+++ b/src/main/java/rockshift/raft/Leadership.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Advances the time: sends a heartbeat if one is due, ends an expired transfer, hands over if
-     * the disk has failed, and makes a member that has caught up a voter.
+     * Advances the time: ends an expired transfer, sends a heartbeat if one is due, transfers
+     * leadership if the disk has failed, and promotes a caught-up joining member to voter.
      *
      * @return whether the leader must step down because no quorum responds
      */
@@ -224,7 +224,7 @@
             if (advanceCommitIndex(nowTicks) == Continuation.STEP_DOWN) {
                 return Continuation.STEP_DOWN;
             }
-            completeTransferTo(follower);
+            sendTimeoutNowIfReady(follower);
         } else {
             replication.handleRejection(follower, response);
         }
@@ -355,7 +355,7 @@
         }
         if (target != id) {
             transfer.start(target, nowTicks + timing.electionTimeoutTicks());
-            completeTransferTo(replication.follower(target));
+            sendTimeoutNowIfReady(replication.follower(target));
         }
         return null;
     }
@@ -370,8 +370,8 @@
         }
     }
 
-    /** Tells the target of a transfer to campaign once it has the whole log. */
-    private void completeTransferTo(FollowerProgress follower) {
+    /** Tells a follower to campaign if it is the target of a transfer and has the whole log. */
+    private void sendTimeoutNowIfReady(FollowerProgress follower) {
         if (transfer.isTo(follower.id()) && follower.matchIndex() == log.lastIndex()) {
             outbox.send(new Message.TimeoutNow(id, follower.id(), durability.term()));
         }
--- a/src/main/java/rockshift/raft/RaftNode.java
+++ b/src/main/java/rockshift/raft/RaftNode.java
@@ -15,8 +15,8 @@
  * that safety depends on are in {@link SafetyRules}; docs/raft.md describes the protocol.
  *
  * <p>Times are in ticks of 100 us on the host's monotonic clock. The host must pass the current
- * time before any other input, so that a member that was suspended detects this first. A member
- * must be used by a single thread.
+ * time before any other input, so that after a suspension the member first acts on the elapsed
+ * time, for example steps down. A member must be used by a single thread.
  */
 public final class RaftNode {
     /** Maximum size of a change. */
@@ -211,8 +211,8 @@
     }
 
     /**
-     * Reports whether the disk accepts writes. If it does not, the member continues to serve, but
-     * neither leads nor campaigns.
+     * Reports whether the disk accepts writes. If it does not, the member neither campaigns nor
+     * grants votes; a leader rejects changes and transfers its leadership.
      */
     public void diskStatusChanged(boolean works) {
         if (durability.diskWorks() != works) {
