--- a/src/main/java/rockshift/cluster/ClusterMember.java
+++ b/src/main/java/rockshift/cluster/ClusterMember.java
@@ -53,7 +53,7 @@
     private final ClusterBootstrap bootstrap;
     private final MemberDirectory directory;
     private final MemberHello hello;
-    private final QuorumContactReporter quorum;
+    private final QuorumContactReporter quorumReporter;
     private final AppliedChanges appliedChanges;
     private final CommandService commands;
     private final Thread thread = new Thread(this::run, "agreement");
@@ -97,7 +97,7 @@
         diskWriter = new DiskWriter(settings.folder(), inputs, engine::diskStatusChanged);
         directory = new MemberDirectory(settings, bootstrap.memberId(), engine.raft());
         hello = new MemberHello(bootstrap.memberId(), settings.name());
-        quorum = new QuorumContactReporter(settings, controller, directory);
+        quorumReporter = new QuorumContactReporter(settings, controller, directory);
         appliedChanges = new AppliedChanges(agreed, controller, distribution);
         commands = newCommandService(controller);
         updateHello();
@@ -124,7 +124,7 @@
                         agreed,
                         bootstrap,
                         directory,
-                        quorum,
+                        quorumReporter,
                         diskWriter,
                         distribution);
         return new CommandService(
@@ -182,7 +182,7 @@
     private void run() {
         List<Runnable> batch = new ArrayList<>();
         if (!bootstrap.isPartOfCluster()) {
-            tryJoinOrFound(null);
+            tryJoinOrFoundCluster(null);
         }
         while (!closed) {
             try {
@@ -192,7 +192,7 @@
             } catch (RuntimeException failure) {
                 // The state in memory may be wrong now; a restart recovers it from the disk.
                 LOG.error("member stopped after a failure, restart this controller", failure);
-                quorum.stopped();
+                quorumReporter.stopped();
                 return;
             }
         }
@@ -225,7 +225,7 @@
             updateHello();
             connections.sendHello();
         }
-        quorum.update(engine.raft());
+        quorumReporter.update(engine.raft());
         connections.update(
                 directory.otherAddresses(bootstrap.isPartOfCluster()),
                 System.nanoTime() / NANOS_PER_MILLI);
@@ -237,7 +237,7 @@
         directory.invalidate();
     }
 
-    private void tryJoinOrFound(Hello other) {
+    private void tryJoinOrFoundCluster(Hello other) {
         bootstrap.tryJoinOrFound(other);
         if (bootstrap.isPartOfCluster()) {
             updateHello();
@@ -251,7 +251,7 @@
             directory.membershipReceived(other.members());
         }
         if (!bootstrap.isPartOfCluster()) {
-            tryJoinOrFound(other);
+            tryJoinOrFoundCluster(other);
         }
     }
 
@@ -302,12 +302,12 @@
         @Override
         public void save(
                 long writeNumber,
-                TermAndVote vote,
-                long from,
+                TermAndVote termAndVote,
+                long firstIndex,
                 List<Entry> entries,
                 Snapshot snapshot) {
             diskWriter.submit(
-                    () -> log.save(vote, entries, snapshot),
+                    () -> log.save(termAndVote, entries, snapshot),
                     () -> engine.writeCompleted(writeNumber));
         }
 
--- a/src/main/java/rockshift/cluster/Engine.java
+++ b/src/main/java/rockshift/cluster/Engine.java
@@ -34,13 +34,13 @@
         void send(Message message);
 
         /**
-         * Writes to disk asynchronously, and calls {@link Engine#writeCompleted} once it is
-         * durable.
+         * Writes to disk asynchronously, see {@link RaftOutput#persist}, and calls {@link
+         * Engine#writeCompleted} once it is durable.
          */
         void save(
                 long writeNumber,
-                TermAndVote vote,
-                long from,
+                TermAndVote termAndVote,
+                long firstIndex,
                 List<Entry> entries,
                 Snapshot snapshot);
 
@@ -291,8 +291,12 @@
 
     @Override
     public void persist(
-            long writeNumber, TermAndVote vote, long from, List<Entry> entries, Snapshot snapshot) {
-        environment.save(writeNumber, vote, from, entries, snapshot);
+            long writeNumber,
+            TermAndVote termAndVote,
+            long firstIndex,
+            List<Entry> entries,
+            Snapshot snapshot) {
+        environment.save(writeNumber, termAndVote, firstIndex, entries, snapshot);
     }
 
     @Override
@@ -306,10 +310,10 @@
         pending.applied(
                 entry.index(),
                 entry.term(),
-                (request, same) ->
+                (request, sameEntry) ->
                         environment.answer(
                                 request,
-                                same
+                                sameEntry
                                         ? answer(entry, outcome)
                                         : Answer.refused(Answer.UNKNOWN, null)));
         environment.applied(entry, outcome);
