--- a/src/main/java/rockshift/cli/ScaleControllerCommand.java
+++ b/src/main/java/rockshift/cli/ScaleControllerCommand.java
@@ -100,7 +100,7 @@
     @Option(
             names = "--out",
             paramLabel = "FOLDER",
-            description = "folder for the tables, which are appended to, and the chart")
+            description = "folder for the chart and the CSV files, which are appended to")
     private Path outputFolder;
 
     @Override
--- a/src/main/java/rockshift/config/LineScanner.java
+++ b/src/main/java/rockshift/config/LineScanner.java
@@ -5,8 +5,8 @@
 
 /**
  * Records the line of each field and block in a text, and rejects errors that the HCL parser
- * silently accepts: unclosed blocks and strings, and missing values. It recognizes words, strings,
- * comments and brackets only.
+ * silently accepts: unclosed blocks and strings, and missing values. Also rejects duplicate blocks
+ * and unexpected closing braces. It recognizes words, strings, comments and brackets only.
  */
 final class LineScanner {
     private final String file;
@@ -40,7 +40,7 @@
         while (position < text.length()) {
             position = scanAt(position);
         }
-        checkValue();
+        requireValue();
         if (!blocks.isEmpty()) {
             throw new InvalidFileException(
                     file,
@@ -50,15 +50,15 @@
         }
     }
 
-    /** Scans the token at a position; returns the position of the next one. */
+    /** Scans a token, or one character of a word; returns the position after it. */
     private int scanAt(int position) throws InvalidFileException {
         char next = text.charAt(position);
-        if (isComment(position)) {
+        if (startsComment(position)) {
             return endOfLine(position);
         } else if (next == '"') {
             return scanString(position);
         } else if (next == '\n') {
-            endLine();
+            scanNewline();
         } else if (next == '=' && !inValue) {
             beginValue();
         } else if (next == '[' || next == ']') {
@@ -69,12 +69,12 @@
         } else if (next == '}') {
             closeBlock();
         } else if (!Character.isWhitespace(next)) {
-            scanWord(position);
+            scanWordCharacter(position);
         }
         return position + 1;
     }
 
-    private boolean isComment(int position) {
+    private boolean startsComment(int position) {
         return text.charAt(position) == '#' || text.startsWith("//", position);
     }
 
@@ -90,8 +90,8 @@
         return end + 1;
     }
 
-    private void endLine() throws InvalidFileException {
-        checkValue();
+    private void scanNewline() throws InvalidFileException {
+        requireValue();
         if (openBrackets == 0) {
             inValue = false;
             name.setLength(0);
@@ -127,7 +127,7 @@
         name.setLength(0);
     }
 
-    private void scanWord(int position) {
+    private void scanWordCharacter(int position) {
         valueMissing = false;
         if (!inValue) {
             boolean startsWord =
@@ -136,7 +136,7 @@
         }
     }
 
-    private void checkValue() throws InvalidFileException {
+    private void requireValue() throws InvalidFileException {
         if (inValue && valueMissing) {
             throw new InvalidFileException(file, valueLine, path(), "expected a value after '='");
         }
--- a/src/main/java/rockshift/distribution/UpstreamRotation.java
+++ b/src/main/java/rockshift/distribution/UpstreamRotation.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Selects the upstream that a subscriber connects to, and when: after each failure the next one in
- * turn, with a backoff; when upstreams are out of date, each of them once. Confined to the
- * subscriber's thread.
+ * Selects the upstream that a subscriber connects to, and when. After a failure, it selects the
+ * next one in turn, with a backoff. An upstream with stale state is left as well, unless all of
+ * them are stale. Confined to the subscriber's thread.
  */
 final class UpstreamRotation {
     private final int upstreams;
@@ -49,7 +49,10 @@
         selectNext();
     }
 
-    /** Handles a rejection by the upstream, which may carry a time to retry after. */
+    /**
+     * Handles a rejection by the upstream, which may carry a time to retry after. Only a busy
+     * upstream is tried again.
+     */
     void rejected(DistributionMessage.Rejected rejected, long nowMillis) {
         long backoffMillis = backoff.nextMillis();
         long retryAfterMillis =
