--- a/src/main/java/rockshift/server/DiscoveryWatch.java
+++ b/src/main/java/rockshift/server/DiscoveryWatch.java
@@ -21,15 +21,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
 
     /**
-     * How long discovery may hold a watch. A silent connection is detected only after that time,
-     * during which the grace of draining replicas runs; this is a third of the usual grace.
+     * How long discovery may hold a request until the list changes. A silent connection is detected
+     * only after that time, during which the grace period of draining replicas runs; this is a
+     * third of the usual one.
      */
     private static final int WATCH_MS = 1_000;
 
     /**
-     * Initial timeout of connecting, and of an answer beyond the time that it is held. The agent is
-     * on this machine and answers at once. The timeout doubles with each failure, since a busy core
-     * may be the cause, up to the maximum that the protocol allows.
+     * Initial timeout for connecting, and for an answer after the time that discovery may hold it.
+     * Discovery's agent is on this machine and answers at once. The timeout doubles with each
+     * failure, since a busy core may be the cause, up to the maximum that the protocol allows.
      */
     private static final int MIN_TIMEOUT_MS = 500;
 
@@ -53,7 +54,7 @@
 
     /**
      * The address to watch, published to the watch's thread. The thread reads it after each call,
-     * because an interrupt only speeds it up and may be swallowed by code that it calls.
+     * because an interrupt may be swallowed by code that it calls; it only ends a call early.
      */
     private volatile HttpHost target;
 
--- a/src/main/java/rockshift/server/EventLoop.java
+++ b/src/main/java/rockshift/server/EventLoop.java
@@ -17,23 +17,23 @@
  * applies the queued events, lets the planner decide until it has nothing left to decide, and sends
  * the resulting messages.
  *
- * <p>Any thread may call {@link #offer}, {@link #submit}, {@link #now} and {@link #close};
- * everything else belongs to the thread that runs the loop. The loop never waits for a socket, and
- * the failure of an event does not end it.
+ * <p>Any thread may call {@link #offer}, {@link #submit}, {@link #submitEndpoints}, {@link
+ * #setEndpointListener}, {@link #now} and {@link #close}; everything else belongs to the thread
+ * that runs the loop. The loop never waits for a socket, and the failure of an event does not end
+ * it.
  */
 final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     /**
-     * Queue length, in events of some 100 bytes each, from which on the connection of a peer with
-     * too many queued events is closed. The events that arrive during a long pause of the process
-     * stay below it.
+     * Number of queued events, of about 100 bytes each, from which on peers must keep to their
+     * quota. The events that arrive during a long pause of the process stay below it.
      */
     static final int QUEUE_CAPACITY = 20_000;
 
     /**
-     * Number of events that each peer may have in a full queue. Those of all peers together take
-     * less than a third of the heap.
+     * Number of events that each peer may have in a full queue, or its connection is closed. Those
+     * of all peers together take less than a third of the heap.
      */
     private static final int PER_PEER_QUEUE_QUOTA = 200;
 
@@ -47,7 +47,7 @@
      */
     private record QueuedEvent(PlannerEvent event, AtomicInteger pending) {}
 
-    /** Bounded by {@link #offer}; the callers of {@link #submit} bound what they add. */
+    /** {@link #offer} bounds what a peer adds; the callers of {@link #submit} bound the rest. */
     private final LinkedBlockingQueue<QueuedEvent> queue = new LinkedBlockingQueue<>();
 
     private final long startedTicks = System.currentTimeMillis() * Ticks.TICKS_PER_MILLI;
@@ -155,13 +155,13 @@
     long turn() {
         queue.drainTo(inputs);
         long now = now();
-        inputs.forEach(input -> guarded(() -> apply(now, input)));
+        inputs.forEach(input -> runAndLogFailure(() -> apply(now, input)));
         inputs.clear();
         if (now >= wakeAtTicks) {
             wakeAtTicks = Long.MAX_VALUE;
-            guarded(() -> planner.timerFired(now));
+            runAndLogFailure(() -> planner.timerFired(now));
         }
-        guarded(this::decide);
+        runAndLogFailure(this::decide);
         return now;
     }
 
@@ -182,7 +182,7 @@
         }
     }
 
-    private static void guarded(Runnable step) {
+    private static void runAndLogFailure(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException failure) {
--- a/src/main/java/rockshift/server/ProxyConnection.java
+++ b/src/main/java/rockshift/server/ProxyConnection.java
@@ -27,8 +27,8 @@
     static final int IDENTIFY_TIMEOUT_MS = 1_500;
 
     /**
-     * The same if connections are scarce, as peers send their first message when they connect. It
-     * is also the interval at which a silent connection is checked.
+     * The same if the connection limit is reached: peers send their first message when they
+     * connect. It is also the interval at which a silent connection is checked.
      */
     static final int CROWDED_IDENTIFY_TIMEOUT_MS = 300;
 
@@ -37,7 +37,7 @@
      */
     private static final int MAX_UNSENT_BYTES = 128 << 10;
 
-    /** The same for answers to pings, of which a peer can cause any number. */
+    /** The limit for answers to pings, lower because a peer can cause any number of them. */
     private static final int MAX_UNSENT_PONG_BYTES = 2 << 10;
 
     private static final byte[] PONG = RespCodec.message(List.of(RespCodec.PONG));
@@ -208,9 +208,9 @@
     }
 
     /**
-     * Queues a message. No message stays in the buffer if the connection is closed concurrently:
-     * whichever of adding the message and closing comes second sees the other and clears the
-     * buffer.
+     * Queues a message. No message stays in the buffer if the connection is closed concurrently: if
+     * the message is added after the close, this method clears the buffer, otherwise {@link
+     * #disconnected} does.
      */
     private void send(byte[] message, int limitBytes) {
         if (!sendBuffer.offer(message, limitBytes)) {
--- a/src/main/java/rockshift/server/PublishedTables.java
+++ b/src/main/java/rockshift/server/PublishedTables.java
@@ -19,8 +19,8 @@
 /**
  * Executes the planner's commands. It keeps the state of all tables, levels, bindings and
  * exclusions, and sends each joined proxy the changes of a turn, in one message or as few as the
- * protocol allows. It reports to the planner every entry that it adds, because the planner counts
- * the entries that the channel carries. Used only by the event loop's thread.
+ * protocol allows. Commands return how many entries they put into messages, because the planner
+ * counts the entries that the channel carries. Used only by the event loop's thread.
  */
 final class PublishedTables implements ProxyCommands {
     private static final Logger LOG = LoggerFactory.getLogger(PublishedTables.class);
@@ -49,12 +49,13 @@
     }
 
     /**
-     * Records the names of listed replicas. Called before the planner can issue commands for them.
+     * Records the names of listed replicas, and whether they may have been excluded. Called before
+     * the planner can issue commands for them.
      */
-    void endpointsListed(List<Endpoint> entries, boolean changes, Map<Long, String> names) {
-        for (Endpoint entry : entries) {
-            boolean knownBefore = !changes || encoder.knowsReplica(entry.replicaId());
-            exclusions.endpointListed(entry, knownBefore);
+    void endpointsListed(List<Endpoint> endpoints, boolean changesOnly, Map<Long, String> names) {
+        for (Endpoint endpoint : endpoints) {
+            boolean knownBefore = !changesOnly || encoder.knowsReplica(endpoint.replicaId());
+            exclusions.endpointListed(endpoint, knownBefore);
         }
         exclusions.limitTracking();
         names.forEach(encoder::putReplicaName);
@@ -96,7 +97,7 @@
         boolean announced = false;
         for (JoinedProxy proxy : proxies.values()) {
             if (added && proxy.isBoundTo(table)) {
-                announced |= announceExclusion(proxy, replica);
+                announced |= announceIfMayBeExcluded(proxy, replica);
             }
         }
         return announced ? 2 : 1;
@@ -116,15 +117,15 @@
         joined.bind(table, classes);
         int announced = 0;
         for (long replica : table(table).replicas()) {
-            announced += announceExclusion(joined, replica) ? 1 : 0;
+            announced += announceIfMayBeExcluded(joined, replica) ? 1 : 0;
         }
         return announced;
     }
 
     /**
-     * Announces to a proxy whether it may send to a replica, if its own state may be the opposite.
+     * Announces to a proxy whether it may send to a replica, if the proxy may assume the opposite.
      */
-    private boolean announceExclusion(JoinedProxy proxy, long replica) {
+    private boolean announceIfMayBeExcluded(JoinedProxy proxy, long replica) {
         return exclusions.mayBeExcluded(replica)
                 && proxy.announceExclusion(replica, exclusions.isExcluded(replica));
     }
@@ -153,9 +154,7 @@
         waker.accept(delayTicks);
     }
 
-    /**
-     * A proxy that still excludes the replica is sent its readmission once a table has it again.
-     */
+    /** A proxy that still excludes the replica is told to readmit it once a table has it again. */
     @Override
     public void forgetReplica(long replica) {
         encoder.forgetReplicaName(replica);
--- a/src/main/java/rockshift/server/RespCodec.java
+++ b/src/main/java/rockshift/server/RespCodec.java
@@ -19,10 +19,10 @@
     /** The longest message that the protocol allows. */
     static final int MAX_MESSAGE_BYTES = 1 << 20;
 
-    /** Buffer size of a quiet connection; most messages fit. */
+    /** Initial size of the buffer; most messages fit. */
     static final int INITIAL_BUFFER_BYTES = 1 << 11;
 
-    /** Length of the array of bounds of a quiet connection, for 32 strings. */
+    /** Initial length of the array of bounds, for 32 strings. */
     private static final int INITIAL_BOUNDS = 64;
 
     /** The largest number that is accepted, far above any real rate, time in ms or count. */
@@ -111,7 +111,7 @@
         messageStart = 0;
     }
 
-    /** Returns the bytes held in excess of those of a quiet connection. */
+    /** Returns by how many bytes the buffers exceed their initial size. */
     int excessBytes() {
         return buffer.length
                 - INITIAL_BUFFER_BYTES
