--- a/src/main/java/rockshift/capacity/ControllerCheck.java
+++ b/src/main/java/rockshift/capacity/ControllerCheck.java
@@ -32,10 +32,10 @@
     private long healedAtMillis = Long.MIN_VALUE;
 
     /**
-     * The last revision in scope from before the partition ended; 0 once the controller has it, or
-     * if no partition has ended.
+     * The revision that the controller must reach after a partition: the last in scope from before
+     * it ended. 0 once the controller has it, or if no partition has ended.
      */
-    private long missingAfterHeal;
+    private long dueAfterHeal;
 
     ControllerCheck(String name, CommittedChanges committed, ScaleFindings findings) {
         this.name = name;
@@ -58,7 +58,7 @@
             handleStarted(start);
         } else if (observation instanceof Observation.Ended) {
             running = false;
-            missingAfterHeal = 0;
+            dueAfterHeal = 0;
         } else if (observation instanceof Observation.SnapshotTaken snapshot) {
             checkSnapshot(snapshot);
         } else if (observation instanceof Observation.DifferenceTaken difference) {
@@ -74,7 +74,7 @@
         } else if (observation instanceof Observation.Healed healed) {
             partitioned = false;
             healedAtMillis = healed.atMillis();
-            missingAfterHeal = committed.newestBefore(healedAtMillis, scope);
+            dueAfterHeal = committed.newestBefore(healedAtMillis, scope);
         }
     }
 
@@ -83,7 +83,7 @@
         revision = Revision.NONE;
         startedAtMillis = start.atMillis();
         running = true;
-        missingAfterHeal = 0;
+        dueAfterHeal = 0;
     }
 
     private void checkSnapshot(Observation.SnapshotTaken snapshot) {
@@ -104,7 +104,7 @@
                                                 + snapshot.revision()
                                                 + " contains uncommitted "
                                                 + item));
-        reached(snapshot.revision(), snapshot.atMillis());
+        recordReached(snapshot.revision(), snapshot.atMillis());
     }
 
     /** Compares an item of a snapshot, or null if it is absent, with its last update. */
@@ -140,7 +140,7 @@
             missing.remove(key);
         }
         missing.values().forEach(update -> addLost(update, "difference to " + target));
-        reached(target, difference.atMillis());
+        recordReached(target, difference.atMillis());
     }
 
     /** Whether an update is the last committed one or, if that is out of scope, a deletion. */
@@ -159,14 +159,14 @@
         relevantChanges(advanced.to().number())
                 .values()
                 .forEach(update -> addLost(update, "advance to " + advanced.to()));
-        reached(advanced.to(), advanced.atMillis());
+        recordReached(advanced.to(), advanced.atMillis());
     }
 
     private void checkLogged(Observation.RevisionLogged logged) {
         if (logged.revision().number() < revision.number()) {
             addDisordered("logged revision " + logged.revision() + " after revision " + revision);
         } else {
-            reached(logged.revision(), logged.atMillis());
+            recordReached(logged.revision(), logged.atMillis());
         }
     }
 
@@ -190,7 +190,7 @@
     }
 
     private void checkCatchUp(long atMillis) {
-        if (missingAfterHeal > 0
+        if (dueAfterHeal > 0
                 && running
                 && !partitioned
                 && atMillis > healedAtMillis + MAX_CATCH_UP_MILLIS) {
@@ -203,7 +203,7 @@
                             + " ms; its partition ended at "
                             + healedAtMillis
                             + " ms");
-            missingAfterHeal = 0;
+            dueAfterHeal = 0;
         }
     }
 
@@ -223,8 +223,8 @@
     }
 
     /**
-     * Returns the last change of each key since the current revision that affects this controller:
-     * the item must be present after it, or it was present and must no longer be.
+     * Returns the last change of each key since the current revision, if it affects this
+     * controller: the item is present in its scope afterwards, or was before.
      */
     private Map<String, Update> relevantChanges(long upTo) {
         Map<String, Update> changes = committed.latestBetween(revision.number(), upTo);
@@ -245,7 +245,7 @@
      * Records that the state has reached a revision. The latency of a change counts only if the
      * controller was running and connected throughout.
      */
-    private void reached(Revision next, long atMillis) {
+    private void recordReached(Revision next, long atMillis) {
         if (!revision.isNone() && !partitioned) {
             for (Observation.Committed change :
                     committed.between(revision.number(), next.number())) {
@@ -256,8 +256,8 @@
             }
         }
         revision = next;
-        if (revision.number() >= missingAfterHeal) {
-            missingAfterHeal = 0;
+        if (revision.number() >= dueAfterHeal) {
+            dueAfterHeal = 0;
         }
     }
 
--- a/src/main/java/rockshift/capacity/FleetSimulator.java
+++ b/src/main/java/rockshift/capacity/FleetSimulator.java
@@ -30,24 +30,24 @@
     /** The interval between two reports on the same replica or by the same proxy. */
     public static final int REPORT_MILLIS = 2_000;
 
-    private static final int TICK_MILLIS = 50;
-    private static final int TICKS_PER_REPORT = REPORT_MILLIS / TICK_MILLIS;
+    private static final int ROUND_MILLIS = 50;
+    private static final int ROUNDS_PER_REPORT = REPORT_MILLIS / ROUND_MILLIS;
 
-    /**
-     * The mean number of requests that a replica answers between two reports, and their variation.
-     */
+    /** The mean number of requests that a replica answers between two reports. */
     private static final int REQUESTS_PER_REPORT = 40;
 
+    /** The largest relative deviation of a reported figure from its mean. */
     private static final double VARIATION = 0.1;
+
     private static final int READ_BUFFER_BYTES = 1 << 16;
 
     /**
-     * The maximum number of bytes that wait to be sent by one peer. Further reports are dropped and
-     * counted.
+     * The maximum number of bytes that wait to be sent by one peer. Further messages are dropped
+     * and counted.
      */
     private static final int MAX_UNSENT_BYTES = 1 << 18;
 
-    /** A connection to the controller, of a proxy with its number or of a collector with -1. */
+    /** A connection to the controller: of a proxy or, with -1 as its number, of a collector. */
     private static final class Peer {
         private final int proxy;
         private final String zone;
@@ -84,7 +84,7 @@
     private final AtomicLong droppedReports = new AtomicLong();
     private final AtomicLong longestDelayMillis = new AtomicLong();
 
-    /** The traffic so far from the controller's side: in is what the controller received. */
+    /** The traffic so far: in is what the controller received, out is what it sent. */
     public record Traffic(long bytesIn, long bytesOut, long messagesIn, long messagesOut) {}
 
     /** Connects all peers to the controller at a port and starts reporting. */
@@ -121,7 +121,7 @@
         if (peer.proxy < 0) {
             send(peer, "collector az " + peer.zone);
         } else {
-            double share =
+            double requestsPerSecond =
                     (double) shape.replicas()
                             * REQUESTS_PER_REPORT
                             * 1_000
@@ -134,7 +134,7 @@
                             "joined sidecar %d az %s share %.1f standing 1",
                             peer.proxy,
                             peer.zone,
-                            share));
+                            requestsPerSecond));
         }
     }
 
@@ -148,12 +148,12 @@
         return withTables.get();
     }
 
-    /** The number of connections that the controller closed. */
+    /** The number of connections that the controller closed, or that failed. */
     public int lostConnections() {
         return lostConnections.get();
     }
 
-    /** The number of reports dropped because the controller read too slowly. */
+    /** The number of messages dropped because the controller read too slowly. */
     public long droppedReports() {
         return droppedReports.get();
     }
@@ -167,19 +167,19 @@
     }
 
     private void run() {
-        long nextTickNanos = System.nanoTime();
+        long nextRoundNanos = System.nanoTime();
         try {
-            for (int tick = 0; !closed; tick++) {
-                report(tick % TICKS_PER_REPORT);
-                nextTickNanos += TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS);
+            for (int round = 0; !closed; round++) {
+                report(round % ROUNDS_PER_REPORT);
+                nextRoundNanos += TimeUnit.MILLISECONDS.toNanos(ROUND_MILLIS);
                 long remainingMillis =
-                        TimeUnit.NANOSECONDS.toMillis(nextTickNanos - System.nanoTime());
+                        TimeUnit.NANOSECONDS.toMillis(nextRoundNanos - System.nanoTime());
                 longestDelayMillis.accumulateAndGet(-remainingMillis, Math::max);
                 do {
                     selector.select(Math.max(1, remainingMillis));
                     readAll();
                     remainingMillis =
-                            TimeUnit.NANOSECONDS.toMillis(nextTickNanos - System.nanoTime());
+                            TimeUnit.NANOSECONDS.toMillis(nextRoundNanos - System.nanoTime());
                 } while (remainingMillis > 0 && !closed);
             }
         } catch (IOException failure) {
@@ -234,9 +234,9 @@
         }
     }
 
-    /** Sends the reports of one tick; each replica and proxy has one tick per report interval. */
-    private void report(int tick) {
-        for (int i = tick; i < shape.replicas(); i += TICKS_PER_REPORT) {
+    /** Sends the reports of one round; each replica and proxy has one round per report interval. */
+    private void report(int round) {
+        for (int i = round; i < shape.replicas(); i += ROUNDS_PER_REPORT) {
             Peer collector = collectors.get(i % shape.zones());
             send(
                     collector,
@@ -245,13 +245,13 @@
                             "heard az %s host %s n %d bad 0 avg 150.0 window %d report util:%.2f",
                             collector.zone,
                             StaticDiscoveryServer.replica(i),
-                            varied(REQUESTS_PER_REPORT),
+                            randomAround(REQUESTS_PER_REPORT),
                             REPORT_MILLIS,
-                            0.5 * varied(100) / 100));
+                            0.5 * randomAround(100) / 100));
         }
         double requestsPerClass =
                 (double) shape.replicas() * REQUESTS_PER_REPORT / shape.proxies() / shape.classes();
-        for (int i = tick; i < shape.proxies(); i += TICKS_PER_REPORT) {
+        for (int i = round; i < shape.proxies(); i += ROUNDS_PER_REPORT) {
             for (int k = 0; k < shape.classes(); k++) {
                 send(
                         proxies.get(i),
@@ -260,14 +260,14 @@
                                 + " kind "
                                 + FleetShape.className(k)
                                 + " n "
-                                + varied(requestsPerClass)
+                                + randomAround(requestsPerClass)
                                 + " bad 0 window "
                                 + REPORT_MILLIS);
             }
         }
     }
 
-    private int varied(double mean) {
+    private int randomAround(double mean) {
         return (int) Math.round(mean * (1 + VARIATION * (2 * random.nextDouble() - 1)));
     }
 
--- a/src/test/java/rockshift/planner/AlphaFairSolverScenarioTest.java
+++ b/src/test/java/rockshift/planner/AlphaFairSolverScenarioTest.java
@@ -14,8 +14,8 @@
 /** Rates that the alpha-fair solver converges to, as the tables of a whole planner show them. */
 class AlphaFairSolverScenarioTest {
     /**
-     * Capacities of three to one, calculated by hand: with alpha 1 every replica is used in
-     * proportion. An entry within a tenth of its target is not sent again.
+     * The optimum is calculated by hand: with alpha 1, replicas are used in proportion to their
+     * capacities, here three to one. An entry within a tenth of its target is not sent again.
      */
     @Test
     void weightsConvergeToFairOptimum() {
@@ -48,8 +48,8 @@
     }
 
     /**
-     * A replica's capacity falls to a third. In every batch on the way to the new optimum the
-     * weights stay near the capacities of the replicas.
+     * A replica's capacity falls to a third. On the way to the new optimum, it is never given more
+     * than its former share.
      */
     @Test
     void publishedWeightsStayFeasibleWhileCapacityFalls() {
--- a/src/test/java/rockshift/planner/FleetTest.java
+++ b/src/test/java/rockshift/planner/FleetTest.java
@@ -9,7 +9,7 @@
 
 /**
  * Several controllers on one fleet, each with its own planner and its own delayed view of
- * discovery. Six in ten replicas are replaced, one controller fails meanwhile, and its proxies join
+ * discovery. Six of ten replicas are replaced, one controller fails meanwhile, and its proxies join
  * the others at once. The fleet counts what all controllers do together, independently of the
  * estimates of any planner.
  */
