--- a/src/main/java/rockshift/raft/SnapshotSender.java
+++ b/src/main/java/rockshift/raft/SnapshotSender.java
@@ -24,7 +24,7 @@
         return snapshot.index();
     }
 
-    /** Returns whether the last chunk or its response must be considered lost. */
+    /** Returns whether no chunk was sent yet, or the last one or its response counts as lost. */
     boolean isResendDue(long nowTicks, long resendIntervalTicks) {
         return nowTicks >= chunkSentAtTicks + resendIntervalTicks;
     }
--- a/src/main/java/rockshift/storage/DurableLog.java
+++ b/src/main/java/rockshift/storage/DurableLog.java
@@ -114,7 +114,7 @@
     }
 
     /**
-     * Makes this member part of a cluster: as one of its founders, or, if there are none, as a
+     * Makes this member part of a cluster: as one of its founders or, if there is no founder, as a
      * member that will be brought up to date.
      *
      * @return the initial snapshot
--- a/src/main/java/rockshift/storage/RecordKind.java
+++ b/src/main/java/rockshift/storage/RecordKind.java
@@ -2,7 +2,7 @@
 
 /** The kind of a record. The code is stored on disk, as one byte. */
 enum RecordKind {
-    /** Begins a write, with the number of bytes of this file that were durable before it. */
+    /** Begins a write; contains how many bytes of this file were durable before it. */
     BATCH(1),
     /** The term and vote that apply from this record on. */
     TERM_AND_VOTE(2),
--- a/src/main/java/rockshift/storage/SegmentFiles.java
+++ b/src/main/java/rockshift/storage/SegmentFiles.java
@@ -30,7 +30,7 @@
     /** Number of durable bytes in the last segment. */
     private int durableBytes;
 
-    /** Whether a write failed, so that the last segment may contain more than the durable bytes. */
+    /** Whether the last write failed, so that the last segment may exceed the durable bytes. */
     private boolean hasTornTail;
 
     SegmentFiles(Disk disk, Consumer<String> logLines) {
@@ -165,8 +165,8 @@
     }
 
     /**
-     * Prepares the last segment for a write: truncates a torn tail, and starts a new segment if it
-     * is full.
+     * Prepares the last segment for a write: truncates a torn tail, and starts a new segment if the
+     * last one is full.
      */
     void prepareWrite(TermAndVote durableTermAndVote) throws IOException {
         long last = highestIndexes.lastKey();
