--- a/src/main/java/rockshift/distribution/Publisher.java
+++ b/src/main/java/rockshift/distribution/Publisher.java
@@ -6,9 +6,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The downstream side of a member or relay: serves subscribers from a store. The host assigns a
- * number to each connection. The cost of a change depends on the number of affected subscriptions,
- * and heartbeats are spread over their interval.
+ * The downstream side of a member or relay: serves subscribers from a store. The host, which owns
+ * the sockets, assigns a number to each connection. The cost of a change depends on the number of
+ * affected subscriptions, and heartbeats are spread over their interval.
  *
  * <p>Not thread-safe: the host calls it from one thread at a time. {@link SubscriptionAdmission}
  * decides who may subscribe, {@link SubscriptionUpdater} what each subscription is sent; {@link
--- a/src/main/java/rockshift/settings/SettingsParser.java
+++ b/src/main/java/rockshift/settings/SettingsParser.java
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Returns the overrides among values keyed by the names that the agreed log and the commands
-     * use. Other names are ignored.
+     * Returns the overrides that are among the agreed values, whose keys are the names in the
+     * agreed log and in commands. Other names are ignored.
      */
     public static SettingOverrides overrides(Map<String, Double> agreed) {
         return new SettingOverrides(
@@ -137,13 +137,13 @@
             CLASS_SETTERS
                     .get(name)
                     .accept(
-                            classes.computeIfAbsent(number, added -> new ClassSettings.Builder()),
+                            classes.computeIfAbsent(number, absent -> new ClassSettings.Builder()),
                             value);
         }
     }
 
     /**
-     * Checks that all settings are present that have no default in a deployment with sockets.
+     * Checks that the settings are present that a controller needs outside the simulator.
      *
      * @throws InvalidSettingException for the first missing setting
      */
@@ -177,8 +177,8 @@
         return classes.get(number).staysInZone(stays).build();
     }
 
-    private static AdmissionMode admissionMode(String word) {
-        return switch (word) {
+    private static AdmissionMode admissionMode(String name) {
+        return switch (name) {
             case "fraction" -> AdmissionMode.FRACTION;
             case "per_second" -> AdmissionMode.RATE_PER_SECOND;
             default -> AdmissionMode.NONE;
--- a/src/main/java/rockshift/wire/FramedConnection.java
+++ b/src/main/java/rockshift/wire/FramedConnection.java
@@ -24,7 +24,7 @@
      */
     private static final long MAX_STALL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** Maximum time that a closing connection waits for the peer to read the frames sent before. */
+    /** Maximum time that a closing connection waits for the peer to read the queued frames. */
     private static final int CLOSE_GRACE_MILLIS = 500;
 
     private final IOSession session;
@@ -32,8 +32,7 @@
     private final ByteBuffer readBuffer;
     private final int maxUnsentBytes;
     private final Frames frames = new Frames();
-    // Guarded by the session's lock: queued frames, of which the first may be partly sent, and
-    // their unsent bytes.
+    // Guarded by the session's lock. The first of the queued frames may be partly sent.
     private final ArrayDeque<ByteBuffer> queuedFrames = new ArrayDeque<>();
     private int unsentBytes;
     private long lastProgressNanos = System.nanoTime();
