--- a/src/main/java/rockshift/cli/ClusterChangeCommands.java
+++ b/src/main/java/rockshift/cli/ClusterChangeCommands.java
@@ -63,7 +63,7 @@
 
         @Option(
                 names = "--force",
-                description = "propose the change even if the controller asked objects")
+                description = "propose the change even if the controller that is asked objects")
         private boolean force;
 
         ReplicaCommand(Change.Kind kind) {
--- a/src/main/java/rockshift/config/Section.java
+++ b/src/main/java/rockshift/config/Section.java
@@ -12,9 +12,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A block of the operator's file. The getters check the type and range of a field; a missing field
- * takes the default value, and is an error if that is null. {@link #rejectUnknownFields} rejects
- * the fields that were never read. Not thread-safe.
+ * A block of an operator's configuration file. The getters check the type and range of a field; a
+ * missing field takes the default value, and is an error if that is null. {@link
+ * #rejectUnknownFields} rejects the fields that were never read. Not thread-safe.
  */
 public final class Section {
     private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m|h)");
@@ -43,8 +43,8 @@
      * Creates an exception for a field of this block; an empty name stands for the block itself.
      */
     public InvalidFileException invalid(String field, String problem) {
-        String full = field.isEmpty() ? path : path(field);
-        return new InvalidFileException(file, lines.lineOf(full), full, problem);
+        String fullPath = field.isEmpty() ? path : path(field);
+        return new InvalidFileException(file, lines.lineOf(fullPath), fullPath, problem);
     }
 
     private Object read(String field) {
@@ -57,7 +57,7 @@
         return values.get(field) != null;
     }
 
-    /** Reads a text that must not be empty. */
+    /** Reads a string that must not be empty. */
     public String text(String field, String defaultValue) throws InvalidFileException {
         Object value = read(field);
         if (value == null && defaultValue != null) {
@@ -70,7 +70,7 @@
         return (String) value;
     }
 
-    /** Reads a list of distinct texts; returns an empty set if the field is missing. */
+    /** Reads a list of distinct strings; returns an empty set if the field is missing. */
     public Set<String> texts(String field, int maxLength) throws InvalidFileException {
         Object value = read(field);
         if (value != null && !(value instanceof List<?>)) {
@@ -88,7 +88,7 @@
         return found;
     }
 
-    /** Reads a text that must be one of the allowed values. */
+    /** Reads a string that must be one of the allowed values. */
     public String choice(String field, String defaultValue, String... allowed)
             throws InvalidFileException {
         String value = text(field, defaultValue);
@@ -113,7 +113,12 @@
         if (!(number >= min && number <= max)) {
             throw invalid(
                     field,
-                    "must be from " + plain(min) + " to " + plain(max) + ", not " + plain(number));
+                    "must be from "
+                            + format(min)
+                            + " to "
+                            + format(max)
+                            + ", not "
+                            + format(number));
         }
         return number;
     }
@@ -129,7 +134,7 @@
         return (int) number;
     }
 
-    private static String plain(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
@@ -195,8 +200,8 @@
         String value = text(field, defaultValue);
         try {
             return parseAddress(value);
-        } catch (IllegalArgumentException wrong) {
-            throw invalid(field, wrong.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            throw invalid(field, malformed.getMessage());
         }
     }
 
@@ -212,7 +217,7 @@
                 return new InetSocketAddress(
                         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             }
-        } catch (IllegalArgumentException wrong) {
+        } catch (IllegalArgumentException malformed) {
             // Reported below, with the same message as a missing port.
         }
         throw new IllegalArgumentException("must be an address as HOST:PORT, not '" + text + "'");
@@ -244,9 +249,9 @@
         if (!(value instanceof Map<?, ?> map)) {
             throw invalid(field, "must be a block");
         }
-        Map<String, Object> plain = new LinkedHashMap<>();
-        map.forEach((key, each) -> plain.put(key.toString(), each));
-        Section section = new Section(file, lines, path(field), plain);
+        Map<String, Object> fields = new LinkedHashMap<>();
+        map.forEach((key, each) -> fields.put(key.toString(), each));
+        Section section = new Section(file, lines, path(field), fields);
         nested.add(section);
         return section;
     }
