--- a/src/main/java/rockshift/server/DiscoveryWatch.java
+++ b/src/main/java/rockshift/server/DiscoveryWatch.java
@@ -54,7 +54,7 @@
 
     /**
      * The address to watch, published to the watch's thread. The thread reads it after each call,
-     * because an interrupt may be swallowed by code that it calls; it only ends a call early.
+     * because an interrupt only ends a call early, and may be swallowed by the code called.
      */
     private volatile HttpHost target;
 
